--- a/crates/tc-fleet/src/convert.rs
+++ b/crates/tc-fleet/src/convert.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tc_membership::{Kind, Message, Record};
+use tc_membership::{Message, MessageKind, Record};
 use tc_policy::HeldPermit;
 use tc_protocol::{
     Cost, Fingerprint, Incarnation, InstanceId, Member, MemberState, Outcome, PermitId,
@@ -107,22 +107,22 @@
 pub(crate) fn message_to_wire(message: &Message) -> wire::Datagram {
     use wire::datagram::Kind as WireKind;
     let kind = match &message.kind {
-        Kind::Probe { nonce, relayed_for } => WireKind::Probe(wire::Probe {
+        MessageKind::Probe { nonce, relayed_for } => WireKind::Probe(wire::Probe {
             nonce: *nonce,
             relayed_for: relayed_for
                 .as_ref()
                 .map(InstanceId::to_string)
                 .unwrap_or_default(),
         }),
-        Kind::Ack { nonce, subject } => WireKind::Ack(wire::ProbeAck {
+        MessageKind::Ack { nonce, subject } => WireKind::Ack(wire::ProbeAck {
             nonce: *nonce,
             subject: subject.to_string(),
         }),
-        Kind::Indirect { nonce, subject } => WireKind::Indirect(wire::IndirectProbe {
+        MessageKind::IndirectProbe { nonce, subject } => WireKind::Indirect(wire::IndirectProbe {
             nonce: *nonce,
             subject: subject.to_string(),
         }),
-        Kind::Announcement => WireKind::Announcement(wire::Announcement {}),
+        MessageKind::Announcement => WireKind::Announcement(wire::Announcement {}),
     };
     wire::Datagram {
         from: Some(record_to_wire(&message.from)),
@@ -137,19 +137,19 @@
 pub(crate) fn message_from_wire(datagram: &wire::Datagram) -> Option<Message> {
     use wire::datagram::Kind as WireKind;
     let kind = match datagram.kind.as_ref()? {
-        WireKind::Probe(probe) => Kind::Probe {
+        WireKind::Probe(probe) => MessageKind::Probe {
             nonce: probe.nonce,
             relayed_for: (!probe.relayed_for.is_empty()).then(|| probe.relayed_for.as_str().into()),
         },
-        WireKind::Ack(ack) => Kind::Ack {
+        WireKind::Ack(ack) => MessageKind::Ack {
             nonce: ack.nonce,
             subject: ack.subject.as_str().into(),
         },
-        WireKind::Indirect(indirect) => Kind::Indirect {
+        WireKind::Indirect(indirect) => MessageKind::IndirectProbe {
             nonce: indirect.nonce,
             subject: indirect.subject.as_str().into(),
         },
-        WireKind::Announcement(_) => Kind::Announcement,
+        WireKind::Announcement(_) => MessageKind::Announcement,
     };
     Some(Message {
         from: record_from_wire(datagram.from.as_ref()?)?,
--- a/crates/tc-fleet/src/fleet.rs
+++ b/crates/tc-fleet/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use futures::future::BoxFuture;
 use ractor::{Actor, ActorRef};
-use tc_membership::addresses;
+use tc_membership::shuffle_shard;
 use tc_platform::{Purpose, Store, StoreError};
 use tc_protocol::{
     Ask, AskRefusal, Fingerprint, FleetView, InstanceId, MonoTime, Permit, RequestId, ShareGuard,
@@ -128,7 +128,7 @@
             .get(workspace)
             .map_or(1, |w| w.weight);
         let near = &view.me.failure_domain;
-        let instances = addresses(workspace, weight, policy.shard_size, &view.members, near)
+        let instances = shuffle_shard(workspace, weight, policy.shard_size, &view.members, near)
             .into_iter()
             .map(|member| CallerAddress {
                 id: member.id.clone(),
--- a/crates/tc-fleet/src/limits.rs
+++ b/crates/tc-fleet/src/limits.rs
@@ -7,7 +7,7 @@
 };
 
 use arc_swap::ArcSwap;
-use tc_membership::{addresses, home_of};
+use tc_membership::{home_of, shuffle_shard};
 use tc_policy::{Demand, LimitHome, Share, ShareBucket};
 use tc_protocol::{FleetView, InstanceId, Limits, Member, MonoTime, ShareGuard, WorkspaceName};
 
@@ -230,7 +230,7 @@
         .get(workspace)
         .map_or(1, |w| w.weight);
     let shard_size = view.config.policy.shard_size;
-    addresses(
+    shuffle_shard(
         workspace,
         weight,
         shard_size,
--- a/crates/tc-fleet/src/mesh/actor.rs
+++ b/crates/tc-fleet/src/mesh/actor.rs
@@ -123,7 +123,7 @@
         match message {
             MeshMsg::Datagram(datagram) => self.datagram(now, &datagram),
             MeshMsg::Learn(records, reply) => {
-                let news = self.membership.learn(now, &records);
+                let news = self.membership.merge_records(now, &records);
                 self.tick(now);
                 // Fails only when nobody waits for it any more.
                 let _ = reply.send(news);
@@ -135,23 +135,23 @@
                     known,
                     only_announces,
                 } = *introduced;
-                self.membership.learn(now, &[other]);
-                let differs = !only_announces && self.membership.view() != view;
-                let lacking = differs.then(|| self.membership.lacking(&known));
+                self.membership.merge_records(now, &[other]);
+                let differs = !only_announces && self.membership.view_digest() != view;
+                let lacking = differs.then(|| self.membership.missing_records(&known));
                 // Fails only when the other has given up.
                 let _ = reply.send(lacking);
             }
             MeshMsg::Known(reply) => {
                 // Fails only when nobody waits for it any more.
-                let _ = reply.send(self.membership.known());
+                let _ = reply.send(self.membership.member_hashes());
             }
             MeshMsg::Doubt(id) => {
                 self.args.peers.forget(&id);
-                self.membership.suspect(now, &id);
+                self.membership.report_failed_call(now, &id);
                 self.tick(now);
             }
             MeshMsg::Probe(id) => {
-                self.membership.suspect(now, &id);
+                self.membership.report_failed_call(now, &id);
                 self.tick(now);
             }
             MeshMsg::SpreadSuspects => {
@@ -160,7 +160,7 @@
             }
             MeshMsg::Woke => {
                 // What it knew before may be wrong by now: others may have taken it for dead.
-                self.membership.woke(now);
+                self.membership.resumed(now);
                 self.tick(now);
             }
             MeshMsg::Leave => {
@@ -213,7 +213,7 @@
         let members = self.membership.members();
         note_changes(&published.members.load(), &members);
         published.members.store(Arc::new(members));
-        let view = self.membership.view();
+        let view = self.membership.view_digest();
         published.view.store(view, Ordering::Release);
         published.changes.send_modify(|count| *count += 1);
     }
--- a/crates/tc-fleet/src/mesh/members.rs
+++ b/crates/tc-fleet/src/mesh/members.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::atomic::Ordering};
 
-use tc_membership::{Compared, Record};
+use tc_membership::{ComparisonOutcome, Record};
 use tc_protocol::{InstanceId, Member};
 use tokio::sync::oneshot;
 
@@ -46,7 +46,7 @@
     }
 
     /// Compares the list of members with another instance's and takes up what that one knows beyond.
-    pub async fn compare_members(&self, other: &Member) -> Result<Compared, MeshError> {
+    pub async fn compare_members(&self, other: &Member) -> Result<ComparisonOutcome, MeshError> {
         let client = self.inner.peers.client(other);
         self.compare_with(client, &other.id).await
     }
@@ -55,7 +55,7 @@
         &self,
         mut client: Client,
         asked: &InstanceId,
-    ) -> Result<Compared, MeshError> {
+    ) -> Result<ComparisonOutcome, MeshError> {
         let no_answer = |problem: String| MeshError::NoAnswer {
             instance: asked.clone(),
             problem,
@@ -73,7 +73,7 @@
         let list = list.map_err(|status| no_answer(status.message().to_owned()))?;
         let list = list.into_inner();
         if list.same_view {
-            return Ok(Compared::Same);
+            return Ok(ComparisonOutcome::Same);
         }
         let lacking = list.members.iter();
         let lacking: Vec<Record> = lacking.filter_map(convert::record_from_wire).collect();
@@ -81,9 +81,9 @@
         let _ = self.inner.node.cast(MeshMsg::Learn(lacking, reply));
         let news = news.await.map_err(stopping)?;
         Ok(if news {
-            Compared::News
+            ComparisonOutcome::Updated
         } else {
-            Compared::NoNews
+            ComparisonOutcome::Unchanged
         })
     }
 }
--- a/crates/tc-fleet/src/node/actor.rs
+++ b/crates/tc-fleet/src/node/actor.rs
@@ -3,7 +3,9 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use ractor::{Actor, ActorProcessingErr, ActorRef};
-use tc_membership::{Membership, MembershipConfig, PauseDetector, Pull, Record, Spread, watchers};
+use tc_membership::{
+    ConfigPuller, Membership, MembershipConfig, PauseDetector, Pull, Record, config_watchers,
+};
 use tc_protocol::{
     InstanceId, Member, MonoTime, UpstreamId,
     wire::{ConfigObject, InstanceList},
@@ -89,7 +91,7 @@
         myself.send_interval(HOUSEKEEPING_INTERVAL, || NodeMsg::Housekeeping);
         myself.send_after(Duration::from_millis(1), || NodeMsg::Tick);
         let membership = Membership::new(args.membership, args.me.clone(), rand::random());
-        let spread = Spread::new(rand::random());
+        let spread = ConfigPuller::new(rand::random());
         let pause = PauseDetector::new(PAUSE_THRESHOLD);
         let mut state = NodeState::new(args.me, args.parts, membership, spread, pause);
         state.publish(MonoTime::now());
@@ -128,7 +130,7 @@
                 return self.says_leaving(upstream, leaving);
             }
             NodeMsg::Doubt(id) => {
-                self.membership.suspect(now, &id);
+                self.membership.report_failed_call(now, &id);
                 self.tick(now, None);
             }
             NodeMsg::Leave => {
@@ -137,7 +139,7 @@
                 return true;
             }
             NodeMsg::Stay => {
-                let outgoing = self.membership.stay();
+                let outgoing = self.membership.cancel_leave();
                 self.send(outgoing);
                 return true;
             }
@@ -168,25 +170,27 @@
         self.take_piggyback(now, datagram);
         let revisions = std::iter::once(&message.from).chain(&message.changes);
         for record in revisions {
-            self.spread.heard(now, &record.member.id, record.revision);
+            self.spread
+                .note_peer_revision(now, &record.member.id, record.revision);
         }
         let outgoing = self.membership.handle(now, &message);
         self.send(outgoing);
-        if self.spread.known() > self.spread.in_force() {
+        if self.spread.known_revision() > self.spread.active_revision() {
             self.pull(now, myself);
         }
     }
 
     fn learn(&mut self, now: MonoTime, records: &[Record]) {
         for record in records {
-            self.spread.heard(now, &record.member.id, record.revision);
+            self.spread
+                .note_peer_revision(now, &record.member.id, record.revision);
         }
-        self.membership.learn(now, records);
+        self.membership.merge_records(now, records);
         self.tick(now, None);
     }
 
     fn listed(&mut self, now: MonoTime, list: InstanceList) -> bool {
-        self.membership.listed(now, &list);
+        self.membership.apply_instance_list(now, &list);
         replace(&mut self.list, list)
     }
 
@@ -200,7 +204,8 @@
 
     fn pulled(&mut self, now: MonoTime, from: &InstanceId, delta: Option<ConfigDelta>) -> bool {
         let object = delta.and_then(|delta| config::apply_delta(&self.object, delta));
-        let Some(object) = object.filter(|object| object.revision > self.spread.in_force()) else {
+        let Some(object) = object.filter(|object| object.revision > self.spread.active_revision())
+        else {
             self.spread.pull_failed(now, from);
             return false;
         };
@@ -214,9 +219,12 @@
 
     fn revisions(&self) -> Revisions {
         Revisions {
-            in_force: self.spread.in_force(),
+            in_force: self.spread.active_revision(),
             lowest: self.membership.lowest_revision(),
-            newest: self.spread.known().max(self.membership.newest_revision().0),
+            newest: self
+                .spread
+                .known_revision()
+                .max(self.membership.newest_revision().0),
         }
     }
 
@@ -231,12 +239,12 @@
     }
 
     fn housekeeping(&mut self, now: MonoTime, myself: &ActorRef<NodeMsg>) -> bool {
-        let paused = self.pause.beat(now);
+        let paused = self.pause.heartbeat(now);
         if let Some(gap) = paused {
             // What this instance knew before the pause may be wrong by now: others may have taken it for dead.
             log::warn!(gap_ms = gap.as_millis() as u64; "this process was paused");
             metrics::counter!("tc_pauses_total").increment(1);
-            self.membership.woke(now);
+            self.membership.resumed(now);
             self.tick(now, None);
         }
         self.check_superseded();
@@ -259,12 +267,12 @@
     /// Starts the next pull of the configuration, if one is due.
     fn pull(&mut self, now: MonoTime, myself: &ActorRef<NodeMsg>) {
         let members = self.membership.members();
-        let watching = watchers(&members, &self.me.failure_domain, WATCHERS_PER_DOMAIN)
+        let watching = config_watchers(&members, &self.me.failure_domain, WATCHERS_PER_DOMAIN)
             .iter()
             .any(|member| member.id == self.me.id);
         // Reachability is found out by asking; the state machine's backoff paces it.
         match self.spread.next_pull(now, watching, true) {
-            Pull::From(id) => match members.iter().find(|member| member.id == id) {
+            Pull::Peer(id) => match members.iter().find(|member| member.id == id) {
                 Some(member) => self.pull_from(member, myself),
                 None => self.spread.pull_failed(now, &id),
             },
@@ -273,7 +281,7 @@
                 crate::store_watch::watch_config(
                     &self.parts,
                     after,
-                    self.spread.in_force() == 0,
+                    self.spread.active_revision() == 0,
                     myself,
                 );
             }
@@ -284,7 +292,7 @@
     fn pull_from(&self, member: &Member, myself: &ActorRef<NodeMsg>) {
         let peer = self.parts.peers.get(member);
         let from = member.id.clone();
-        let have_revision = self.spread.in_force();
+        let have_revision = self.spread.active_revision();
         let myself = myself.clone();
         tokio::spawn(async move {
             let pull = timed(ConfigPull { have_revision });
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwap;
 use ractor::ActorRef;
-use tc_membership::{Membership, Outgoing, PauseDetector, Spread};
+use tc_membership::{ConfigPuller, Membership, Outgoing, PauseDetector};
 use tc_platform::Store;
 use tc_protocol::{
     FleetConfig, FleetView, Incarnation, InstanceId, Member, MemberState, MonoTime, UpstreamId,
@@ -56,7 +56,7 @@
     pub(crate) me: Member,
     pub(crate) parts: NodeParts,
     pub(crate) membership: Membership,
-    pub(crate) spread: Spread,
+    pub(crate) spread: ConfigPuller,
     pub(crate) pause: PauseDetector,
     pub(crate) object: Arc<ConfigObject>,
     pub(crate) config: Arc<FleetConfig>,
@@ -72,7 +72,7 @@
         me: Member,
         parts: NodeParts,
         membership: Membership,
-        spread: Spread,
+        spread: ConfigPuller,
         pause: PauseDetector,
     ) -> Self {
         Self {
@@ -136,13 +136,13 @@
 
     /// Puts a configuration in force if it is valid and newer; returns whether it was.
     pub(crate) fn apply(&mut self, object: ConfigObject) -> bool {
-        if object.revision <= self.spread.in_force() {
-            self.spread.applied(object.revision);
+        if object.revision <= self.spread.active_revision() {
+            self.spread.activate(object.revision);
             return false;
         }
         match config::read(&object) {
             Ok(config) => {
-                if !self.spread.applied(object.revision) {
+                if !self.spread.activate(object.revision) {
                     return false;
                 }
                 log::info!(revision = object.revision; "configuration in force");
@@ -155,7 +155,7 @@
             Err(error) => {
                 log::error!(revision = object.revision; "configuration rejected, the last valid one stays in force: {error}");
                 metrics::counter!("tc_config_rejected_total").increment(1);
-                self.spread.rejected(object.revision);
+                self.spread.reject(object.revision);
                 false
             }
         }
@@ -220,7 +220,7 @@
             MemberState::Dead => {
                 self.parts.peers.give_up_asks(id);
                 self.parts.peers.forget(id);
-                self.spread.forget(id);
+                self.spread.remove_peer(id);
                 let _ = self.parts.homes.cast(HomesMsg::EntryGone(id.clone()));
             }
             MemberState::Suspect => self.parts.peers.give_up_asks(id),
--- a/crates/tc-fleet/src/orders/planner.rs
+++ b/crates/tc-fleet/src/orders/planner.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use tc_membership::{EngineState, Load, ModelNeed, Plan, home_of, plan};
+use tc_membership::{EngineState, ModelLoad, ModelRequirements, Plan, home_of, plan};
 use tc_platform::{Expect, Held, Lease, LeaseError, LeaseSettings, Purpose, SureWrite};
 use tc_protocol::{FleetView, MonoTime, Service, ServiceKind, ServiceName, UpstreamState};
 use tc_upstream::UpstreamClient;
@@ -42,7 +42,7 @@
     /// Fencing number of the plan in the platform, if it is known to be the one held here.
     written: Option<PlanRecord>,
     /// Loads ordered and not yet reported as done, each with the time of its order.
-    ordered: Vec<(Load, MonoTime)>,
+    ordered: Vec<(ModelLoad, MonoTime)>,
 }
 
 /// Plans the services placed on this instance, for ever.
@@ -150,7 +150,7 @@
                 return Err(LeaseError::Lapsed);
             };
             let answer = give(parts, desk, view, name, &load, fence).await;
-            self.plan.put_off(now, &load.upstream);
+            self.plan.defer(now, &load.upstream);
             if answer.accepted {
                 self.ordered.push((load.clone(), now));
                 log::info!(service = name.as_str(), upstream = load.upstream.as_str(), model = load.model.as_str(); "load ordered");
@@ -259,14 +259,18 @@
 }
 
 /// One service runs one model; its demand is all engines of the service.
-fn needs(view: &FleetView, service: &Service, engines: usize) -> BTreeMap<String, ModelNeed> {
+fn needs(
+    view: &FleetView,
+    service: &Service,
+    engines: usize,
+) -> BTreeMap<String, ModelRequirements> {
     let Some(name) = &service.model else {
         return BTreeMap::new();
     };
     let Some(model) = view.config.models.get(name) else {
         return BTreeMap::new();
     };
-    let need = ModelNeed {
+    let need = ModelRequirements {
         version: model.version.clone(),
         floor: model.floor,
         demand: engines as f64,
@@ -280,7 +284,7 @@
     desk: &OrderDesk,
     view: &FleetView,
     service: &ServiceName,
-    load: &Load,
+    load: &ModelLoad,
     fence: u64,
 ) -> OrderAnswer {
     let order = OrderPass {
--- a/crates/tc-gateway/src/join.rs
+++ b/crates/tc-gateway/src/join.rs
@@ -5,7 +5,7 @@
 use futures::future::join_all;
 use rand::seq::{IteratorRandom, SliceRandom};
 use tc_fleet::{Mesh, MeshError};
-use tc_membership::{Compared, ViewSync, store_watchers};
+use tc_membership::{ComparisonOutcome, ViewSync, store_watchers};
 use tc_platform::{Freshness, Purpose, Store, StoredObject};
 use tc_protocol::{Member, MemberState, MonoTime};
 use tokio::{
@@ -233,16 +233,16 @@
 pub(crate) async fn keep_members_same(mesh: Mesh, settled: Settled) {
     let mut sync = ViewSync::new(MonoTime::now(), rand::random());
     loop {
-        sleep(sync.next().since(MonoTime::now())).await;
+        sleep(sync.next_comparison().since(MonoTime::now())).await;
         let outcome = match some_member(&mesh) {
-            None => Compared::NoAnswer,
+            None => ComparisonOutcome::NoAnswer,
             Some(other) => mesh.compare_members(&other).await.unwrap_or_else(|error| {
                 log::debug!(error = error.to_string().as_str(); "an instance did not tell its members");
                 mesh.doubt(&other.id);
-                Compared::NoAnswer
+                ComparisonOutcome::NoAnswer
             }),
         };
-        sync.compared(MonoTime::now(), outcome, rand::random());
+        sync.record(MonoTime::now(), outcome, rand::random());
         if sync.is_settled() {
             settled.now("others know the same");
         }
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -223,7 +223,7 @@
     let limits = Arc::new(LimitedSends::new(limits));
     let engines = EngineHomes::new(Arc::clone(&world), Arc::clone(&cold), Arc::clone(&limits));
     let engines = Arc::new(engines);
-    let beat = SourceTiming::within(news_bound(settings)).beat;
+    let beat = SourceTiming::within(news_bound(settings)).heartbeat_interval;
     let handlers = mesh_handlers(beat, &homes, &engines, &world);
     let mesh = Mesh::start(mesh_settings, handlers).await?;
     let (run_news, told) = NewsSender::new();
--- a/crates/tc-gateway/src/world/follow.rs
+++ b/crates/tc-gateway/src/world/follow.rs
@@ -24,7 +24,7 @@
     pub(crate) fn new(timing: SourceTiming) -> Self {
         Self {
             watches: Sender::new(false),
-            check_after: Sender::new(timing.patience),
+            check_after: Sender::new(timing.watch_after),
         }
     }
 
@@ -33,7 +33,7 @@
         self.watches.subscribe()
     }
 
-    /// See [`StoreSource::check_after`].
+    /// See [`StoreSource::list_after`].
     pub(crate) fn check_after(&self) -> Receiver<Duration> {
         self.check_after.subscribe()
     }
@@ -82,7 +82,7 @@
     follower.take_members();
     loop {
         follower.look().await;
-        let look_again = follower.source.look_again(MonoTime::now());
+        let look_again = follower.source.next_check_in(MonoTime::now());
         let news = next_news(&mut follower.following, look_again);
         tokio::select! {
             heard = news => follower.take(heard),
@@ -118,12 +118,12 @@
 impl Follower {
     fn take_members(&mut self) {
         let members = self.mesh.members();
-        self.source.members_changed(&members);
+        self.source.update_members(&members);
     }
 
     fn settled(&mut self) {
         self.is_settled = true;
-        self.source.settled();
+        self.source.mark_settled();
     }
 
     /// Drops the stream and all confirmations after an absence, because their age is unknown.
@@ -152,10 +152,8 @@
         let now = MonoTime::now();
         let age = now.since(self.cell.confirmed());
         metrics::gauge!("tc_store_confirmed_age_ms").set(age.as_secs_f64() * 1_000.0);
-        self.role
-            .check_after
-            .send_replace(self.source.check_after());
-        let watches = self.source.watches(now);
+        self.role.check_after.send_replace(self.source.list_after());
+        let watches = self.source.should_watch(now);
         let changed = self.role.watches.send_if_modified(|known| {
             let changed = *known != watches;
             *known = watches;
@@ -174,7 +172,7 @@
         };
         let reading = Reading::start(&self.cell.freezes());
         let have = self.cell.have();
-        let limit = self.timing.beat;
+        let limit = self.timing.heartbeat_interval;
         let begun = timeout(limit, self.mesh.follow_world(member, have)).await;
         match begun {
             Ok(Ok(news)) => {
@@ -208,14 +206,14 @@
         let confirmed = news.confirmed_ms.map_or_else(MonoTime::default, |ms| {
             reading.started_at.offset_by_millis(ms).min(now)
         });
-        self.source.heard(now, from, confirmed);
+        self.source.note_confirmation(now, from, confirmed);
         if !self.cell.apply_news(news) {
             log::info!(from = from.as_str(); "news of the store do not fit what is known here; the source is asked anew");
             self.following = None;
             return;
         }
         self.cell.confirm_all(reading, confirmed);
-        if now.since(confirmed) < self.timing.stale {
+        if now.since(confirmed) < self.timing.stale_after {
             self.cell.note_read(WorldPart::Config, reading.absences);
             self.cell.note_read(WorldPart::Upstreams, reading.absences);
             self.cell
@@ -226,7 +224,7 @@
     fn broke(&mut self, from: &InstanceId, problem: &str) {
         log::info!(from = from.as_str(), problem = problem; "an instance that is followed for news of the store does not tell any");
         self.following = None;
-        self.source.broke(MonoTime::now(), from);
+        self.source.source_failed(MonoTime::now(), from);
         self.mesh.doubt(from);
     }
 }
--- a/crates/tc-membership/examples/spread_cost.rs
+++ b/crates/tc-membership/examples/spread_cost.rs
@@ -46,7 +46,7 @@
         let mut net = settled(size, seed);
         net.publish(0, 1);
         let in_force = net.run_until(LIMIT, |net| {
-            net.nodes.iter().all(|n| n.spread.in_force() == 1)
+            net.nodes.iter().all(|n| n.spread.active_revision() == 1)
         });
         let known = net.run_until(LIMIT, |net| {
             net.nodes.iter().all(|n| n.machine.lowest_revision() == 1)
--- a/crates/tc-membership/src/spread.rs
+++ b/crates/tc-membership/src/config_puller.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pull {
     /// From this instance, which has a newer revision in force.
-    From(InstanceId),
+    Peer(InstanceId),
     /// From the platform: watch its object for a version newer than the one last seen.
     Platform,
     /// Nothing to do now.
@@ -57,7 +57,7 @@
 
 /// One instance's part in spreading the configuration.
 #[derive(Clone, Debug)]
-pub struct Spread {
+pub struct ConfigPuller {
     in_force: u64,
     known: u64,
     peers: BTreeMap<InstanceId, Peer>,
@@ -69,19 +69,19 @@
     rng: SmallRng,
 }
 
-impl Spread {
+impl ConfigPuller {
     /// An instance with no configuration yet.
     ///
     /// ```
-    /// use tc_membership::{Pull, Spread};
+    /// use tc_membership::{Pull, ConfigPuller};
     /// use tc_protocol::MonoTime;
-    /// let mut spread = Spread::new(1);
+    /// let mut puller = ConfigPuller::new(1);
     /// let now = MonoTime::from_millis(1);
-    /// spread.heard(now, &"kl-a-1".into(), 4);
-    /// assert_eq!(spread.next_pull(now, false, false), Pull::From("kl-a-1".into()));
-    /// assert!(spread.applied(4));
-    /// assert!(!spread.applied(3));
-    /// assert_eq!(spread.in_force(), 4);
+    /// puller.note_peer_revision(now, &"kl-a-1".into(), 4);
+    /// assert_eq!(puller.next_pull(now, false, false), Pull::Peer("kl-a-1".into()));
+    /// assert!(puller.activate(4));
+    /// assert!(!puller.activate(3));
+    /// assert_eq!(puller.active_revision(), 4);
     /// ```
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -100,13 +100,13 @@
 
     /// Revision in force here; 0 before the first.
     #[must_use]
-    pub fn in_force(&self) -> u64 {
+    pub fn active_revision(&self) -> u64 {
         self.in_force
     }
 
     /// Highest revision known to exist.
     #[must_use]
-    pub fn known(&self) -> u64 {
+    pub fn known_revision(&self) -> u64 {
         self.known
     }
 
@@ -120,7 +120,7 @@
     ///
     /// Datagrams are reordered, so a lower revision than before says nothing; a restarted instance that has lost its
     /// configuration answers a pull with less, which counts as failed.
-    pub fn heard(&mut self, now: MonoTime, from: &InstanceId, revision: u64) {
+    pub fn note_peer_revision(&mut self, now: MonoTime, from: &InstanceId, revision: u64) {
         self.known = self.known.max(revision);
         let Some(peer) = self.peers.get_mut(from) else {
             let backoff = Backoff {
@@ -137,9 +137,9 @@
     }
 
     /// An instance is gone: do not pull from it.
-    pub fn forget(&mut self, from: &InstanceId) {
+    pub fn remove_peer(&mut self, from: &InstanceId) {
         self.peers.remove(from);
-        let from = Pull::From(from.clone());
+        let from = Pull::Peer(from.clone());
         if self.in_progress.as_ref().is_some_and(|p| p.pull == from) {
             self.in_progress = None;
         }
@@ -151,17 +151,17 @@
     /// A newer revision is pulled from an instance that has it. Only watchers wait at the platform, so that its load
     /// does not grow with the fleet; others ask it when they have no configuration and know nobody who has, or when
     /// pulls from peers keep failing.
-    pub fn next_pull(&mut self, now: MonoTime, i_am_watcher: bool, store_reachable: bool) -> Pull {
+    pub fn next_pull(&mut self, now: MonoTime, is_watcher: bool, store_reachable: bool) -> Pull {
         self.time_out(now);
         // A pull from a peer is not held back by a watch of the platform, which may wait for long.
         let pulling = self.in_progress.as_ref().map(|p| &p.pull);
-        if matches!(pulling, Some(Pull::From(_))) {
+        if matches!(pulling, Some(Pull::Peer(_))) {
             return Pull::Nothing;
         }
         let watching = pulling.is_some();
         let next = if let Some(id) = self.best_peer(now) {
-            Pull::From(id)
-        } else if !watching && store_reachable && self.may_ask_platform(now, i_am_watcher) {
+            Pull::Peer(id)
+        } else if !watching && store_reachable && self.may_ask_platform(now, is_watcher) {
             Pull::Platform
         } else {
             return Pull::Nothing;
@@ -175,7 +175,7 @@
 
     /// A valid revision is here. Returns whether to put it in force: only if it is newer than the one that is, so that
     /// no instance ever goes back, whatever order answers come in.
-    pub fn applied(&mut self, revision: u64) -> bool {
+    pub fn activate(&mut self, revision: u64) -> bool {
         self.known = self.known.max(revision);
         self.in_progress = None;
         if revision <= self.in_force {
@@ -191,16 +191,16 @@
     /// A revision was read whole and is invalid here. It is not pulled again; the next one is.
     ///
     /// ```
-    /// use tc_membership::{Pull, Spread};
+    /// use tc_membership::{Pull, ConfigPuller};
     /// use tc_protocol::MonoTime;
-    /// let mut spread = Spread::new(1);
+    /// let mut puller = ConfigPuller::new(1);
     /// let now = MonoTime::from_millis(1);
-    /// spread.heard(now, &"kl-a-1".into(), 4);
-    /// spread.rejected(4);
-    /// assert_eq!(spread.in_force(), 0);
-    /// assert_eq!(spread.next_pull(now, false, false), Pull::Nothing);
+    /// puller.note_peer_revision(now, &"kl-a-1".into(), 4);
+    /// puller.reject(4);
+    /// assert_eq!(puller.active_revision(), 0);
+    /// assert_eq!(puller.next_pull(now, false, false), Pull::Nothing);
     /// ```
-    pub fn rejected(&mut self, revision: u64) {
+    pub fn reject(&mut self, revision: u64) {
         self.known = self.known.max(revision);
         self.in_progress = None;
         self.rejections += 1;
@@ -211,7 +211,7 @@
 
     /// A pull from a peer failed, or brought nothing newer than is in force.
     pub fn pull_failed(&mut self, now: MonoTime, from: &InstanceId) {
-        let from_pull = Pull::From(from.clone());
+        let from_pull = Pull::Peer(from.clone());
         if self
             .in_progress
             .as_ref()
@@ -255,7 +255,7 @@
         else {
             return;
         };
-        if let Pull::From(id) = overdue.pull {
+        if let Pull::Peer(id) = overdue.pull {
             self.pull_failed(now, &id);
         }
     }
@@ -280,9 +280,9 @@
             .choose(&mut self.rng)
     }
 
-    fn may_ask_platform(&self, now: MonoTime, i_am_watcher: bool) -> bool {
+    fn may_ask_platform(&self, now: MonoTime, is_watcher: bool) -> bool {
         let start = self.in_force == 0 && self.known == 0;
         let stuck = self.known > self.in_force && self.failures_in_a_row >= FAILURES_TO_PLATFORM;
-        self.platform.until <= now && (i_am_watcher || start || stuck)
+        self.platform.until <= now && (is_watcher || start || stuck)
     }
 }
--- a/crates/tc-membership/src/membership/announce.rs
+++ b/crates/tc-membership/src/membership/announce.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::InstanceId;
 
-use super::{Kind, Membership, Outgoing};
+use super::{Membership, MessageKind, Outgoing};
 
 impl Membership {
     /// Tells the news, and what rides on them, to every other instance.
@@ -15,7 +15,7 @@
             .filter(|member| member.id != self.me.member.id);
         let to: Vec<SocketAddr> = others.map(|member| member.fleet_address).collect();
         to.into_iter()
-            .map(|to| self.send(to, Kind::Announcement, None))
+            .map(|to| self.send(to, MessageKind::Announcement, None))
             .collect()
     }
 
@@ -24,7 +24,7 @@
         let peers = self.some_peers(count, about);
         peers
             .into_iter()
-            .map(|(_, to)| self.send(to, Kind::Announcement, about))
+            .map(|(_, to)| self.send(to, MessageKind::Announcement, about))
             .collect()
     }
 }
--- a/crates/tc-membership/src/membership/config.rs
+++ b/crates/tc-membership/src/membership/config.rs
@@ -16,9 +16,9 @@
     /// Time for the answer to a direct probe; a probe through others takes at most twice as long again.
     pub probe_timeout: Duration,
     /// Time for a suspected instance to refute.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Instances asked to probe in our place, and instances told at once of a state change.
-    pub indirect: usize,
+    pub fanout: usize,
     /// Most records in one message, besides the sender's own.
     pub max_changes: usize,
     /// How long a dead instance is still shown.
@@ -30,8 +30,8 @@
         Self {
             probe_interval: Duration::from_millis(300),
             probe_timeout: Duration::from_millis(100),
-            suspicion: Duration::from_millis(500),
-            indirect: 3,
+            suspicion_timeout: Duration::from_millis(500),
+            fanout: 3,
             max_changes: 3,
             dead_retention: Duration::from_mins(1),
         }
@@ -50,7 +50,7 @@
     }
 
     pub(crate) fn suspicion_among(&self, members: usize) -> Duration {
-        self.suspicion.mul_f64(Self::scale(members))
+        self.suspicion_timeout.mul_f64(Self::scale(members))
     }
 
     /// Time from sending a direct probe to taking it for failed.
--- a/crates/tc-membership/src/membership/leaving.rs
+++ b/crates/tc-membership/src/membership/leaving.rs
@@ -19,7 +19,7 @@
     }
 
     /// Takes a [`Membership::leave`] back.
-    pub fn stay(&mut self) -> Vec<Outgoing> {
+    pub fn cancel_leave(&mut self) -> Vec<Outgoing> {
         if self.me.member.state == MemberState::Leaving {
             self.me.member.state = MemberState::Alive;
             self.me.refutation += 1;
--- a/crates/tc-membership/src/membership/machine.rs
+++ b/crates/tc-membership/src/membership/machine.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    Kind, MembershipConfig, Message, Outgoing, Record,
+    MembershipConfig, Message, MessageKind, Outgoing, Record,
     dissemination::{Queue, Urgency},
     probe::Prober,
     table::{Merged, Table},
@@ -35,7 +35,7 @@
 /// let now = MonoTime::from_millis(1);
 /// let mut a = Membership::new(MembershipConfig::default(), member("a", 7000), 1);
 /// let mut b = Membership::new(MembershipConfig::default(), member("b", 8000), 2);
-/// a.learn(now, &b.records());
+/// a.merge_records(now, &b.records());
 /// let probe = &a.tick(now)[0];
 /// assert_eq!(probe.to, b.members()[0].fleet_address);
 /// let ack = &b.handle(now, &probe.message)[0];
@@ -82,7 +82,7 @@
     /// let mut first = Membership::new(cfg.clone(), member("kl-a-1", 8080), 1);
     /// let second = Membership::new(cfg, member("kl-a-2", 8090), 2);
     /// let now = MonoTime::from_millis(1);
-    /// first.learn(now, &second.records());
+    /// first.merge_records(now, &second.records());
     /// assert_eq!(first.members().len(), 2);
     /// let probes = first.tick(now);
     /// assert_eq!(probes[0].to, ([127, 0, 0, 1], 8091).into());
@@ -117,7 +117,7 @@
     /// repeated the whole list would fill everyone's messages for minutes. A newcomer makes itself known by its probes.
     ///
     /// Returns whether anything of it was news.
-    pub fn learn(&mut self, now: MonoTime, records: &[Record]) -> bool {
+    pub fn merge_records(&mut self, now: MonoTime, records: &[Record]) -> bool {
         let changed_before = std::mem::take(&mut self.changed);
         for record in records {
             let is_new = self.table.get(&record.member.id).is_none();
@@ -137,7 +137,7 @@
     /// not on the list are left as they are, as long as they answer. What the list says of this instance itself is not
     /// acted on; the caller calls [`Membership::leave`] when it stops. A list with a lower version than an earlier one
     /// is ignored.
-    pub fn listed(&mut self, now: MonoTime, list: &InstanceList) {
+    pub fn apply_instance_list(&mut self, now: MonoTime, list: &InstanceList) {
         let Some(new) = self.table.listed(list, &self.me.member.id) else {
             return;
         };
@@ -153,7 +153,7 @@
     /// Acting on timers that ran out during the pause would call many instances dead at once, seen as a fleet that
     /// falls apart whenever one instance stalls. All timers start again, and a suspicion held now ends in death only
     /// after a fresh probe of this instance has failed.
-    pub fn woke(&mut self, now: MonoTime) {
+    pub fn resumed(&mut self, now: MonoTime) {
         self.prober.reset();
         for (id, entry) in self.table.entries_mut() {
             if let Some(suspicion) = &mut entry.suspicion {
@@ -168,7 +168,7 @@
     }
 
     /// A call to the instance failed: probe it next, unless it has been heard of since the last interval.
-    pub fn suspect(&mut self, now: MonoTime, id: &InstanceId) {
+    pub fn report_failed_call(&mut self, now: MonoTime, id: &InstanceId) {
         let interval = self.interval();
         let Some(entry) = self.table.get(id) else {
             return;
@@ -329,7 +329,7 @@
     }
 
     /// Builds a message. `about` is a member whose record goes first, because the receiver has to know it.
-    pub(super) fn message(&mut self, kind: Kind, about: Option<&InstanceId>) -> Message {
+    pub(super) fn message(&mut self, kind: MessageKind, about: Option<&InstanceId>) -> Message {
         let room = self.cfg.max_changes.max(1);
         let claim = about.and_then(|id| Some(self.table.get(id)?.claim_to_refute().clone()));
         let mut changes: Vec<Record> = claim.into_iter().collect();
@@ -337,7 +337,7 @@
         for id in self.queue.take(room - changes.len(), &except) {
             changes.extend(self.table.get(&id).map(|e| e.record.clone()));
         }
-        let is_ack = matches!(kind, Kind::Ack { .. });
+        let is_ack = matches!(kind, MessageKind::Ack { .. });
         if changes.len() < room && !is_ack {
             let filler = self.next_filler();
             changes.extend(filler.filter(|f| changes.iter().all(|c| c.member.id != f.member.id)));
@@ -364,7 +364,7 @@
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
-        kind: Kind,
+        kind: MessageKind,
         about: Option<&InstanceId>,
     ) -> Outgoing {
         let message = self.message(kind, about);
--- a/crates/tc-membership/src/membership/message.rs
+++ b/crates/tc-membership/src/membership/message.rs
@@ -8,8 +8,8 @@
 
 /// What a message asks or tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Answer with an [`Kind::Ack`] of the same nonce.
+pub enum MessageKind {
+    /// Answer with an [`MessageKind::Ack`] of the same nonce.
     Probe {
         /// Matches the answer to the probe.
         nonce: u64,
@@ -24,7 +24,7 @@
         subject: InstanceId,
     },
     /// Probe the subject in the sender's place and pass on its answer.
-    Indirect {
+    IndirectProbe {
         /// The nonce to use.
         nonce: u64,
         /// Whom to probe.
@@ -40,7 +40,7 @@
     /// What the sender says of itself.
     pub from: Record,
     /// What it asks or tells.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// What it knows of others; at most `max_changes` records.
     pub changes: Vec<Record>,
 }
--- a/crates/tc-membership/src/membership/mod.rs
+++ b/crates/tc-membership/src/membership/mod.rs
@@ -19,5 +19,5 @@
 
 pub use config::MembershipConfig;
 pub use machine::Membership;
-pub use message::{Kind, Message, Outgoing};
+pub use message::{Message, MessageKind, Outgoing};
 pub use record::Record;
--- a/crates/tc-membership/src/membership/receive.rs
+++ b/crates/tc-membership/src/membership/receive.rs
@@ -2,7 +2,7 @@
 
 use tc_protocol::{InstanceId, MonoTime};
 
-use super::{Kind, Membership, Message, Outgoing, Record};
+use super::{Membership, Message, MessageKind, Outgoing, Record};
 
 impl Membership {
     /// Takes up a message and returns the answers to send.
@@ -21,9 +21,9 @@
         if self.me.refutation != refutation {
             // The accusation is on its way to all; so must the refutation be, or it comes too late for some.
             if out.is_empty() {
-                out.push(self.send(from.member.fleet_address, Kind::Announcement, None));
+                out.push(self.send(from.member.fleet_address, MessageKind::Announcement, None));
             }
-            out.extend(self.announce(self.cfg.indirect, None));
+            out.extend(self.announce(self.cfg.fanout, None));
         }
         out
     }
@@ -44,29 +44,29 @@
         let from = &message.from.member;
         let accused = self.accuses_sender(&message.from).then_some(&from.id);
         let reply = match &message.kind {
-            Kind::Probe { nonce, .. } => Some(self.ack(*nonce)),
-            Kind::Indirect { nonce, subject } if *subject == self.me.member.id => {
+            MessageKind::Probe { nonce, .. } => Some(self.ack(*nonce)),
+            MessageKind::IndirectProbe { nonce, subject } if *subject == self.me.member.id => {
                 Some(self.ack(*nonce))
             }
-            Kind::Indirect { nonce, subject } => {
+            MessageKind::IndirectProbe { nonce, subject } => {
                 return self.probe_for(now, &message.from, *nonce, subject);
             }
-            Kind::Ack { nonce, subject } => {
+            MessageKind::Ack { nonce, subject } => {
                 self.prober.answered(*nonce, subject);
                 if let Some(origin) = self.prober.relayed(*nonce, subject) {
                     return vec![self.send(origin, message.kind.clone(), Some(subject))];
                 }
                 None
             }
-            Kind::Announcement => None,
+            MessageKind::Announcement => None,
         };
-        let reply = reply.or(accused.is_some().then_some(Kind::Announcement));
+        let reply = reply.or(accused.is_some().then_some(MessageKind::Announcement));
         let reply = reply.map(|kind| self.send(from.fleet_address, kind, accused));
         reply.into_iter().collect()
     }
 
-    fn ack(&self, nonce: u64) -> Kind {
-        Kind::Ack {
+    fn ack(&self, nonce: u64) -> MessageKind {
+        MessageKind::Ack {
             nonce,
             subject: self.me.member.id.clone(),
         }
@@ -97,7 +97,7 @@
         {
             return Vec::new();
         }
-        let kind = Kind::Probe {
+        let kind = MessageKind::Probe {
             nonce,
             relayed_for: Some(origin.member.id.clone()),
         };
--- a/crates/tc-membership/src/membership/tick.rs
+++ b/crates/tc-membership/src/membership/tick.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, RngExt, seq::IndexedRandom};
 use tc_protocol::{InstanceId, MemberState, MonoTime};
 
-use super::{Kind, Membership, Outgoing, Record, dissemination::Urgency};
+use super::{Membership, MessageKind, Outgoing, Record, dissemination::Urgency};
 
 /// Listed strangers probed per interval; a fresh instance with a long list must not flood the network.
 const STRANGERS_PER_INTERVAL: usize = 2;
@@ -62,7 +62,7 @@
         let to = entry.record.member.fleet_address;
         let accused = entry.claim_to_refute().accuses().then_some(&target);
         let nonce = self.prober.start(now, target.clone(), &mut self.rng);
-        let kind = Kind::Probe {
+        let kind = MessageKind::Probe {
             nonce,
             relayed_for: None,
         };
@@ -112,8 +112,8 @@
         }
         let mut out = Vec::new();
         for (nonce, target) in late {
-            for (_, to) in self.some_peers(self.cfg.indirect, Some(&target)) {
-                let kind = Kind::Indirect {
+            for (_, to) in self.some_peers(self.cfg.fanout, Some(&target)) {
+                let kind = MessageKind::IndirectProbe {
                     nonce,
                     subject: target.clone(),
                 };
@@ -123,7 +123,7 @@
                 continue;
             };
             let to = entry.record.member.fleet_address;
-            let kind = Kind::Probe {
+            let kind = MessageKind::Probe {
                 nonce,
                 relayed_for: None,
             };
@@ -201,7 +201,7 @@
         }
         self.changed = true;
         self.queue.push(&id, Urgency::Urgent, size);
-        self.announce(self.cfg.indirect, Some(&id))
+        self.announce(self.cfg.fanout, Some(&id))
     }
 
     /// Probes instances that may exist but are not known to live; nothing follows if they do not answer.
@@ -222,7 +222,7 @@
             let Some(to) = self.table.contact_address(&id) else {
                 continue;
             };
-            let kind = Kind::Probe {
+            let kind = MessageKind::Probe {
                 nonce: self.rng.next_u64(),
                 relayed_for: None,
             };
--- a/crates/tc-membership/src/membership/view.rs
+++ b/crates/tc-membership/src/membership/view.rs
@@ -23,7 +23,7 @@
 impl Membership {
     /// A digest of the members that are not dead, for comparing two lists without sending them; never 0.
     #[must_use]
-    pub fn view(&self) -> u64 {
+    pub fn view_digest(&self) -> u64 {
         let digest = self
             .live_members()
             .fold(0, |digest, m| digest ^ life_hash(m));
@@ -32,7 +32,7 @@
 
     /// A short hash of each member that is not dead: what another instance needs to know to tell only what is lacking.
     #[must_use]
-    pub fn known(&self) -> Vec<u32> {
+    pub fn member_hashes(&self) -> Vec<u32> {
         self.live_members().map(short_hash).collect()
     }
 
@@ -44,7 +44,7 @@
     /// a moment later. Roles are placed by strength, so that those who know the strongest agree on nearly all of them.
     ///
     /// Two members with one hash look like one; of 300 members that is one fleet in 100,000, and probes tell of both.
-    pub fn lacking(&mut self, known: &HashSet<u32>) -> Vec<Record> {
+    pub fn missing_records(&mut self, known: &HashSet<u32>) -> Vec<Record> {
         let others = self.table.entries().map(|(_, e)| &e.record);
         let all = others.chain([&self.me]);
         let lacks =
--- a/crates/tc-membership/src/order.rs
+++ b/crates/tc-membership/src/order.rs
@@ -32,7 +32,7 @@
     }
 
     /// Records a number seen in the plan.
-    pub fn saw(&mut self, fence: u64) {
+    pub fn observe(&mut self, fence: u64) {
         self.highest = self.highest.max(fence);
     }
 
--- a/crates/tc-membership/src/pause.rs
+++ b/crates/tc-membership/src/pause.rs
@@ -31,11 +31,11 @@
     /// use tc_membership::PauseDetector;
     /// use tc_protocol::MonoTime;
     /// let mut pauses = PauseDetector::new(Duration::from_millis(500));
-    /// assert_eq!(pauses.beat(MonoTime::from_millis(100)), None);
-    /// assert_eq!(pauses.beat(MonoTime::from_millis(600)), None);
-    /// assert_eq!(pauses.beat(MonoTime::from_millis(1_700)), Some(Duration::from_millis(1_100)));
+    /// assert_eq!(pauses.heartbeat(MonoTime::from_millis(100)), None);
+    /// assert_eq!(pauses.heartbeat(MonoTime::from_millis(600)), None);
+    /// assert_eq!(pauses.heartbeat(MonoTime::from_millis(1_700)), Some(Duration::from_millis(1_100)));
     /// ```
-    pub fn beat(&mut self, now: MonoTime) -> Option<Duration> {
+    pub fn heartbeat(&mut self, now: MonoTime) -> Option<Duration> {
         let last = self.last.replace(now)?;
         let gap = now.since(last);
         (gap > self.threshold).then_some(gap)
--- a/crates/tc-membership/src/placement.rs
+++ b/crates/tc-membership/src/placement.rs
@@ -75,11 +75,11 @@
 /// The `count` instances of a failure domain that watch the platform for a new configuration, best rank first.
 ///
 /// ```
-/// use tc_membership::watchers;
-/// assert!(watchers(&[], &"kl-a".into(), 2).is_empty());
+/// use tc_membership::config_watchers;
+/// assert!(config_watchers(&[], &"kl-a".into(), 2).is_empty());
 /// ```
 #[must_use]
-pub fn watchers<'a>(
+pub fn config_watchers<'a>(
     members: &'a [Member],
     domain: &FailureDomain,
     count: usize,
--- a/crates/tc-membership/src/plan.rs
+++ b/crates/tc-membership/src/plan.rs
@@ -16,7 +16,7 @@
 
 /// What is needed of one model.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ModelNeed {
+pub struct ModelRequirements {
     /// Version that engines should have loaded.
     pub version: String,
     /// Engines that must keep it loaded at least.
@@ -36,7 +36,7 @@
 
 /// One load to order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Load {
+pub struct ModelLoad {
     /// The engine.
     pub upstream: UpstreamId,
     /// The model to have loaded, as `name@version`.
@@ -49,7 +49,7 @@
     /// Model name by engine.
     pub desired: BTreeMap<UpstreamId, String>,
     /// Loads not yet reported as done, most urgent first.
-    pub pending: Vec<Load>,
+    pub pending: Vec<ModelLoad>,
     retry_at: BTreeMap<UpstreamId, MonoTime>,
 }
 
@@ -60,16 +60,16 @@
     ///
     /// ```
     /// use std::collections::BTreeMap;
-    /// use tc_membership::{EngineState, ModelNeed, Plan, plan};
+    /// use tc_membership::{EngineState, ModelRequirements, Plan, plan};
     /// use tc_protocol::MonoTime;
-    /// let need = ModelNeed { version: "2".into(), floor: 2, demand: 0.5 };
+    /// let need = ModelRequirements { version: "2".into(), floor: 2, demand: 0.5 };
     /// let engines = ["e1", "e2"].map(|id| EngineState { id: id.into(), loaded: vec![] });
     /// let plan = plan(&BTreeMap::from([("draft".into(), need)]), &engines, &Plan::default());
     /// assert_eq!(plan.next_loads(MonoTime::default(), 0, 1).len(), 1);
     /// assert!(plan.next_loads(MonoTime::default(), 1, 1).is_empty());
     /// ```
     #[must_use]
-    pub fn next_loads(&self, now: MonoTime, in_progress: usize, max: usize) -> Vec<Load> {
+    pub fn next_loads(&self, now: MonoTime, in_progress: usize, max: usize) -> Vec<ModelLoad> {
         self.pending
             .iter()
             .filter(|load| {
@@ -83,7 +83,7 @@
     }
 
     /// A load was ordered and failed, or was ordered and will take a while: leave it out for some time.
-    pub fn put_off(&mut self, now: MonoTime, upstream: &UpstreamId) {
+    pub fn defer(&mut self, now: MonoTime, upstream: &UpstreamId) {
         self.retry_at
             .insert(upstream.clone(), now.after(LOAD_RETRY));
     }
@@ -101,15 +101,15 @@
 ///
 /// ```
 /// use std::collections::BTreeMap;
-/// use tc_membership::{EngineState, ModelNeed, Plan, plan};
-/// let need = ModelNeed { version: "2".into(), floor: 1, demand: 0.5 };
+/// use tc_membership::{EngineState, ModelRequirements, Plan, plan};
+/// let need = ModelRequirements { version: "2".into(), floor: 1, demand: 0.5 };
 /// let engines = [EngineState { id: "e1".into(), loaded: vec![] }];
 /// let plan = plan(&BTreeMap::from([("draft".into(), need)]), &engines, &Plan::default());
 /// assert_eq!(plan.pending[0].model, "draft@2");
 /// ```
 #[must_use]
 pub fn plan(
-    models: &BTreeMap<String, ModelNeed>,
+    models: &BTreeMap<String, ModelRequirements>,
     engines: &[EngineState],
     previous: &Plan,
 ) -> Plan {
@@ -131,7 +131,7 @@
 
 /// Number of engines for each model; their sum is `engines` unless there is no model.
 fn targets<'a>(
-    models: &'a BTreeMap<String, ModelNeed>,
+    models: &'a BTreeMap<String, ModelRequirements>,
     engines: usize,
     previous: &Plan,
 ) -> BTreeMap<&'a str, usize> {
@@ -163,7 +163,7 @@
 
 /// Gives each engine a model: engines that have or should have had it keep it, up to its target; the rest fill up.
 fn assign(
-    models: &BTreeMap<String, ModelNeed>,
+    models: &BTreeMap<String, ModelRequirements>,
     engines: &[EngineState],
     previous: &Plan,
     mut targets: BTreeMap<&str, usize>,
@@ -218,10 +218,10 @@
 
 /// Loads still to be done: first for models that have fewest engines ready above their floor.
 fn pending(
-    models: &BTreeMap<String, ModelNeed>,
+    models: &BTreeMap<String, ModelRequirements>,
     engines: &[EngineState],
     desired: &BTreeMap<UpstreamId, String>,
-) -> Vec<Load> {
+) -> Vec<ModelLoad> {
     let mut ready: BTreeMap<&str, i64> = BTreeMap::new();
     let mut missing: Vec<(&EngineState, &str)> = Vec::new();
     let mut seen = BTreeSet::new();
@@ -245,7 +245,7 @@
             .unwrap_or_default();
         let (engine, name) = missing.remove(first);
         *ready.entry(name).or_default() += 1;
-        loads.push(Load {
+        loads.push(ModelLoad {
             upstream: engine.id.clone(),
             model: label(name, &models[name]),
         });
@@ -253,6 +253,6 @@
     loads
 }
 
-fn label(name: &str, need: &ModelNeed) -> String {
+fn label(name: &str, need: &ModelRequirements) -> String {
     format!("{name}@{}", need.version)
 }
--- a/crates/tc-membership/src/addresses.rs
+++ b/crates/tc-membership/src/shuffle_shard.rs
@@ -22,11 +22,11 @@
 /// `near` first, then those in its region. When an instance goes, one other takes its place.
 ///
 /// ```
-/// use tc_membership::addresses;
-/// assert!(addresses(&"lintas".into(), 1, 3, &[], &"kl-a".into()).is_empty());
+/// use tc_membership::shuffle_shard;
+/// assert!(shuffle_shard(&"lintas".into(), 1, 3, &[], &"kl-a".into()).is_empty());
 /// ```
 #[must_use]
-pub fn addresses<'a>(
+pub fn shuffle_shard<'a>(
     workspace: &WorkspaceName,
     weight: u32,
     shard_size: u32,
--- a/crates/tc-membership/src/store_source.rs
+++ b/crates/tc-membership/src/store_source.rs
@@ -61,17 +61,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceTiming {
     /// Time between two words of a source that has no news.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// A source that says nothing for so long is given up.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Age of a source's confirmation from which another source is chosen.
-    pub stale: Duration,
+    pub stale_after: Duration,
     /// Age of the newest confirmation from any source from which an instance reads the store itself.
-    pub patience: Duration,
+    pub watch_after: Duration,
     /// Age of its own confirmation from which the first watcher lists the store.
-    pub check_after: Duration,
-    /// Added to `check_after` for each hop from the first watcher, so that another instance lists only if the first cannot.
-    pub check_delay_per_hop: Duration,
+    pub list_after: Duration,
+    /// Added to `list_after` for each hop from the first watcher, so that another instance lists only if the first cannot.
+    pub list_delay_per_hop: Duration,
 }
 
 impl SourceTiming {
@@ -83,12 +83,12 @@
     #[must_use]
     pub fn within(bound: Duration) -> Self {
         Self {
-            beat: bound.mul_f64(0.125),
-            silence: bound.mul_f64(0.3),
-            stale: bound.mul_f64(0.44),
-            patience: bound.mul_f64(0.5),
-            check_after: bound.mul_f64(0.36),
-            check_delay_per_hop: bound.mul_f64(0.02),
+            heartbeat_interval: bound.mul_f64(0.125),
+            silence_timeout: bound.mul_f64(0.3),
+            stale_after: bound.mul_f64(0.44),
+            watch_after: bound.mul_f64(0.5),
+            list_after: bound.mul_f64(0.36),
+            list_delay_per_hop: bound.mul_f64(0.02),
         }
     }
 }
@@ -110,8 +110,8 @@
 /// let start = MonoTime::from_millis(1_000);
 /// let timing = SourceTiming::within(Duration::from_secs(2));
 /// let source = StoreSource::new("kl-a-1".into(), timing, start);
-/// assert!(!source.watches(start), "others may be about to tell");
-/// assert!(source.watches(start.after(Duration::from_millis(1_001))));
+/// assert!(!source.should_watch(start), "others may be about to tell");
+/// assert!(source.should_watch(start.after(Duration::from_millis(1_001))));
 /// ```
 #[derive(Clone, Debug)]
 pub struct StoreSource {
@@ -147,7 +147,7 @@
     }
 
     /// Takes up who there is.
-    pub fn members_changed(&mut self, members: &[Member]) {
+    pub fn update_members(&mut self, members: &[Member]) {
         let watchers = store_watchers(members);
         let my_place = watchers.iter().position(|w| w.id == self.me);
         self.watcher_place = my_place;
@@ -171,7 +171,7 @@
     }
 
     /// From now on this instance knows the members as well as others do.
-    pub fn settled(&mut self) {
+    pub fn mark_settled(&mut self) {
         self.is_settled = true;
     }
 
@@ -179,10 +179,10 @@
     pub fn source(&mut self, now: MonoTime) -> Option<InstanceId> {
         if let Some(current) = &self.current {
             let id = current.id.clone();
-            if now.since(current.heard) > self.timing.silence {
-                self.broke(now, &id);
+            if now.since(current.heard) > self.timing.silence_timeout {
+                self.source_failed(now, &id);
             } else if self.is_stale(now, current.confirmed) {
-                self.avoid(now, &id, self.timing.beat);
+                self.avoid(now, &id, self.timing.heartbeat_interval);
             } else {
                 return Some(id);
             }
@@ -201,11 +201,11 @@
     /// Whether a source with this confirmation is to be replaced. A watcher keeps following the next one, however old its
     /// confirmation is.
     fn is_stale(&self, now: MonoTime, confirmed: MonoTime) -> bool {
-        self.watcher_place.is_none() && now.since(confirmed) >= self.timing.stale
+        self.watcher_place.is_none() && now.since(confirmed) >= self.timing.stale_after
     }
 
     /// A source sent a message; its state is confirmed as of `confirmed`.
-    pub fn heard(&mut self, now: MonoTime, from: &InstanceId, confirmed: MonoTime) {
+    pub fn note_confirmation(&mut self, now: MonoTime, from: &InstanceId, confirmed: MonoTime) {
         let Some(current) = self.current.as_mut().filter(|c| c.id == *from) else {
             return;
         };
@@ -213,7 +213,7 @@
         current.confirmed = confirmed;
         self.confirmed = self.confirmed.max(confirmed);
         if self.is_stale(now, confirmed) {
-            self.avoid(now, from, self.timing.beat);
+            self.avoid(now, from, self.timing.heartbeat_interval);
         }
     }
 
@@ -221,13 +221,16 @@
     /// within a beat, this instance reads the store itself.
     pub fn resumed(&mut self, now: MonoTime) {
         self.current = None;
-        let patience_left = self.timing.patience.saturating_sub(self.timing.beat);
+        let patience_left = self
+            .timing
+            .watch_after
+            .saturating_sub(self.timing.heartbeat_interval);
         self.confirmed = self.confirmed.min(now.before(patience_left));
     }
 
     /// A source cannot be reached, ended, or was silent: another is taken, and this one not for a while.
-    pub fn broke(&mut self, now: MonoTime, from: &InstanceId) {
-        self.avoid(now, from, self.timing.silence);
+    pub fn source_failed(&mut self, now: MonoTime, from: &InstanceId) {
+        self.avoid(now, from, self.timing.silence_timeout);
     }
 
     fn avoid(&mut self, now: MonoTime, source: &InstanceId, time: Duration) {
@@ -237,9 +240,9 @@
 
     /// Whether this instance watches the store itself.
     #[must_use]
-    pub fn watches(&self, now: MonoTime) -> bool {
+    pub fn should_watch(&self, now: MonoTime) -> bool {
         let is_watcher = self.watcher_place.is_some() && self.is_settled;
-        is_watcher || now.since(self.confirmed) >= self.timing.patience
+        is_watcher || now.since(self.confirmed) >= self.timing.watch_after
     }
 
     /// Age of its confirmation from which this instance, while it watches, lists the store as well.
@@ -247,27 +250,27 @@
     /// A watch that is never answered looks like a store without changes. The list of the first watcher confirms the state
     /// of all instances; each of the others waits longer by its hops from the first, so that it lists only if that fails.
     #[must_use]
-    pub fn check_after(&self) -> Duration {
+    pub fn list_after(&self) -> Duration {
         let hops = match self.watcher_place {
             Some(0) => 0,
             // Each watcher follows the next, and the last one follows the first.
             Some(place) => WATCHERS - place,
             None => WATCHERS,
         };
-        self.timing.check_after + self.timing.check_delay_per_hop * hops as u32
+        self.timing.list_after + self.timing.list_delay_per_hop * hops as u32
     }
 
-    /// How long [`StoreSource::source`] and [`StoreSource::watches`] may go unasked.
+    /// How long [`StoreSource::source`] and [`StoreSource::should_watch`] may go unasked.
     #[must_use]
-    pub fn look_again(&self, now: MonoTime) -> Duration {
-        let patience_ends = self.confirmed.after(self.timing.patience);
+    pub fn next_check_in(&self, now: MonoTime) -> Duration {
+        let patience_ends = self.confirmed.after(self.timing.watch_after);
         let source = self.current.as_ref();
-        let stale_from = source.map(|source| source.confirmed.after(self.timing.stale));
+        let stale_from = source.map(|source| source.confirmed.after(self.timing.stale_after));
         let due = [Some(patience_ends), stale_from].into_iter().flatten();
         let upcoming = due.map(|at| at.since(now)).filter(|left| !left.is_zero());
         upcoming
             .min()
-            .unwrap_or(self.timing.beat)
-            .min(self.timing.beat)
+            .unwrap_or(self.timing.heartbeat_interval)
+            .min(self.timing.heartbeat_interval)
     }
 }
--- a/crates/tc-membership/src/view_sync.rs
+++ b/crates/tc-membership/src/view_sync.rs
@@ -26,13 +26,13 @@
 
 /// What a comparison brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Compared {
+pub enum ComparisonOutcome {
     /// The other's list has the same members.
     Same,
     /// It differs, and told something that was not known here.
-    News,
+    Updated,
     /// It differs, but told nothing new: the other knows less, or what it tells is disputed.
-    NoNews,
+    Unchanged,
     /// The other did not answer.
     NoAnswer,
 }
@@ -40,21 +40,21 @@
 /// The times of comparisons.
 ///
 /// ```
-/// use tc_membership::{Compared, ViewSync};
+/// use tc_membership::{ComparisonOutcome, ViewSync};
 /// use tc_protocol::MonoTime;
 /// let start = MonoTime::from_millis(1_000);
 /// let mut sync = ViewSync::new(start, 0.5);
 /// while !sync.is_settled() {
-///     sync.compared(sync.next(), Compared::Same, 0.5);
+///     sync.record(sync.next_comparison(), ComparisonOutcome::Same, 0.5);
 /// }
-/// let last = sync.next();
-/// sync.compared(last, Compared::Same, 0.5);
-/// let longer = sync.next().since(last);
-/// sync.compared(sync.next(), Compared::News, 0.5);
-/// sync.compared(sync.next(), Compared::News, 0.5);
-/// let shorter = sync.next();
-/// sync.compared(shorter, Compared::News, 0.5);
-/// assert!(longer > sync.next().since(shorter), "lists that agree are compared less often");
+/// let last = sync.next_comparison();
+/// sync.record(last, ComparisonOutcome::Same, 0.5);
+/// let longer = sync.next_comparison().since(last);
+/// sync.record(sync.next_comparison(), ComparisonOutcome::Updated, 0.5);
+/// sync.record(sync.next_comparison(), ComparisonOutcome::Updated, 0.5);
+/// let shorter = sync.next_comparison();
+/// sync.record(shorter, ComparisonOutcome::Updated, 0.5);
+/// assert!(longer > sync.next_comparison().since(shorter), "lists that agree are compared less often");
 /// ```
 #[derive(Clone, Debug)]
 pub struct ViewSync {
@@ -65,7 +65,7 @@
 }
 
 impl ViewSync {
-    /// `chance` is between 0 and 1, as in [`ViewSync::compared`].
+    /// `chance` is between 0 and 1, as in [`ViewSync::record`].
     #[must_use]
     pub fn new(now: MonoTime, chance: f64) -> Self {
         let mut sync = Self {
@@ -79,7 +79,7 @@
 
     /// When to compare next.
     #[must_use]
-    pub fn next(&self) -> MonoTime {
+    pub fn next_comparison(&self) -> MonoTime {
         self.next
     }
 
@@ -90,19 +90,19 @@
     }
 
     /// Takes up what a comparison brought; `chance`, between 0 and 1, varies the wait until the next.
-    pub fn compared(&mut self, now: MonoTime, outcome: Compared, chance: f64) {
+    pub fn record(&mut self, now: MonoTime, outcome: ComparisonOutcome, chance: f64) {
         if !self.is_settled() {
             match outcome {
-                Compared::Same => self.same += 1,
-                Compared::News => self.same = 0,
-                Compared::NoNews | Compared::NoAnswer => {}
+                ComparisonOutcome::Same => self.same += 1,
+                ComparisonOutcome::Updated => self.same = 0,
+                ComparisonOutcome::Unchanged | ComparisonOutcome::NoAnswer => {}
             }
         }
         self.wait = match outcome {
             _ if !self.is_settled() => FIRST,
-            Compared::News | Compared::NoAnswer => FIRST,
-            Compared::NoNews => (self.wait * 2).min(LONGEST_UNLIKE),
-            Compared::Same => (self.wait * 2).min(LONGEST),
+            ComparisonOutcome::Updated | ComparisonOutcome::NoAnswer => FIRST,
+            ComparisonOutcome::Unchanged => (self.wait * 2).min(LONGEST_UNLIKE),
+            ComparisonOutcome::Same => (self.wait * 2).min(LONGEST),
         };
         self.schedule(now, chance);
     }
--- a/crates/tc-membership/tests/membership_failures.rs
+++ b/crates/tc-membership/tests/membership_failures.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use support::{Net, id, list, member};
-use tc_membership::{Kind, Membership, MembershipConfig, Message, Record};
+use tc_membership::{Membership, MembershipConfig, Message, MessageKind, Record};
 use tc_protocol::{
     Incarnation,
     MemberState::{self, Alive, Dead, Leaving, Suspect},
@@ -28,7 +28,7 @@
 fn announcement(from: usize, changes: Vec<Record>) -> Message {
     Message {
         from: record(from, Alive, 0),
-        kind: Kind::Announcement,
+        kind: MessageKind::Announcement,
         changes,
     }
 }
@@ -117,11 +117,11 @@
     // Cause: timers that ran out during the pause are acted on, though answers could not be read.
     let paused = MonoTime::from_millis(1);
     let mut machine = Membership::new(MembershipConfig::default(), member(0, 1), 1);
-    machine.learn(paused, &[record(3, Alive, 0)]);
+    machine.merge_records(paused, &[record(3, Alive, 0)]);
     assert_eq!(machine.tick(paused)[0].to, member(3, 1).fleet_address);
-    machine.learn(paused, &[record(1, Suspect, 0)]);
+    machine.merge_records(paused, &[record(1, Suspect, 0)]);
     let awake = paused.after(SECOND * 30);
-    machine.woke(awake);
+    machine.resumed(awake);
     let probes = machine.tick(awake);
     assert_eq!(state_at(&machine, 1), Some(Suspect));
     assert_eq!(state_at(&machine, 3), Some(Alive));
@@ -247,14 +247,14 @@
     // Cause: the accusation is never sent to the accused.
     for state in [Suspect, Dead] {
         for kind in [
-            Kind::Probe {
+            MessageKind::Probe {
                 nonce: 1,
                 relayed_for: None,
             },
-            Kind::Announcement,
+            MessageKind::Announcement,
         ] {
             let mut machine = Membership::new(MembershipConfig::default(), member(0, 1), 1);
-            machine.learn(MonoTime(1), &[record(1, state, 0)]);
+            machine.merge_records(MonoTime(1), &[record(1, state, 0)]);
             let message = Message {
                 kind,
                 ..announcement(1, vec![])
@@ -273,7 +273,7 @@
     let mut net = pair();
     let now = net.now;
     let machine = &mut net.nodes[0].machine;
-    machine.listed(now, &list(5, [(2, ListedState::Live)].into_iter()));
+    machine.apply_instance_list(now, &list(5, [(2, ListedState::Live)].into_iter()));
     assert_eq!(state_at(machine, 1), Some(Alive), "absence kills nobody");
     let probed = machine.tick(now);
     assert!(
@@ -281,9 +281,9 @@
         "a listed stranger is probed"
     );
     let leaving = list(6, [(1, ListedState::Leaving)].into_iter());
-    machine.listed(now, &leaving);
+    machine.apply_instance_list(now, &leaving);
     assert_eq!(state_at(machine, 1), Some(Leaving));
-    machine.listed(now, &list(5, [(1, ListedState::Live)].into_iter()));
+    machine.apply_instance_list(now, &list(5, [(1, ListedState::Live)].into_iter()));
     assert_eq!(
         state_at(machine, 1),
         Some(Leaving),
@@ -291,8 +291,8 @@
     );
     let mut next_life = record(1, Alive, 0);
     next_life.member.incarnation = Incarnation(2);
-    machine.learn(now, &[next_life]);
-    machine.listed(now, &leaving);
+    machine.merge_records(now, &[next_life]);
+    machine.apply_instance_list(now, &leaving);
     assert_eq!(
         state_at(machine, 1),
         Some(Alive),
@@ -309,8 +309,8 @@
     let mut other = Membership::new(MembershipConfig::default(), member(1, 1), 2);
     let mut replacement = record(0, Alive, 0);
     replacement.member.incarnation = Incarnation(2);
-    other.learn(MonoTime(1), &[replacement]);
-    old.learn(MonoTime(1), &other.records()[1..]);
+    other.merge_records(MonoTime(1), &[replacement]);
+    old.merge_records(MonoTime(1), &other.records()[1..]);
     let probe = old.tick(MonoTime(1));
     let answer = other.handle(MonoTime(1), &probe[0].message);
     old.handle(MonoTime(1), &answer[0].message);
--- a/crates/tc-membership/tests/membership_fuzz.rs
+++ b/crates/tc-membership/tests/membership_fuzz.rs
@@ -57,10 +57,10 @@
             };
         }
         assert!(
-            node.spread.in_force() >= seen.in_force,
+            node.spread.active_revision() >= seen.in_force,
             "revision went back"
         );
-        seen.in_force = node.spread.in_force();
+        seen.in_force = node.spread.active_revision();
         for record in node.machine.records() {
             let id = record.member.id.clone();
             if let Some(before) = seen.records.insert(id, record.clone()) {
@@ -117,11 +117,15 @@
         }
         Step::FailedCall(n, other) => {
             let now = net.now;
-            net.nodes[at(n)].machine.suspect(now, &id(at(other)));
+            net.nodes[at(n)]
+                .machine
+                .report_failed_call(now, &id(at(other)));
         }
         Step::Listed(n) => {
             let now = net.now;
-            net.nodes[at(n)].machine.listed(now, &all_listed(1));
+            net.nodes[at(n)]
+                .machine
+                .apply_instance_list(now, &all_listed(1));
         }
     }
 }
@@ -137,13 +141,13 @@
     let running: Vec<_> = net.nodes.iter().filter(|n| n.up).collect();
     let newest = running
         .iter()
-        .map(|n| n.spread.in_force())
+        .map(|n| n.spread.active_revision())
         .max()
         .unwrap_or_default();
     for node in running {
         assert_eq!(live(&node.machine.members()), live(&truth));
         assert_eq!(
-            node.spread.in_force(),
+            node.spread.active_revision(),
             newest,
             "a revision is not in force everywhere"
         );
--- a/crates/tc-membership/tests/placement.rs
+++ b/crates/tc-membership/tests/placement.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use support::{DOMAINS, id, member};
-use tc_membership::{addresses, home_of, watchers};
+use tc_membership::{config_watchers, home_of, shuffle_shard};
 use tc_protocol::{
     FailureDomain, InstanceId, Member,
     MemberState::{self, Alive, Dead, Leaving, Suspect},
@@ -82,11 +82,11 @@
 fn watchers_are_of_the_domain_and_replaced_one_by_one() {
     let mut members = fleet(&[Alive; 16]);
     let domain: FailureDomain = "kl-1".into();
-    let before = ids(&watchers(&members, &domain, 2));
+    let before = ids(&config_watchers(&members, &domain, 2));
     assert_eq!(before.len(), 2);
     let lost = before.first().unwrap();
     members.iter_mut().find(|m| m.id == *lost).unwrap().state = Leaving;
-    let after = watchers(&members, &domain, 2);
+    let after = config_watchers(&members, &domain, 2);
     assert!(after.iter().all(|m| m.failure_domain == domain));
     assert_eq!(ids(&after).intersection(&before).count(), 1);
 }
@@ -116,7 +116,7 @@
     ];
     for (name, states, weight, size, expected) in cases {
         let members = fleet(&states);
-        let shard = addresses(&"lintas".into(), weight, size, &members, &near);
+        let shard = shuffle_shard(&"lintas".into(), weight, size, &members, &near);
         assert_eq!(ids(&shard).len(), expected, "{name}");
         let first_far = shard.iter().position(|m| m.failure_domain != near);
         let last_near = shard.iter().rposition(|m| m.failure_domain == near);
@@ -133,7 +133,7 @@
     let near: FailureDomain = "kl-0".into();
     let mut shards = BTreeSet::new();
     for workspace in (0..KEYS).map(|k| WorkspaceName::from(format!("w{k}"))) {
-        let shard = ids(&addresses(&workspace, 1, 4, &before, &near));
+        let shard = ids(&shuffle_shard(&workspace, 1, 4, &before, &near));
         let domains: BTreeSet<_> = before
             .iter()
             .filter(|m| shard.contains(&m.id))
@@ -142,13 +142,13 @@
         assert_eq!(domains.len(), DOMAINS, "spread over the failure domains");
         assert_eq!(
             shard,
-            ids(&addresses(&workspace, 1, 4, &before, &"kl-3".into())),
+            ids(&shuffle_shard(&workspace, 1, 4, &before, &"kl-3".into())),
             "same wherever asked"
         );
         for lost in 0..24 {
             let mut after = before.clone();
             after[lost].state = Suspect;
-            let kept = ids(&addresses(&workspace, 1, 4, &after, &near))
+            let kept = ids(&shuffle_shard(&workspace, 1, 4, &after, &near))
                 .intersection(&shard)
                 .count();
             assert_eq!(kept, 4 - usize::from(shard.contains(&id(lost))));
--- a/crates/tc-membership/tests/plan.rs
+++ b/crates/tc-membership/tests/plan.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use tc_membership::{EngineState, ModelNeed, Plan, plan};
+use tc_membership::{EngineState, ModelRequirements, Plan, plan};
 use tc_protocol::MonoTime;
 
 fn at(millis: u64) -> MonoTime {
     MonoTime::from_millis(millis)
 }
 
-fn need(floor: u32, demand: f64) -> ModelNeed {
-    ModelNeed {
+fn need(floor: u32, demand: f64) -> ModelRequirements {
+    ModelRequirements {
         version: "1".into(),
         floor,
         demand,
@@ -30,7 +30,10 @@
     loaded.iter().enumerate().map(engine).collect()
 }
 
-fn needs(draft: ModelNeed, status: ModelNeed) -> BTreeMap<String, ModelNeed> {
+fn needs(
+    draft: ModelRequirements,
+    status: ModelRequirements,
+) -> BTreeMap<String, ModelRequirements> {
     BTreeMap::from([("draft".into(), draft), ("status".into(), status)])
 }
 
@@ -102,7 +105,7 @@
     assert_eq!(plan.next_loads(at(0), 1, 2).len(), 1);
     assert_eq!(plan.next_loads(at(0), 2, 2).len(), 0);
     let first = plan.pending[0].upstream.clone();
-    plan.put_off(at(0), &first);
+    plan.defer(at(0), &first);
     assert_ne!(plan.next_loads(at(1), 0, 1)[0].upstream, first);
     assert_eq!(plan.next_loads(at(60_000), 0, 1)[0].upstream, first);
 }
--- a/crates/tc-membership/tests/store_source/fleet.rs
+++ b/crates/tc-membership/tests/store_source/fleet.rs
@@ -66,8 +66,8 @@
         let members = members(count);
         let sources = (0..count).map(|index| {
             let mut source = StoreSource::new(id(index), SourceTiming::within(BOUND), now);
-            source.members_changed(&members);
-            source.settled();
+            source.update_members(&members);
+            source.mark_settled();
             source
         });
         Self {
@@ -82,7 +82,7 @@
 
     pub(crate) fn watchers(&self) -> Vec<usize> {
         let all = 0..self.sources.len();
-        all.filter(|i| self.states[*i] != State::Silent && self.sources[*i].watches(self.now))
+        all.filter(|i| self.states[*i] != State::Silent && self.sources[*i].should_watch(self.now))
             .collect()
     }
 
@@ -109,13 +109,13 @@
     fn read_store(&mut self, index: usize) {
         let now = self.now;
         let state = self.states[index];
-        if state == State::TurnedAway || !self.sources[index].watches(now) {
+        if state == State::TurnedAway || !self.sources[index].should_watch(now) {
             return;
         }
         if state == State::Well {
             self.current[index] = now;
         }
-        if now.since(self.confirmed[index]) >= self.sources[index].check_after() {
+        if now.since(self.confirmed[index]) >= self.sources[index].list_after() {
             self.current[index] = now;
             self.confirmed[index] = now;
             self.lists += 1;
@@ -132,7 +132,7 @@
             return;
         }
         let confirmed = self.confirmed[source];
-        self.sources[index].heard(now, &from, confirmed);
+        self.sources[index].note_confirmation(now, &from, confirmed);
         self.current[index] = self.current[index].max(self.current[source]);
         self.confirmed[index] = self.confirmed[index].max(confirmed);
     }
@@ -144,7 +144,7 @@
             .map(member)
             .collect();
         for source in &mut self.sources {
-            source.members_changed(&left);
+            source.update_members(&left);
         }
     }
 
--- a/crates/tc-membership/tests/store_source/roles.rs
+++ b/crates/tc-membership/tests/store_source/roles.rs
@@ -83,10 +83,10 @@
 fn an_instance_that_does_not_know_the_others_yet_does_not_watch() {
     let now = MonoTime::from_millis(1_000);
     let mut source = StoreSource::new(id(0), SourceTiming::within(BOUND), now);
-    source.members_changed(&members(3));
-    assert!(!source.watches(now));
-    source.settled();
-    assert!(source.watches(now));
+    source.update_members(&members(3));
+    assert!(!source.should_watch(now));
+    source.mark_settled();
+    assert!(source.should_watch(now));
 }
 
 /// Symptom: a third of the fleet learns of a change late. Sequence: one of those that watch is cut off without a reset.
@@ -124,17 +124,17 @@
     let others = (0..60).filter(|i| !watchers.contains(i));
     for other in others.clone() {
         assert!(fleet.now.since(fleet.current[other]) <= STEP * 2, "{other}");
-        assert!(!fleet.sources[other].watches(fleet.now), "{other}");
+        assert!(!fleet.sources[other].should_watch(fleet.now), "{other}");
     }
     fleet.states[watchers[3]] = State::TurnedAway;
     fleet.run(BOUND / 2 + STEP * 2);
     for other in others.clone() {
-        assert!(fleet.sources[other].watches(fleet.now), "{other}");
+        assert!(fleet.sources[other].should_watch(fleet.now), "{other}");
     }
     fleet.states[watchers[0]] = State::Well;
     fleet.run(BOUND / 2);
     let still: Vec<usize> = others
-        .filter(|i| fleet.sources[*i].watches(fleet.now))
+        .filter(|i| fleet.sources[*i].should_watch(fleet.now))
         .collect();
     assert_eq!(still, Vec::<usize>::new(), "they have a source again");
 }
@@ -150,10 +150,10 @@
     for _ in 0..watchers.len() {
         for watcher in &watchers {
             let mut source = StoreSource::new(watcher.id.clone(), SourceTiming::within(BOUND), now);
-            source.members_changed(&members);
-            source.settled();
+            source.update_members(&members);
+            source.mark_settled();
             let from = source.source(now).expect("there are others that watch");
-            source.heard(now, &from, MonoTime::default());
+            source.note_confirmation(now, &from, MonoTime::default());
             assert_eq!(
                 source.source(now),
                 Some(from.clone()),
--- a/crates/tc-membership/tests/support/mod.rs
+++ b/crates/tc-membership/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
-use tc_membership::{Membership, MembershipConfig, Message, Outgoing, Pull, Spread};
+use tc_membership::{ConfigPuller, Membership, MembershipConfig, Message, Outgoing, Pull};
 use tc_protocol::{
     Incarnation, InstanceId, Member, MemberState, MonoTime,
     wire::{InstanceList, ListedInstance, ListedState},
@@ -59,7 +59,7 @@
 
 pub(crate) struct Node {
     pub(crate) machine: Membership,
-    pub(crate) spread: Spread,
+    pub(crate) spread: ConfigPuller,
     pub(crate) up: bool,
     pub(crate) left: bool,
     pub(crate) incarnation: u64,
@@ -119,7 +119,7 @@
         let mut net = Self::new(count, cfg, seed);
         let all: Vec<_> = net.nodes.iter().flat_map(|n| n.machine.records()).collect();
         for index in 0..count {
-            net.nodes[index].machine.learn(net.now, &all);
+            net.nodes[index].machine.merge_records(net.now, &all);
         }
         net
     }
@@ -128,7 +128,7 @@
         let seed = self.rng.random();
         Node {
             machine: Membership::new(self.cfg.clone(), member(index, incarnation), seed),
-            spread: Spread::new(seed),
+            spread: ConfigPuller::new(seed),
             up: true,
             left: false,
             incarnation,
@@ -143,7 +143,9 @@
             (0..self.nodes.len()).map(|i| (i, ListedState::Live)),
         );
         for index in 0..self.nodes.len() {
-            self.nodes[index].machine.listed(self.now, &list);
+            self.nodes[index]
+                .machine
+                .apply_instance_list(self.now, &list);
             self.schedule_wake(index);
         }
     }
@@ -156,7 +158,9 @@
     pub(crate) fn restart(&mut self, index: usize, list: &InstanceList) {
         let incarnation = self.nodes[index].incarnation + 1;
         self.nodes[index] = self.fresh(index, incarnation);
-        self.nodes[index].machine.listed(self.now, list);
+        self.nodes[index]
+            .machine
+            .apply_instance_list(self.now, list);
         self.schedule_wake(index);
     }
 
@@ -177,7 +181,7 @@
     }
 
     pub(crate) fn publish(&mut self, index: usize, revision: u64) {
-        if self.runs(index) && self.nodes[index].spread.applied(revision) {
+        if self.runs(index) && self.nodes[index].spread.activate(revision) {
             self.nodes[index].machine.set_revision(revision);
         }
     }
@@ -245,7 +249,7 @@
             Event::Pulled(_, from) => self.pulled(index, &from),
             Event::Resume(_) => {
                 self.nodes[index].paused_until = None;
-                self.nodes[index].machine.woke(self.now);
+                self.nodes[index].machine.resumed(self.now);
                 self.schedule_wake(index);
             }
         }
@@ -254,11 +258,12 @@
     fn hear_revision(&mut self, index: usize, message: &Message) {
         let (now, node) = (self.now, &mut self.nodes[index]);
         let from = &message.from;
-        node.spread.heard(now, &from.member.id, from.revision);
+        node.spread
+            .note_peer_revision(now, &from.member.id, from.revision);
         if let (revision, Some(holder)) = node.machine.newest_revision() {
-            node.spread.heard(now, &holder, revision);
+            node.spread.note_peer_revision(now, &holder, revision);
         }
-        if let Pull::From(peer) = node.spread.next_pull(now, false, false) {
+        if let Pull::Peer(peer) = node.spread.next_pull(now, false, false) {
             self.push(now.after(PULL_TIME), Event::Pulled(index, peer));
         }
     }
@@ -267,10 +272,10 @@
         let Some(peer) = (0..self.nodes.len()).find(|i| id(*i) == *from) else {
             return;
         };
-        let revision = self.nodes[peer].spread.in_force();
+        let revision = self.nodes[peer].spread.active_revision();
         let reachable = self.runs(peer) && self.links.side[peer] == self.links.side[index];
         let node = &mut self.nodes[index];
-        if reachable && node.spread.applied(revision) {
+        if reachable && node.spread.activate(revision) {
             node.machine.set_revision(revision);
         } else {
             node.spread.pull_failed(self.now, from);
--- a/crates/tc-membership/tests/view_sync.rs
+++ b/crates/tc-membership/tests/view_sync.rs
@@ -9,7 +9,7 @@
 
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use support::{Net, id};
-use tc_membership::{Compared, MembershipConfig, ViewSync, home_of, store_watchers};
+use tc_membership::{ComparisonOutcome, MembershipConfig, ViewSync, home_of, store_watchers};
 use tc_protocol::{InstanceId, Member, MonoTime};
 
 /// How long the processes of a fleet take to start after each other.
@@ -51,7 +51,7 @@
             self.net.run(STEP, |_, _, _| {});
             for index in 0..self.syncs.len() {
                 self.introduce(index);
-                if compares && self.syncs[index].next() <= self.net.now {
+                if compares && self.syncs[index].next_comparison() <= self.net.now {
                     self.compare(index);
                 }
             }
@@ -77,20 +77,24 @@
             others = few;
         }
         let outcome = if others.is_empty() {
-            Compared::NoAnswer
+            ComparisonOutcome::NoAnswer
         } else {
             let other = &others[self.rng.random_range(0..others.len())].id;
             let other = (0..self.syncs.len()).find(|i| id(*i) == *other);
             self.exchange(index, other.expect("only members of the test are known"))
         };
         let (now, chance) = (self.net.now, self.rng.random());
-        self.syncs[index].compared(now, outcome, chance);
+        self.syncs[index].record(now, outcome, chance);
     }
 
-    fn exchange(&mut self, asker: usize, other: usize) -> Compared {
+    fn exchange(&mut self, asker: usize, other: usize) -> ComparisonOutcome {
         let now = self.net.now;
-        let view = self.net.nodes[asker].machine.view();
-        let known: HashSet<u32> = self.net.nodes[asker].machine.known().into_iter().collect();
+        let view = self.net.nodes[asker].machine.view_digest();
+        let known: HashSet<u32> = self.net.nodes[asker]
+            .machine
+            .member_hashes()
+            .into_iter()
+            .collect();
         let own: Vec<_> = self.net.nodes[asker]
             .machine
             .records()
@@ -98,15 +102,15 @@
             .filter(|record| record.member.id == id(asker))
             .collect();
         let other = &mut self.net.nodes[other].machine;
-        other.learn(now, &own);
-        if other.view() == view {
-            return Compared::Same;
+        other.merge_records(now, &own);
+        if other.view_digest() == view {
+            return ComparisonOutcome::Same;
         }
-        let records = other.lacking(&known);
-        if self.net.nodes[asker].machine.learn(now, &records) {
-            Compared::News
+        let records = other.missing_records(&known);
+        if self.net.nodes[asker].machine.merge_records(now, &records) {
+            ComparisonOutcome::Updated
         } else {
-            Compared::NoNews
+            ComparisonOutcome::Unchanged
         }
     }
 
@@ -163,14 +167,14 @@
     let mut now = MonoTime::from_millis(1);
     let mut sync = ViewSync::new(now, 0.5);
     while !sync.is_settled() {
-        now = sync.next();
-        sync.compared(now, Compared::Same, 0.5);
+        now = sync.next_comparison();
+        sync.record(now, ComparisonOutcome::Same, 0.5);
     }
     let mut comparisons = 0;
     let end = now.after(Duration::from_mins(1));
     while now < end {
-        now = sync.next();
-        sync.compared(now, Compared::Same, 0.5);
+        now = sync.next_comparison();
+        sync.record(now, ComparisonOutcome::Same, 0.5);
         comparisons += 1;
     }
     assert!(comparisons <= 20, "{comparisons} in a minute");
