--- a/crates/tc-membership/src/config_puller.rs
+++ b/crates/tc-membership/src/config_puller.rs
@@ -1,4 +1,4 @@
-//! Configuration spread: which revision is in force here, which exists, and whom to pull it from.
+//! Selection of the source to pull a new configuration revision from.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,21 +8,23 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
 use tc_protocol::{InstanceId, MonoTime};
 
-/// A pull whose end was never told is taken for failed after this; otherwise a lost report would end all pulling.
+/// Pulls that report no result within this time count as failed. Otherwise a lost result would
+/// block all further pulls.
 const PULL_TIMEOUT: Duration = Duration::from_secs(5);
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
-/// Failed pulls from peers in a row after which an instance that is no watcher may ask the platform itself.
-const FAILURES_TO_PLATFORM: u32 = 3;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Consecutive failed pulls from peers after which an instance that is not a watcher may ask the
+/// platform itself.
+const FAILURES_BEFORE_PLATFORM: u32 = 3;
 
-/// Where to get a configuration from next.
+/// Where to pull a configuration from next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pull {
-    /// From this instance, which has a newer revision in force.
+    /// From this instance, which has activated a newer revision.
     Peer(InstanceId),
-    /// From the platform: watch its object for a version newer than the one last seen.
+    /// From the platform, by watching its object for a version newer than the last one seen.
     Platform,
-    /// Nothing to do now.
+    /// Nothing to pull now.
     Nothing,
 }
 
@@ -39,11 +41,12 @@
 }
 
 impl Backoff {
-    /// Doubles the wait, with jitter so that instances that failed together do not return together.
-    fn fail(&mut self, now: MonoTime, rng: &mut SmallRng) {
-        let wait = FIRST_BACKOFF
+    /// Doubles the wait and adds jitter, so that instances that failed together do not retry
+    /// together.
+    fn record_failure(&mut self, now: MonoTime, rng: &mut SmallRng) {
+        let wait = INITIAL_BACKOFF
             .saturating_mul(1 << self.failures.min(16))
-            .min(LONGEST_BACKOFF);
+            .min(MAX_BACKOFF);
         self.failures = self.failures.saturating_add(1);
         self.until = now.after(wait.mul_f64(rng.random_range(0.5..1.5)));
     }
@@ -55,25 +58,25 @@
     since: MonoTime,
 }
 
-/// One instance's part in spreading the configuration.
+/// Tracks the configuration revisions known to one instance and decides where to pull from.
 #[derive(Clone, Debug)]
 pub struct ConfigPuller {
-    in_force: u64,
-    known: u64,
+    active_revision: u64,
+    known_revision: u64,
     peers: BTreeMap<InstanceId, Peer>,
     rejected: BTreeSet<u64>,
     rejections: u64,
     in_progress: Option<InProgress>,
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     platform: Backoff,
     rng: SmallRng,
 }
 
 impl ConfigPuller {
-    /// An instance with no configuration yet.
+    /// Creates the state of an instance without a configuration.
     ///
     /// ```
-    /// use tc_membership::{Pull, ConfigPuller};
+    /// use tc_membership::{ConfigPuller, Pull};
     /// use tc_protocol::MonoTime;
     /// let mut puller = ConfigPuller::new(1);
     /// let now = MonoTime::from_millis(1);
@@ -86,42 +89,43 @@
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
-            in_force: 0,
-            known: 0,
+            active_revision: 0,
+            known_revision: 0,
             peers: BTreeMap::new(),
             rejected: BTreeSet::new(),
             rejections: 0,
             in_progress: None,
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             platform: Backoff::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Revision in force here; 0 before the first.
+    /// Returns the active revision, or 0 before the first.
     #[must_use]
     pub fn active_revision(&self) -> u64 {
-        self.in_force
+        self.active_revision
     }
 
-    /// Highest revision known to exist.
+    /// Returns the highest revision known to exist.
     #[must_use]
     pub fn known_revision(&self) -> u64 {
-        self.known
+        self.known_revision
     }
 
-    /// How often a revision was rejected as invalid.
+    /// Returns how many times a revision was rejected as invalid.
     #[must_use]
     pub fn rejections(&self) -> u64 {
         self.rejections
     }
 
-    /// An instance says which revision it has in force.
+    /// Records the revision that a peer reports as active.
     ///
-    /// Datagrams are reordered, so a lower revision than before says nothing; a restarted instance that has lost its
-    /// configuration answers a pull with less, which counts as failed.
+    /// Datagrams can be reordered, so a lower revision than before is ignored. A restarted peer
+    /// that has lost its configuration answers a pull with a lower revision, which counts as a
+    /// failed pull.
     pub fn note_peer_revision(&mut self, now: MonoTime, from: &InstanceId, revision: u64) {
-        self.known = self.known.max(revision);
+        self.known_revision = self.known_revision.max(revision);
         let Some(peer) = self.peers.get_mut(from) else {
             let backoff = Backoff {
                 failures: 0,
@@ -136,7 +140,7 @@
         }
     }
 
-    /// An instance is gone: do not pull from it.
+    /// Removes a peer that is gone, so that nothing is pulled from it.
     pub fn remove_peer(&mut self, from: &InstanceId) {
         self.peers.remove(from);
         let from = Pull::Peer(from.clone());
@@ -145,20 +149,20 @@
         }
     }
 
-    /// Where to pull from now. The pull counts as in progress until its end is told or it times out; meanwhile the
-    /// answer is [`Pull::Nothing`].
+    /// Returns where to pull from now. The pull counts as in progress until its result is reported
+    /// or it times out; while a pull from a peer is in progress the result is [`Pull::Nothing`].
     ///
-    /// A newer revision is pulled from an instance that has it. Only watchers wait at the platform, so that its load
-    /// does not grow with the fleet; others ask it when they have no configuration and know nobody who has, or when
-    /// pulls from peers keep failing.
+    /// A newer revision is pulled from a peer that has it. Only watchers wait on the platform, so
+    /// that its load does not grow with the fleet. Other instances ask it if they have no
+    /// configuration and know no peer that has one, or if pulls from peers keep failing.
     pub fn next_pull(&mut self, now: MonoTime, is_watcher: bool, store_reachable: bool) -> Pull {
-        self.time_out(now);
-        // A pull from a peer is not held back by a watch of the platform, which may wait for long.
-        let pulling = self.in_progress.as_ref().map(|p| &p.pull);
-        if matches!(pulling, Some(Pull::Peer(_))) {
+        self.expire_pull(now);
+        // A platform watch may wait for a long time and must not block pulls from peers.
+        let pull = self.in_progress.as_ref().map(|p| &p.pull);
+        if matches!(pull, Some(Pull::Peer(_))) {
             return Pull::Nothing;
         }
-        let watching = pulling.is_some();
+        let watching = pull.is_some();
         let next = if let Some(id) = self.best_peer(now) {
             Pull::Peer(id)
         } else if !watching && store_reachable && self.may_ask_platform(now, is_watcher) {
@@ -173,25 +177,27 @@
         next
     }
 
-    /// A valid revision is here. Returns whether to put it in force: only if it is newer than the one that is, so that
-    /// no instance ever goes back, whatever order answers come in.
+    /// Reports that a valid revision was received. Returns whether to activate it, which is the
+    /// case only if it is newer than the active one. No instance ever reverts to an older revision,
+    /// whatever order responses arrive in.
     pub fn activate(&mut self, revision: u64) -> bool {
-        self.known = self.known.max(revision);
+        self.known_revision = self.known_revision.max(revision);
         self.in_progress = None;
-        if revision <= self.in_force {
+        if revision <= self.active_revision {
             return false;
         }
-        self.in_force = revision;
-        self.failures_in_a_row = 0;
+        self.active_revision = revision;
+        self.consecutive_failures = 0;
         self.platform = Backoff::default();
         self.rejected = self.rejected.split_off(&(revision + 1));
         true
     }
 
-    /// A revision was read whole and is invalid here. It is not pulled again; the next one is.
+    /// Reports that a complete revision was received and is invalid. It is not pulled again, but
+    /// the next one is.
     ///
     /// ```
-    /// use tc_membership::{Pull, ConfigPuller};
+    /// use tc_membership::{ConfigPuller, Pull};
     /// use tc_protocol::MonoTime;
     /// let mut puller = ConfigPuller::new(1);
     /// let now = MonoTime::from_millis(1);
@@ -201,15 +207,15 @@
     /// assert_eq!(puller.next_pull(now, false, false), Pull::Nothing);
     /// ```
     pub fn reject(&mut self, revision: u64) {
-        self.known = self.known.max(revision);
+        self.known_revision = self.known_revision.max(revision);
         self.in_progress = None;
         self.rejections += 1;
-        if revision > self.in_force {
+        if revision > self.active_revision {
             self.rejected.insert(revision);
         }
     }
 
-    /// A pull from a peer failed, or brought nothing newer than is in force.
+    /// Reports that a pull from a peer failed or returned nothing newer than the active revision.
     pub fn pull_failed(&mut self, now: MonoTime, from: &InstanceId) {
         let from_pull = Pull::Peer(from.clone());
         if self
@@ -219,26 +225,26 @@
         {
             self.in_progress = None;
         }
-        self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.backoff.fail(now, &mut self.rng);
+            peer.backoff.record_failure(now, &mut self.rng);
         }
     }
 
-    /// The platform could not be read.
+    /// Reports that the platform could not be read.
     pub fn platform_failed(&mut self, now: MonoTime) {
-        self.end_watch();
-        self.platform.fail(now, &mut self.rng);
+        self.finish_platform_pull();
+        self.platform.record_failure(now, &mut self.rng);
     }
 
-    /// The platform was read and has nothing newer.
+    /// Reports that the platform was read and has nothing newer.
     pub fn platform_unchanged(&mut self) {
-        self.end_watch();
+        self.finish_platform_pull();
         self.platform = Backoff::default();
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
     }
 
-    fn end_watch(&mut self) {
+    fn finish_platform_pull(&mut self) {
         if self
             .in_progress
             .as_ref()
@@ -248,7 +254,7 @@
         }
     }
 
-    fn time_out(&mut self, now: MonoTime) {
+    fn expire_pull(&mut self, now: MonoTime) {
         let Some(overdue) = self
             .in_progress
             .take_if(|p| now.since(p.since) >= PULL_TIMEOUT)
@@ -260,29 +266,30 @@
         }
     }
 
-    /// One of the peers with the highest revision that is worth pulling; by chance, to share the load.
+    /// Returns a random peer among those with the highest eligible revision, to spread the load.
     fn best_peer(&mut self, now: MonoTime) -> Option<InstanceId> {
-        let worth = |peer: &Peer| {
-            peer.revision > self.in_force
+        let is_eligible = |peer: &Peer| {
+            peer.revision > self.active_revision
                 && !self.rejected.contains(&peer.revision)
                 && peer.backoff.until <= now
         };
         let revision = self
             .peers
             .values()
-            .filter(|p| worth(p))
+            .filter(|p| is_eligible(p))
             .map(|p| p.revision)
             .max()?;
         self.peers
             .iter()
-            .filter(|(_, peer)| peer.revision == revision && worth(peer))
+            .filter(|(_, peer)| peer.revision == revision && is_eligible(peer))
             .map(|(id, _)| id.clone())
             .choose(&mut self.rng)
     }
 
     fn may_ask_platform(&self, now: MonoTime, is_watcher: bool) -> bool {
-        let start = self.in_force == 0 && self.known == 0;
-        let stuck = self.known > self.in_force && self.failures_in_a_row >= FAILURES_TO_PLATFORM;
-        self.platform.until <= now && (is_watcher || start || stuck)
+        let has_no_source = self.active_revision == 0 && self.known_revision == 0;
+        let is_stuck = self.known_revision > self.active_revision
+            && self.consecutive_failures >= FAILURES_BEFORE_PLATFORM;
+        self.platform.until <= now && (is_watcher || has_no_source || is_stuck)
     }
 }
--- a/crates/tc-membership/src/lib.rs
+++ b/crates/tc-membership/src/lib.rs
@@ -1,7 +1,9 @@
-//! Pure state machines for membership, role placement, address sets and configuration spread.
+//! Pure state machines for membership, role placement, shuffle sharding, configuration propagation
+//! and model placement.
 //!
-//! No sockets, no clock and no runtime: time comes in as [`tc_protocol::MonoTime`], randomness as a seed, and what is
-//! to be sent goes out as values. The same inputs always give the same outputs.
+//! They use no sockets, clock or async runtime. Time is passed in as [`tc_protocol::MonoTime`],
+//! randomness is seeded, and messages to send are returned as values, so the same inputs always
+//! produce the same outputs.
 
 mod config_puller;
 mod membership;
--- a/crates/tc-membership/src/membership/announce.rs
+++ b/crates/tc-membership/src/membership/announce.rs
@@ -1,4 +1,4 @@
-//! Telling news without being asked.
+//! Unsolicited announcements.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use super::{Membership, MessageKind, Outgoing};
 
 impl Membership {
-    /// Tells the news, and what rides on them, to every other instance.
+    /// Sends an announcement, with piggybacked records, to every other instance.
     pub fn announce_to_all(&mut self) -> Vec<Outgoing> {
         let members = self.members();
         let others = members
@@ -19,12 +19,12 @@
             .collect()
     }
 
-    /// Tells the news to `count` instances chosen by chance.
-    pub(super) fn announce(&mut self, count: usize, about: Option<&InstanceId>) -> Vec<Outgoing> {
-        let peers = self.some_peers(count, about);
+    /// Sends an announcement to `count` randomly chosen instances.
+    pub(super) fn announce(&mut self, count: usize, subject: Option<&InstanceId>) -> Vec<Outgoing> {
+        let peers = self.sample_peers(count, subject);
         peers
             .into_iter()
-            .map(|(_, to)| self.send(to, MessageKind::Announcement, about))
+            .map(|(_, to)| self.send(to, MessageKind::Announcement, subject))
             .collect()
     }
 }
--- a/crates/tc-membership/src/membership/config.rs
+++ b/crates/tc-membership/src/membership/config.rs
@@ -1,27 +1,30 @@
-//! Timing and size limits of membership, and how they grow with the number of instances.
+//! Timing and size limits of membership, and how they scale with the number of instances.
 
 use std::time::Duration;
 
-/// Up to this many instances the configured times hold as they are.
+/// Fleets of up to this many instances use the configured durations unscaled.
 const UNSCALED_MEMBERS: usize = 8;
 
 /// Timing and size limits of membership.
 ///
-/// Probe interval and suspicion are for up to eight instances; for more they grow with the logarithm of their number,
-/// because news then takes more steps to reach all.
+/// The probe interval and suspicion timeout apply to fleets of up to eight instances. In larger
+/// fleets they grow with the logarithm of the fleet size, because updates need more gossip rounds
+/// to reach every instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// Time between two probes that an instance sends.
+    /// Interval between the probes sent by an instance.
     pub probe_interval: Duration,
-    /// Time for the answer to a direct probe; a probe through others takes at most twice as long again.
+    /// Time allowed for the reply to a direct probe. Indirect probes get at most twice this in
+    /// addition.
     pub probe_timeout: Duration,
-    /// Time for a suspected instance to refute.
+    /// Time a suspected instance has to refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// Instances asked to probe in our place, and instances told at once of a state change.
+    /// Number of instances asked to probe indirectly, and number notified immediately of a state
+    /// change.
     pub fanout: usize,
-    /// Most records in one message, besides the sender's own.
+    /// Maximum number of records per message, excluding the sender's own.
     pub max_changes: usize,
-    /// How long a dead instance is still shown.
+    /// How long a dead instance remains in the member list.
     pub dead_retention: Duration,
 }
 
@@ -39,21 +42,21 @@
 }
 
 impl MembershipConfig {
-    /// How much longer things take among `members` instances than among eight.
+    /// Factor by which durations grow for `members` instances, relative to eight.
     fn scale(members: usize) -> f64 {
         let unscaled = UNSCALED_MEMBERS as f64;
         (members.max(UNSCALED_MEMBERS) as f64).log2() / unscaled.log2()
     }
 
-    pub(crate) fn interval(&self, members: usize) -> Duration {
+    pub(crate) fn scaled_probe_interval(&self, members: usize) -> Duration {
         self.probe_interval.mul_f64(Self::scale(members))
     }
 
-    pub(crate) fn suspicion_among(&self, members: usize) -> Duration {
+    pub(crate) fn scaled_suspicion_timeout(&self, members: usize) -> Duration {
         self.suspicion_timeout.mul_f64(Self::scale(members))
     }
 
-    /// Time from sending a direct probe to taking it for failed.
+    /// Time after a direct probe is sent at which it counts as failed.
     pub(crate) fn probe_deadline(&self) -> Duration {
         self.probe_timeout * 3
     }
--- a/crates/tc-membership/src/membership/dissemination.rs
+++ b/crates/tc-membership/src/membership/dissemination.rs
@@ -1,18 +1,18 @@
-//! Which news an instance still has to pass on.
+//! Queue of membership updates that this instance still has to piggyback on its messages.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
 use tc_protocol::InstanceId;
 
-/// Times that each instance passes on a piece of news, per doubling of the number of instances.
+/// Number of times each instance sends an update, per doubling of the fleet size.
 const SENDS_PER_DOUBLING: u32 = 3;
 
-/// How soon a piece of news must be known by all.
+/// How quickly an update must reach every instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Urgency {
-    /// Changes what others do: a state, a newcomer, a new revision.
+    /// Affects the behaviour of other instances: a state change, a new member or a new revision.
     Urgent,
-    /// Only for reports: one more instance has a known revision in force.
+    /// Informational only: one more instance has activated a known revision.
     Background,
 }
 
@@ -21,31 +21,32 @@
     urgency: Urgency,
     sent: u32,
     limit: u32,
-    /// Counts the news taken up; what came last is least likely to be known elsewhere.
-    order: u64,
+    /// Sequence number of the update. The most recent updates are the least likely to be known
+    /// elsewhere.
+    sequence: u64,
 }
 
-/// Members whose record is to be passed on.
+/// Members whose records are still to be disseminated.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Queue {
+pub(crate) struct DisseminationQueue {
     pending: BTreeMap<InstanceId, Pending>,
     pushed: u64,
 }
 
-impl Queue {
-    /// Passes on the record of `id`, as news that nobody has heard yet.
+impl DisseminationQueue {
+    /// Queues the record of `id` as an update that no other instance has received yet.
     pub(crate) fn push(&mut self, id: &InstanceId, urgency: Urgency, members: usize) {
         let doublings = usize::BITS - members.leading_zeros();
         let limit = match urgency {
             Urgency::Urgent => doublings * SENDS_PER_DOUBLING,
             Urgency::Background => doublings,
         };
-        // Background news about a member must not demote urgent news about it that is still on its way.
-        let is_urgent = self
+        // A background update must not lower the urgency of an urgent one that is still being sent.
+        let has_urgent = self
             .pending
             .get(id)
             .is_some_and(|p| p.urgency == Urgency::Urgent);
-        if is_urgent && urgency == Urgency::Background {
+        if has_urgent && urgency == Urgency::Background {
             return;
         }
         self.pushed += 1;
@@ -53,19 +54,19 @@
             urgency,
             sent: 0,
             limit: limit.max(1),
-            order: self.pushed,
+            sequence: self.pushed,
         };
         self.pending.insert(id.clone(), pending);
     }
 
-    /// Takes up to `count` members for one message: urgent before background, then those passed on least
-    /// often, then the latest.
-    pub(crate) fn take(&mut self, count: usize, except: &[&InstanceId]) -> Vec<InstanceId> {
+    /// Selects up to `count` members for one message: urgent before background, then the least
+    /// often sent, then the most recent.
+    pub(crate) fn take(&mut self, count: usize, exclude: &[&InstanceId]) -> Vec<InstanceId> {
         let mut ids: Vec<_> = self
             .pending
             .iter()
-            .filter(|(id, _)| !except.contains(id))
-            .map(|(id, p)| (p.urgency, p.sent, Reverse(p.order), id.clone()))
+            .filter(|(id, _)| !exclude.contains(id))
+            .map(|(id, p)| (p.urgency, p.sent, Reverse(p.sequence), id.clone()))
             .collect();
         ids.sort_unstable();
         ids.truncate(count);
--- a/crates/tc-membership/src/membership/leaving.rs
+++ b/crates/tc-membership/src/membership/leaving.rs
@@ -1,30 +1,30 @@
-//! Leaving on purpose, and taking that back.
+//! Graceful leave, and its cancellation.
 
 use tc_protocol::MemberState;
 
 use super::{Membership, Outgoing};
 
-/// Instances that are told directly that this one is leaving; the others hear it from them.
-const TOLD_OF_LEAVING: usize = 32;
+/// Number of instances notified directly of a leave; the rest learn of it through gossip.
+const LEAVE_FANOUT: usize = 32;
 
 impl Membership {
-    /// Says that this instance is stopping on purpose.
+    /// Marks this instance as leaving and announces it.
     pub fn leave(&mut self) -> Vec<Outgoing> {
         if self.me.member.state != MemberState::Leaving {
             self.me.member.state = MemberState::Leaving;
             self.me.refutation += 1;
             self.changed = true;
         }
-        self.announce(TOLD_OF_LEAVING, None)
+        self.announce(LEAVE_FANOUT, None)
     }
 
-    /// Takes a [`Membership::leave`] back.
+    /// Cancels a [`Membership::leave`].
     pub fn cancel_leave(&mut self) -> Vec<Outgoing> {
         if self.me.member.state == MemberState::Leaving {
             self.me.member.state = MemberState::Alive;
             self.me.refutation += 1;
             self.changed = true;
         }
-        self.announce(TOLD_OF_LEAVING, None)
+        self.announce(LEAVE_FANOUT, None)
     }
 }
--- a/crates/tc-membership/src/membership/machine.rs
+++ b/crates/tc-membership/src/membership/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine's surface: what may be asked of it and told to it.
+//! Public interface of the membership state machine.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -8,16 +8,16 @@
 
 use super::{
     MembershipConfig, Message, MessageKind, Outgoing, Record,
-    dissemination::{Queue, Urgency},
+    dissemination::{DisseminationQueue, Urgency},
     probe::Prober,
-    table::{Merged, Table},
+    table::{MergeOutcome, Table},
 };
 
-/// Instances expected to probe a suspect at once, over the whole fleet: enough that it hears of the suspicion, few
-/// enough not to flood it.
-const PROBERS_OF_SUSPECT: f64 = 8.0;
+/// Expected number of instances across the fleet that probe a new suspect immediately: enough for
+/// it to learn of the suspicion, too few to overload it.
+const EXPECTED_SUSPECT_PROBERS: f64 = 8.0;
 
-/// One instance's part in membership. See the module for the protocol.
+/// Membership state of one instance. The module documentation describes the protocol.
 ///
 /// ```
 /// use tc_membership::{Membership, MembershipConfig};
@@ -47,23 +47,23 @@
     pub(super) cfg: MembershipConfig,
     pub(super) me: Record,
     pub(super) table: Table,
-    pub(super) queue: Queue,
+    pub(super) queue: DisseminationQueue,
     pub(super) prober: Prober,
-    /// Listed instances that were never probed.
-    pub(super) strangers: VecDeque<InstanceId>,
+    /// Listed instances that have not been probed yet.
+    pub(super) unprobed: VecDeque<InstanceId>,
     pub(super) next_probe: MonoTime,
-    pub(super) next_contact: MonoTime,
+    pub(super) next_reconnect: MonoTime,
     pub(super) last_probe: MonoTime,
-    pub(super) neighbour_next: bool,
+    pub(super) probe_successor_next: bool,
     pub(super) changed: bool,
     superseded_by: Option<Incarnation>,
-    /// Last member whose record filled up a message.
-    filled_up_to: Option<InstanceId>,
+    /// Last member whose record was used to fill spare space in a message.
+    filler_cursor: Option<InstanceId>,
     pub(super) rng: SmallRng,
 }
 
 impl Membership {
-    /// An instance that knows only itself. `seed` should differ between instances.
+    /// Creates an instance that knows only itself. `seed` should differ between instances.
     ///
     /// ```
     /// use tc_membership::{Membership, MembershipConfig};
@@ -97,112 +97,117 @@
                 revision: 0,
             },
             table: Table::default(),
-            queue: Queue::default(),
+            queue: DisseminationQueue::default(),
             prober: Prober::default(),
-            strangers: VecDeque::new(),
+            unprobed: VecDeque::new(),
             next_probe: MonoTime::default(),
-            next_contact: MonoTime::default(),
+            next_reconnect: MonoTime::default(),
             last_probe: MonoTime::default(),
-            neighbour_next: false,
+            probe_successor_next: false,
             changed: true,
             superseded_by: None,
-            filled_up_to: None,
+            filler_cursor: None,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Takes up records from an introduction.
+    /// Merges records received outside the gossip protocol, such as in an introduction.
     ///
-    /// Members that are new to this instance are not passed on: whoever told them has done so, and a newcomer that
-    /// repeated the whole list would fill everyone's messages for minutes. A newcomer makes itself known by its probes.
+    /// New members are not disseminated further: the instance that sent them has already done so,
+    /// and a newcomer that repeated the whole list would fill everyone's messages for minutes. A
+    /// newcomer makes itself known through its own probes.
     ///
-    /// Returns whether anything of it was news.
+    /// Returns whether the records changed the member list.
     pub fn merge_records(&mut self, now: MonoTime, records: &[Record]) -> bool {
         let changed_before = std::mem::take(&mut self.changed);
         for record in records {
             let is_new = self.table.get(&record.member.id).is_none();
-            self.take_up(now, record);
+            self.apply_record(now, record);
             if is_new {
                 self.queue.remove(&record.member.id);
             }
         }
-        let news = self.changed;
+        let changed = self.changed;
         self.changed |= changed_before;
-        news
+        changed
     }
 
-    /// Takes up the platform's lagging list of who may exist.
+    /// Applies the platform's list of instances that may exist, which lags behind reality.
     ///
-    /// Listed instances that are not known are probed; those listed as leaving are shown as leaving; instances that are
-    /// not on the list are left as they are, as long as they answer. What the list says of this instance itself is not
-    /// acted on; the caller calls [`Membership::leave`] when it stops. A list with a lower version than an earlier one
-    /// is ignored.
+    /// Listed but unknown instances are probed, and instances listed as leaving are shown as
+    /// leaving. Instances missing from the list are kept as long as they respond. The list's entry
+    /// for this instance is ignored; the caller calls [`Membership::leave`] when it stops. A list
+    /// with a lower version than an earlier one is ignored.
     pub fn apply_instance_list(&mut self, now: MonoTime, list: &InstanceList) {
-        let Some(new) = self.table.listed(list, &self.me.member.id) else {
+        let Some(new) = self.table.apply_instance_list(list, &self.me.member.id) else {
             return;
         };
         if !new.is_empty() {
-            self.next_contact = self.next_contact.min(now);
+            self.next_reconnect = self.next_reconnect.min(now);
         }
-        self.strangers.extend(new);
+        self.unprobed.extend(new);
         self.changed = true;
     }
 
-    /// This process was paused: what it did not hear meanwhile says nothing.
+    /// Resets timers after this process was paused, since silence during the pause is no evidence
+    /// of failure.
     ///
-    /// Acting on timers that ran out during the pause would call many instances dead at once, seen as a fleet that
-    /// falls apart whenever one instance stalls. All timers start again, and a suspicion held now ends in death only
-    /// after a fresh probe of this instance has failed.
+    /// Acting on timers that expired during the pause would declare many instances dead at once, so
+    /// the fleet would appear to fall apart whenever one instance stalls. All timers restart, and a
+    /// pending suspicion leads to death only after a new probe from this instance has failed.
     pub fn resumed(&mut self, now: MonoTime) {
         self.prober.reset();
         for (id, entry) in self.table.entries_mut() {
             if let Some(suspicion) = &mut entry.suspicion {
-                suspicion.ends = None;
+                suspicion.deadline = None;
             }
-            if entry.suspicion.is_some() || entry.disputed.is_some() {
-                self.prober.hurry(id);
+            if entry.suspicion.is_some() || entry.unconfirmed_death.is_some() {
+                self.prober.prioritize(id);
             }
         }
         self.next_probe = now;
-        self.next_contact = now;
+        self.next_reconnect = now;
     }
 
-    /// A call to the instance failed: probe it next, unless it has been heard of since the last interval.
+    /// Reports a failed call to an instance. It is probed next unless it was heard from within the
+    /// last probe interval.
     pub fn report_failed_call(&mut self, now: MonoTime, id: &InstanceId) {
-        let interval = self.interval();
+        let interval = self.probe_interval();
         let Some(entry) = self.table.get(id) else {
             return;
         };
-        let heard_lately = entry.heard.is_some_and(|heard| now.since(heard) < interval);
-        if !entry.record.is_dead() && !heard_lately {
-            self.hurry(now, &id.clone());
+        let heard_recently = entry
+            .last_heard
+            .is_some_and(|heard| now.since(heard) < interval);
+        if !entry.record.is_dead() && !heard_recently {
+            self.probe_soon(now, &id.clone());
         }
     }
 
-    /// Sets the revision of the configuration in force here. A lower one than before is ignored.
+    /// Sets the active configuration revision of this instance. Lower revisions are ignored.
     pub fn set_revision(&mut self, revision: u64) {
         self.me.revision = self.me.revision.max(revision);
     }
 
-    /// All known instances, this one included, in order of identifier.
+    /// Returns all known instances, including this one, ordered by identifier.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         let others = self
             .table
             .entries()
-            .filter_map(|(id, _)| self.table.shown(id));
+            .filter_map(|(id, _)| self.table.visible_member(id));
         let mut members: Vec<_> = others.chain([self.me.member.clone()]).collect();
         members.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         members
     }
 
-    /// The records of those members, for an introduction.
+    /// Returns the records of [`Membership::members`], to introduce a new instance.
     #[must_use]
     pub fn records(&self) -> Vec<Record> {
         let others = self
             .table
             .entries()
-            .filter(|(id, _)| self.table.shown(id).is_some());
+            .filter(|(id, _)| self.table.visible_member(id).is_some());
         let mut records: Vec<_> = others
             .map(|(_, e)| e.record.clone())
             .chain([self.me.clone()])
@@ -211,23 +216,26 @@
         records
     }
 
-    /// Whether [`Membership::members`] may have changed since last asked.
+    /// Returns whether [`Membership::members`] may have changed since the last call, and resets the
+    /// flag.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Lowest revision in force at any member that is not dead, as far as is known here.
+    /// Returns the lowest active revision among members that are not dead, as far as known here.
     ///
-    /// It lags behind: that one more member has a revision is passed on with the lowest urgency, which takes seconds
-    /// among eight instances and minutes among hundreds. Ask the instances themselves where the moment matters.
+    /// The value lags: activations of an already known revision have the lowest dissemination
+    /// priority and take seconds to spread among eight instances, minutes among hundreds. Query the
+    /// instances directly where an exact answer matters.
     #[must_use]
     pub fn lowest_revision(&self) -> u64 {
         let others = self.table.live().map(|(_, e)| e.record.revision);
         others.fold(self.me.revision, u64::min)
     }
 
-    /// Newest revision in force at any member that is not dead, and one other that has it; none if this instance has it
-    /// too. Instances choose differently among several, to share the load.
+    /// Returns the newest active revision among members that are not dead, and another member that
+    /// has it, or `None` if this instance already has it. Instances pick different members when
+    /// there are several, to spread the load.
     #[must_use]
     pub fn newest_revision(&self) -> (u64, Option<InstanceId>) {
         let me = xxh3_64_with_seed(self.me.member.id.as_str().as_bytes(), 0);
@@ -245,101 +253,105 @@
         }
     }
 
-    /// A later life of this very instance, if others know of one.
+    /// Returns the higher incarnation of this instance's identifier, if one is known.
     ///
-    /// Two processes then run under one identifier, or the clock went back before this one started; nobody will
-    /// listen to this one. It should stop.
+    /// This means that two processes share the identifier, or that the clock was set back before
+    /// this one started. Other instances ignore this process, so it should stop.
     #[must_use]
     pub fn superseded_by(&self) -> Option<Incarnation> {
         self.superseded_by
     }
 
-    /// Number of instances that are not dead, this one included.
-    pub(super) fn size(&self) -> usize {
+    /// Number of instances that are not dead, including this one.
+    pub(super) fn live_count(&self) -> usize {
         self.table.live().count() + 1
     }
 
-    pub(super) fn interval(&self) -> Duration {
-        self.cfg.interval(self.size())
+    pub(super) fn probe_interval(&self) -> Duration {
+        self.cfg.scaled_probe_interval(self.live_count())
     }
 
-    /// Takes up a claim, about this instance or another.
-    pub(super) fn take_up(&mut self, now: MonoTime, claim: &Record) {
-        if claim.member.id == self.me.member.id {
-            self.answer_claim(claim);
+    /// Applies a received record about this or another instance.
+    pub(super) fn apply_record(&mut self, now: MonoTime, update: &Record) {
+        if update.member.id == self.me.member.id {
+            self.refute(update);
             return;
         }
-        let size = self.size();
-        let suspicion = self.cfg.suspicion_among(size);
-        let id = &claim.member.id;
-        match self.table.merge(now, claim, suspicion) {
-            Merged::Nothing => {}
-            // Whoever made the claim has not heard the accusation, nor perhaps has the accused.
-            Merged::Contradicts => self.queue.push(id, Urgency::Background, 1),
-            Merged::Revision if self.is_first_with(claim) => {
+        let size = self.live_count();
+        let suspicion_timeout = self.cfg.scaled_suspicion_timeout(size);
+        let id = &update.member.id;
+        match self.table.merge(now, update, suspicion_timeout) {
+            MergeOutcome::Unchanged => {}
+            // The sender has not received the suspicion or death yet, and perhaps neither has the
+            // subject.
+            MergeOutcome::Outdated => self.queue.push(id, Urgency::Background, 1),
+            MergeOutcome::RevisionChanged if self.is_first_with_revision(update) => {
                 self.queue.push(id, Urgency::Urgent, size);
             }
-            Merged::Revision => self.queue.push(id, Urgency::Background, size),
-            Merged::Disputed => self.hurry(now, id),
-            Merged::Newcomer => {
+            MergeOutcome::RevisionChanged => self.queue.push(id, Urgency::Background, size),
+            MergeOutcome::UnconfirmedDeath => self.probe_soon(now, id),
+            MergeOutcome::NewMember => {
                 self.changed = true;
                 self.queue.push(id, Urgency::Urgent, size);
                 self.prober.add(id, &mut self.rng);
-                self.meet_suspect(now, claim, size);
+                self.probe_new_suspect(now, update, size);
             }
-            Merged::State => {
+            MergeOutcome::Replaced => {
                 self.changed = true;
                 self.queue.push(id, Urgency::Urgent, size);
-                self.meet_suspect(now, claim, size);
+                self.probe_new_suspect(now, update, size);
             }
         }
     }
 
-    /// Whether no other instance is known to have a revision as new as the claim's.
-    fn is_first_with(&self, claim: &Record) -> bool {
-        let mut others = self.table.live().filter(|(id, _)| **id != claim.member.id);
-        self.me.revision < claim.revision && others.all(|(_, e)| e.record.revision < claim.revision)
+    /// Whether no other instance is known to have a revision as new as the one in `update`.
+    fn is_first_with_revision(&self, update: &Record) -> bool {
+        let mut others = self.table.live().filter(|(id, _)| **id != update.member.id);
+        self.me.revision < update.revision
+            && others.all(|(_, e)| e.record.revision < update.revision)
     }
 
-    /// Probes a new suspect at once with a chance such that about eight instances do: it may have missed the news.
-    fn meet_suspect(&mut self, now: MonoTime, claim: &Record, size: usize) {
-        let chance = (PROBERS_OF_SUSPECT / size as f64).min(1.0);
-        if claim.member.state == MemberState::Suspect && self.rng.random_bool(chance) {
-            self.hurry(now, &claim.member.id);
+    /// Probes a new suspect with a probability chosen so that about eight instances do so: the
+    /// suspect may have missed the update.
+    fn probe_new_suspect(&mut self, now: MonoTime, update: &Record, size: usize) {
+        let chance = (EXPECTED_SUSPECT_PROBERS / size as f64).min(1.0);
+        if update.member.state == MemberState::Suspect && self.rng.random_bool(chance) {
+            self.probe_soon(now, &update.member.id);
         }
     }
 
-    /// Answers a claim about this instance itself: an accusation is refuted under a higher number.
-    fn answer_claim(&mut self, claim: &Record) {
-        let mine = self.me.member.incarnation;
-        if claim.member.incarnation > mine {
-            self.superseded_by = self.superseded_by.max(Some(claim.member.incarnation));
+    /// Refutes a suspicion or death record about this instance by raising the refutation number
+    /// above it.
+    fn refute(&mut self, update: &Record) {
+        let own_incarnation = self.me.member.incarnation;
+        if update.member.incarnation > own_incarnation {
+            self.superseded_by = self.superseded_by.max(Some(update.member.incarnation));
             return;
         }
-        if claim.member.incarnation == mine && claim.supersedes(&self.me) {
-            self.me.refutation = claim.refutation + 1;
+        if update.member.incarnation == own_incarnation && update.supersedes(&self.me) {
+            self.me.refutation = update.refutation + 1;
         }
     }
 
-    /// Probes `id` next, and soon.
-    pub(super) fn hurry(&mut self, now: MonoTime, id: &InstanceId) {
-        self.prober.hurry(id);
+    /// Makes `id` the next probe target and brings the next probe forward.
+    pub(super) fn probe_soon(&mut self, now: MonoTime, id: &InstanceId) {
+        self.prober.prioritize(id);
         let soon = self.last_probe.after(self.cfg.probe_interval / 8).max(now);
         self.next_probe = self.next_probe.min(soon);
     }
 
-    /// Builds a message. `about` is a member whose record goes first, because the receiver has to know it.
-    pub(super) fn message(&mut self, kind: MessageKind, about: Option<&InstanceId>) -> Message {
-        let room = self.cfg.max_changes.max(1);
-        let claim = about.and_then(|id| Some(self.table.get(id)?.claim_to_refute().clone()));
-        let mut changes: Vec<Record> = claim.into_iter().collect();
-        let except: Vec<_> = about.into_iter().collect();
-        for id in self.queue.take(room - changes.len(), &except) {
+    /// Builds a message. The record of `subject` goes first, because the receiver must have it.
+    pub(super) fn message(&mut self, kind: MessageKind, subject: Option<&InstanceId>) -> Message {
+        let max_records = self.cfg.max_changes.max(1);
+        let record = subject.and_then(|id| Some(self.table.get(id)?.record_to_refute().clone()));
+        let mut changes: Vec<Record> = record.into_iter().collect();
+        let exclude: Vec<_> = subject.into_iter().collect();
+        for id in self.queue.take(max_records - changes.len(), &exclude) {
             changes.extend(self.table.get(&id).map(|e| e.record.clone()));
         }
         let is_ack = matches!(kind, MessageKind::Ack { .. });
-        if changes.len() < room && !is_ack {
-            let filler = self.next_filler();
+        if changes.len() < max_records && !is_ack {
+            let filler = self.next_filler_record();
             changes.extend(filler.filter(|f| changes.iter().all(|c| c.member.id != f.member.id)));
         }
         Message {
@@ -349,39 +361,40 @@
         }
     }
 
-    /// One record in turn, to mend what lost messages left different between instances.
-    fn next_filler(&mut self) -> Option<Record> {
-        let after = self.filled_up_to.take();
+    /// Returns the next record in round-robin order, to repair differences between instances caused
+    /// by lost messages.
+    fn next_filler_record(&mut self) -> Option<Record> {
+        let after = self.filler_cursor.take();
         let next = self
             .table
             .entries()
             .find(|(id, _)| after.as_ref().is_none_or(|after| *id > after));
         let (id, entry) = next?;
-        self.filled_up_to = Some(id.clone());
-        self.table.shown(id).map(|_| entry.record.clone())
+        self.filler_cursor = Some(id.clone());
+        self.table.visible_member(id).map(|_| entry.record.clone())
     }
 
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
         kind: MessageKind,
-        about: Option<&InstanceId>,
+        subject: Option<&InstanceId>,
     ) -> Outgoing {
-        let message = self.message(kind, about);
+        let message = self.message(kind, subject);
         Outgoing { to, message }
     }
 
-    /// Up to `count` instances that are not accused, chosen by chance.
-    pub(super) fn some_peers(
+    /// Returns up to `count` randomly chosen instances that are neither suspect nor dead.
+    pub(super) fn sample_peers(
         &mut self,
         count: usize,
-        except: Option<&InstanceId>,
+        exclude: Option<&InstanceId>,
     ) -> Vec<(InstanceId, SocketAddr)> {
-        let fit = self
+        let eligible = self
             .table
             .entries()
-            .filter(|(id, e)| !e.record.accuses() && Some(*id) != except)
+            .filter(|(id, e)| !e.record.is_suspect_or_dead() && Some(*id) != exclude)
             .map(|(id, e)| (id.clone(), e.record.member.fleet_address));
-        fit.sample(&mut self.rng, count)
+        eligible.sample(&mut self.rng, count)
     }
 }
--- a/crates/tc-membership/src/membership/message.rs
+++ b/crates/tc-membership/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! Messages between instances.
+//! Messages exchanged between instances.
 
 use std::net::SocketAddr;
 
@@ -6,50 +6,50 @@
 
 use super::Record;
 
-/// What a message asks or tells.
+/// Purpose of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Answer with an [`MessageKind::Ack`] of the same nonce.
+    /// Requests a [`MessageKind::Ack`] with the same nonce.
     Probe {
-        /// Matches the answer to the probe.
+        /// Nonce that matches the reply to the probe.
         nonce: u64,
-        /// On whose behalf the sender probes, if not its own.
+        /// Instance on whose behalf the probe is relayed, if any.
         relayed_for: Option<InstanceId>,
     },
-    /// The subject answered the probe with this nonce.
+    /// Confirms that the subject replied to the probe with this nonce.
     Ack {
-        /// The probe's nonce.
+        /// Nonce of the probe.
         nonce: u64,
-        /// Who answered it; not the sender when passed on.
+        /// Instance that replied. It differs from the sender if the reply is relayed.
         subject: InstanceId,
     },
-    /// Probe the subject in the sender's place and pass on its answer.
+    /// Asks the receiver to probe the subject and relay its reply.
     IndirectProbe {
-        /// The nonce to use.
+        /// Nonce for the relayed probe.
         nonce: u64,
-        /// Whom to probe.
+        /// Instance to probe.
         subject: InstanceId,
     },
-    /// Only news; needs no answer.
+    /// Carries records only and expects no reply.
     Announcement,
 }
 
-/// One datagram's content.
+/// Contents of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What the sender says of itself.
+    /// The sender's own record.
     pub from: Record,
-    /// What it asks or tells.
+    /// Purpose of the message.
     pub kind: MessageKind,
-    /// What it knows of others; at most `max_changes` records.
+    /// Piggybacked records of other members, at most `max_changes`.
     pub changes: Vec<Record>,
 }
 
-/// A message to be sent.
+/// A message and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// Fleet address of the receiver.
     pub to: SocketAddr,
-    /// What to send.
+    /// Message to send.
     pub message: Message,
 }
--- a/crates/tc-membership/src/membership/mod.rs
+++ b/crates/tc-membership/src/membership/mod.rs
@@ -1,8 +1,9 @@
-//! Membership: which instances there are, and which of them answer.
+//! Membership protocol and failure detector.
 //!
-//! Modelled on SWIM (Das, Gupta, Motivala, 2002): each instance probes one other at a time, directly and then through
-//! others; one that does not answer is suspected, and dead unless it refutes in time; what is learned travels on the
-//! probes themselves, so the cost per instance does not grow with their number.
+//! Modelled on SWIM (Das, Gupta, Motivala, 2002). Each instance probes one other at a time, first
+//! directly and then through others. An instance that does not reply is suspected, and declared
+//! dead unless it refutes the suspicion in time. Updates are piggybacked on the probes, so the cost
+//! per instance does not grow with the size of the fleet.
 
 mod announce;
 mod config;
--- a/crates/tc-membership/src/membership/probe.rs
+++ b/crates/tc-membership/src/membership/probe.rs
@@ -8,44 +8,45 @@
 use rand::{Rng, RngExt, rngs::SmallRng, seq::SliceRandom};
 use tc_protocol::{InstanceId, MonoTime};
 
-/// Most probes relayed for others at once; more would let one confused instance use up another's memory.
+/// Maximum number of probes relayed at the same time. The limit keeps a misbehaving instance from
+/// exhausting another's memory.
 const MAX_RELAYS: usize = 256;
 
-/// A probe sent and not answered.
+/// A probe that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Outstanding {
     pub(crate) target: InstanceId,
     pub(crate) sent: MonoTime,
-    pub(crate) asked_others: bool,
+    pub(crate) indirect_probes_sent: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Relay {
     origin: SocketAddr,
     subject: InstanceId,
-    ends: MonoTime,
+    expires_at: MonoTime,
 }
 
 /// Probes under way, and whom to probe next.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Prober {
-    /// Targets of this round, in random order, taken from the end.
+    /// Targets left in this round, in random order, taken from the end.
     round: Vec<InstanceId>,
-    /// Targets to take before the round's.
+    /// Targets to probe before those of the round.
     urgent: VecDeque<InstanceId>,
     outstanding: BTreeMap<u64, Outstanding>,
     relays: BTreeMap<u64, Relay>,
 }
 
 impl Prober {
-    /// Probes `id` next.
-    pub(crate) fn hurry(&mut self, id: &InstanceId) {
+    /// Queues `id` as an urgent target.
+    pub(crate) fn prioritize(&mut self, id: &InstanceId) {
         if !self.is_probing(id) && !self.urgent.contains(id) {
             self.urgent.push_back(id.clone());
         }
     }
 
-    pub(crate) fn is_hurried(&self) -> bool {
+    pub(crate) fn has_urgent_targets(&self) -> bool {
         !self.urgent.is_empty()
     }
 
@@ -53,30 +54,30 @@
         self.outstanding.values().any(|o| o.target == *id)
     }
 
-    /// Adds a newcomer at a random place of the current round.
+    /// Inserts a new member at a random position of the current round.
     pub(crate) fn add(&mut self, id: &InstanceId, rng: &mut SmallRng) {
-        let place = rng.random_range(0..=self.round.len());
-        self.round.insert(place, id.clone());
+        let position = rng.random_range(0..=self.round.len());
+        self.round.insert(position, id.clone());
     }
 
-    /// The next target among `live`, or `None` if there is none.
+    /// Returns the next target accepted by `live`, or `None` if there is none.
     pub(crate) fn next_target<'a>(
         &mut self,
-        live: impl Fn(&InstanceId) -> bool,
+        is_live: impl Fn(&InstanceId) -> bool,
         all: impl Iterator<Item = &'a InstanceId>,
         rng: &mut SmallRng,
     ) -> Option<InstanceId> {
-        if let Some(id) = self.take(&live) {
+        if let Some(id) = self.pop_target(&is_live) {
             return Some(id);
         }
         self.round = all.cloned().collect();
         self.round.shuffle(rng);
-        self.take(&live)
+        self.pop_target(&is_live)
     }
 
-    fn take(&mut self, live: impl Fn(&InstanceId) -> bool) -> Option<InstanceId> {
+    fn pop_target(&mut self, is_live: impl Fn(&InstanceId) -> bool) -> Option<InstanceId> {
         while let Some(id) = self.urgent.pop_front().or_else(|| self.round.pop()) {
-            if live(&id) && !self.is_probing(&id) {
+            if is_live(&id) && !self.is_probing(&id) {
                 return Some(id);
             }
         }
@@ -89,7 +90,7 @@
         let outstanding = Outstanding {
             target,
             sent: now,
-            asked_others: false,
+            indirect_probes_sent: false,
         };
         self.outstanding.insert(nonce, outstanding);
         nonce
@@ -103,8 +104,8 @@
         self.outstanding.iter_mut().map(|(nonce, o)| (*nonce, o))
     }
 
-    /// Ends a probe that `subject` answered.
-    pub(crate) fn answered(&mut self, nonce: u64, subject: &InstanceId) {
+    /// Completes a probe that `subject` answered.
+    pub(crate) fn complete(&mut self, nonce: u64, subject: &InstanceId) {
         if self
             .outstanding
             .get(&nonce)
@@ -114,46 +115,47 @@
         }
     }
 
-    /// Ends the probes for which `is_over` holds and returns their targets.
-    pub(crate) fn take_failed(
+    /// Removes the probes for which `is_expired` holds and returns their targets.
+    pub(crate) fn take_expired(
         &mut self,
-        is_over: impl Fn(&Outstanding) -> bool,
+        is_expired: impl Fn(&Outstanding) -> bool,
     ) -> Vec<InstanceId> {
         let mut failed = Vec::new();
         self.outstanding.retain(|_, o| {
-            let over = is_over(o);
-            if over {
+            let expired = is_expired(o);
+            if expired {
                 failed.push(o.target.clone());
             }
-            !over
+            !expired
         });
         failed
     }
 
-    /// Remembers to pass on the answer of `subject`; `false` when too many are remembered already.
-    pub(crate) fn relay(
+    /// Registers a relayed probe of `subject`. Returns `false` if too many are pending.
+    pub(crate) fn add_relay(
         &mut self,
         now: MonoTime,
         nonce: u64,
         origin: SocketAddr,
         subject: InstanceId,
-        ends: MonoTime,
+        expires_at: MonoTime,
     ) -> bool {
-        self.relays.retain(|_, relay| relay.ends > now);
+        self.relays.retain(|_, relay| relay.expires_at > now);
         if self.relays.len() >= MAX_RELAYS {
             return false;
         }
         let relay = Relay {
             origin,
             subject,
-            ends,
+            expires_at,
         };
         self.relays.insert(nonce, relay);
         true
     }
 
-    /// Where to pass on an answer of `subject`, if it was asked for by another instance.
-    pub(crate) fn relayed(&mut self, nonce: u64, subject: &InstanceId) -> Option<SocketAddr> {
+    /// Returns the address to relay the reply of `subject` to, if another instance requested the
+    /// probe.
+    pub(crate) fn take_relay(&mut self, nonce: u64, subject: &InstanceId) -> Option<SocketAddr> {
         let origin = self
             .relays
             .get(&nonce)
@@ -163,7 +165,7 @@
         Some(origin)
     }
 
-    /// Forgets all probes under way: after a pause their timeouts say nothing.
+    /// Discards all pending probes. After a pause their timeouts are meaningless.
     pub(crate) fn reset(&mut self) {
         self.outstanding.clear();
         self.relays.clear();
--- a/crates/tc-membership/src/membership/receive.rs
+++ b/crates/tc-membership/src/membership/receive.rs
@@ -1,25 +1,26 @@
-//! What a received message does.
+//! Handling of received messages.
 
 use tc_protocol::{InstanceId, MonoTime};
 
 use super::{Membership, Message, MessageKind, Outgoing, Record};
 
 impl Membership {
-    /// Takes up a message and returns the answers to send.
+    /// Applies a message and returns the replies to send.
     pub fn handle(&mut self, now: MonoTime, message: &Message) -> Vec<Outgoing> {
         let from = &message.from;
         if self.is_me(from) {
             return Vec::new();
         }
         let refutation = self.me.refutation;
-        self.take_up(now, from);
-        self.note_heard(now, from);
+        self.apply_record(now, from);
+        self.update_last_heard(now, from);
         for change in &message.changes {
-            self.take_up(now, change);
+            self.apply_record(now, change);
         }
-        let mut out = self.answer(now, message);
+        let mut out = self.reply_to(now, message);
         if self.me.refutation != refutation {
-            // The accusation is on its way to all; so must the refutation be, or it comes too late for some.
+            // The suspicion is already spreading, so the refutation must spread as fast or reach
+            // some instances too late.
             if out.is_empty() {
                 out.push(self.send(from.member.fleet_address, MessageKind::Announcement, None));
             }
@@ -32,36 +33,36 @@
         from.member.id == self.me.member.id && from.member.incarnation == self.me.member.incarnation
     }
 
-    fn note_heard(&mut self, now: MonoTime, from: &Record) {
+    fn update_last_heard(&mut self, now: MonoTime, from: &Record) {
         if let Some(entry) = self.table.get_mut(&from.member.id)
             && entry.record.member.incarnation == from.member.incarnation
         {
-            entry.heard = Some(now);
+            entry.last_heard = Some(now);
         }
     }
 
-    fn answer(&mut self, now: MonoTime, message: &Message) -> Vec<Outgoing> {
+    fn reply_to(&mut self, now: MonoTime, message: &Message) -> Vec<Outgoing> {
         let from = &message.from.member;
-        let accused = self.accuses_sender(&message.from).then_some(&from.id);
+        let unrefuted = self.has_unrefuted_record(&message.from).then_some(&from.id);
         let reply = match &message.kind {
             MessageKind::Probe { nonce, .. } => Some(self.ack(*nonce)),
             MessageKind::IndirectProbe { nonce, subject } if *subject == self.me.member.id => {
                 Some(self.ack(*nonce))
             }
             MessageKind::IndirectProbe { nonce, subject } => {
-                return self.probe_for(now, &message.from, *nonce, subject);
+                return self.relay_probe(now, &message.from, *nonce, subject);
             }
             MessageKind::Ack { nonce, subject } => {
-                self.prober.answered(*nonce, subject);
-                if let Some(origin) = self.prober.relayed(*nonce, subject) {
+                self.prober.complete(*nonce, subject);
+                if let Some(origin) = self.prober.take_relay(*nonce, subject) {
                     return vec![self.send(origin, message.kind.clone(), Some(subject))];
                 }
                 None
             }
             MessageKind::Announcement => None,
         };
-        let reply = reply.or(accused.is_some().then_some(MessageKind::Announcement));
-        let reply = reply.map(|kind| self.send(from.fleet_address, kind, accused));
+        let reply = reply.or(unrefuted.is_some().then_some(MessageKind::Announcement));
+        let reply = reply.map(|kind| self.send(from.fleet_address, kind, unrefuted));
         reply.into_iter().collect()
     }
 
@@ -72,13 +73,14 @@
         }
     }
 
-    /// Whether the sender does not know what is held against it here; it can refute only what it is told.
-    fn accuses_sender(&self, from: &Record) -> bool {
+    /// Whether this instance holds a suspicion or death record that the sender has not refuted. The
+    /// sender can refute it only if it receives it.
+    fn has_unrefuted_record(&self, from: &Record) -> bool {
         let entry = self.table.get(&from.member.id);
-        entry.is_some_and(|e| e.claim_to_refute().supersedes(from))
+        entry.is_some_and(|e| e.record_to_refute().supersedes(from))
     }
 
-    fn probe_for(
+    fn relay_probe(
         &mut self,
         now: MonoTime,
         origin: &Record,
@@ -89,11 +91,11 @@
             return Vec::new();
         };
         let to = entry.record.member.fleet_address;
-        let ends = now.after(self.cfg.probe_deadline());
+        let expires_at = now.after(self.cfg.probe_deadline());
         let origin_address = origin.member.fleet_address;
         if !self
             .prober
-            .relay(now, nonce, origin_address, subject.clone(), ends)
+            .add_relay(now, nonce, origin_address, subject.clone(), expires_at)
         {
             return Vec::new();
         }
--- a/crates/tc-membership/src/membership/record.rs
+++ b/crates/tc-membership/src/membership/record.rs
@@ -1,23 +1,24 @@
-//! What is claimed of one member, and which of two claims holds.
+//! Member records and their precedence.
 
 use tc_protocol::{Incarnation, Member, MemberState};
 
-/// A claim about one member.
+/// State of one member as reported by some instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The member and the state it is claimed to be in.
+    /// The member, including its reported state.
     pub member: Member,
-    /// Raised by the member itself, to refute a suspicion or when it starts to leave.
+    /// Refutation number, which only the member itself raises: to refute a suspicion, or when it
+    /// starts or cancels a leave. SWIM calls this the incarnation number.
     pub refutation: u32,
-    /// Revision of the configuration in force there.
+    /// Configuration revision active at the member.
     pub revision: u64,
 }
 
-/// Order of claims: of two claims about a member, the one with the higher precedence holds.
+/// Total order of the records about one member: the one with the higher precedence wins.
 ///
-/// Only the member itself raises its refutation number and says whether it is alive or leaving, never both under the
-/// same number; so claims of equal precedence agree, and all instances that have heard the same claims, in whatever
-/// order, hold the same one.
+/// Only the member itself raises its refutation number and reports itself as alive or leaving, and
+/// never both under the same number. Records of equal precedence therefore agree, and instances
+/// that have received the same records, in any order, hold the same one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Precedence {
     incarnation: Incarnation,
@@ -43,8 +44,8 @@
         self.precedence() > other.precedence()
     }
 
-    /// Whether the claim says that the member does not answer.
-    pub(crate) fn accuses(&self) -> bool {
+    /// Whether the record reports the member as unresponsive.
+    pub(crate) fn is_suspect_or_dead(&self) -> bool {
         matches!(self.member.state, MemberState::Suspect | MemberState::Dead)
     }
 
--- a/crates/tc-membership/src/membership/table.rs
+++ b/crates/tc-membership/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! What this instance holds about the others.
+//! Table of the other instances.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -9,64 +9,67 @@
 
 use super::Record;
 
-/// A dead member is kept this many times longer than it is shown, so that old news cannot bring it back as new.
+/// Dead members are kept this many times longer than they are shown, so that outdated records
+/// cannot re-add them as new members.
 const TOMBSTONE_FACTOR: u32 = 8;
 
-/// A suspicion's course.
+/// A pending suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     pub(crate) since: MonoTime,
-    /// When the member is taken for dead; `None` until a probe of this instance itself has failed, after a pause.
-    pub(crate) ends: Option<MonoTime>,
+    /// When the member is declared dead. `None` after a pause, until a probe sent by this instance
+    /// has failed.
+    pub(crate) deadline: Option<MonoTime>,
 }
 
-/// One other instance.
+/// Table entry for one other instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    /// The claim that holds.
+    /// The record with the highest precedence received so far.
     pub(crate) record: Record,
-    /// It said that it is leaving, in this incarnation.
+    /// Whether the member announced its leave in this incarnation.
     leaving: bool,
-    /// Set while the claim is a suspicion.
+    /// Set while the record is a suspicion.
     pub(crate) suspicion: Option<Suspicion>,
-    /// Another instance says it is dead while it seems alive from here; decided by a probe.
-    pub(crate) disputed: Option<Record>,
-    /// When a message from itself last arrived.
-    pub(crate) heard: Option<MonoTime>,
+    /// Death record received for a member that appears alive here. A probe decides whether it is
+    /// accepted.
+    pub(crate) unconfirmed_death: Option<Record>,
+    /// When the last message sent by the member itself arrived.
+    pub(crate) last_heard: Option<MonoTime>,
     dead_since: Option<MonoTime>,
     hidden: bool,
 }
 
-/// What taking up a claim did.
+/// Result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Merged {
-    /// It is known, or older than what holds.
-    Nothing,
-    /// It is older than an accusation that holds.
-    Contradicts,
-    /// Only the revision is news.
-    Revision,
-    /// It holds from now on.
-    State,
-    /// A member that was not known.
-    Newcomer,
-    /// It says that a member is dead that seems alive from here.
-    Disputed,
+pub(crate) enum MergeOutcome {
+    /// The record is already known or outdated.
+    Unchanged,
+    /// The record is older than a suspicion or death record held here.
+    Outdated,
+    /// Only the revision is newer.
+    RevisionChanged,
+    /// The record replaced the previous one.
+    Replaced,
+    /// The member was not known before.
+    NewMember,
+    /// The record reports a member dead that appears alive here.
+    UnconfirmedDeath,
 }
 
 #[derive(Clone, Debug)]
-struct Listed {
+struct ListedInstance {
     address: SocketAddr,
     leaving: bool,
-    /// The life that was running when the list first said leaving, as far as known.
+    /// Incarnation that was running when the list first reported the instance as leaving, if known.
     leaving_incarnation: Option<Incarnation>,
 }
 
-/// All other instances, by identifier.
+/// All other instances, keyed by identifier.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     entries: BTreeMap<InstanceId, Entry>,
-    listed: BTreeMap<InstanceId, Listed>,
+    listed: BTreeMap<InstanceId, ListedInstance>,
     list_version: u64,
 }
 
@@ -87,24 +90,30 @@
         self.entries.iter_mut()
     }
 
-    /// Members that are not dead.
+    /// Returns the members that are not dead.
     pub(crate) fn live(&self) -> impl Iterator<Item = (&InstanceId, &Entry)> + Clone {
         self.entries.iter().filter(|(_, e)| !e.record.is_dead())
     }
 
-    /// Takes up a claim; `suspicion` is how long its subject may refute if it is a suspicion.
-    pub(crate) fn merge(&mut self, now: MonoTime, claim: &Record, suspicion: Duration) -> Merged {
-        let Some(entry) = self.entries.get_mut(&claim.member.id) else {
-            let mut entry = Entry::new(claim.clone());
-            entry.hold(now, claim.clone(), suspicion);
-            self.entries.insert(claim.member.id.clone(), entry);
-            return Merged::Newcomer;
+    /// Merges a received record. `suspicion_timeout` applies if the record is a suspicion.
+    pub(crate) fn merge(
+        &mut self,
+        now: MonoTime,
+        update: &Record,
+        suspicion_timeout: Duration,
+    ) -> MergeOutcome {
+        let Some(entry) = self.entries.get_mut(&update.member.id) else {
+            let mut entry = Entry::new(update.clone());
+            entry.replace(now, update.clone(), suspicion_timeout);
+            self.entries.insert(update.member.id.clone(), entry);
+            return MergeOutcome::NewMember;
         };
-        entry.merge(now, claim, suspicion)
+        entry.merge(now, update, suspicion_timeout)
     }
 
-    /// The member as shown: `None` when it is dead for so long that it is left out.
-    pub(crate) fn shown(&self, id: &InstanceId) -> Option<Member> {
+    /// Returns the member as listed to callers, or `None` once it has been dead for longer than the
+    /// retention.
+    pub(crate) fn visible_member(&self, id: &InstanceId) -> Option<Member> {
         let entry = self.entries.get(id).filter(|e| !e.hidden)?;
         let mut member = entry.record.member.clone();
         let leaving = entry.leaving || self.listed_leaving(id, member.incarnation);
@@ -114,15 +123,16 @@
         Some(member)
     }
 
-    /// Where to probe a member that is dead or not known but by the list.
-    pub(crate) fn contact_address(&self, id: &InstanceId) -> Option<SocketAddr> {
+    /// Returns the address for probing a member that is dead or known only from the list.
+    pub(crate) fn reconnect_address(&self, id: &InstanceId) -> Option<SocketAddr> {
         let listed = self.listed.get(id).map(|l| l.address);
         let known = || Some(self.entries.get(id)?.record.member.fleet_address);
         listed.or_else(known)
     }
 
-    /// Members that may exist but are not known to live: dead and still remembered, or only listed.
-    pub(crate) fn missing(&self) -> Vec<InstanceId> {
+    /// Returns members that may exist but are not known to be alive: dead ones still in the table,
+    /// and instances known only from the list.
+    pub(crate) fn reconnect_candidates(&self) -> Vec<InstanceId> {
         let dead = self.entries.iter().filter(|(_, e)| e.record.is_dead());
         let unknown = self
             .listed
@@ -131,13 +141,15 @@
         dead.map(|(id, _)| id).chain(unknown).cloned().collect()
     }
 
-    /// Replaces the list. Returns the identifiers that are new on it and not known, or `None` if it is an older list.
-    pub(crate) fn listed(
+    /// Replaces the instance list. Returns the identifiers that are new on it and not in the table,
+    /// or `None` if the list is outdated.
+    pub(crate) fn apply_instance_list(
         &mut self,
         list: &InstanceList,
         me: &InstanceId,
     ) -> Option<Vec<InstanceId>> {
-        // Answers of the platform can overtake each other; an old one would bring back instances long gone.
+        // Platform responses can arrive out of order, and an outdated list would bring back
+        // instances long gone.
         if list.version < self.list_version {
             return None;
         }
@@ -156,7 +168,7 @@
                 Some(before) => before.leaving_incarnation,
                 None => known,
             };
-            let entry = Listed {
+            let entry = ListedInstance {
                 address: instance.address,
                 leaving,
                 leaving_incarnation,
@@ -168,45 +180,46 @@
         Some(new)
     }
 
-    /// Whether the list says that this life of the member is leaving.
+    /// Whether the list reports this incarnation of the member as leaving.
     ///
-    /// The list names no incarnation and lags: after a restart it may still call the instance leaving for its
-    /// predecessor's sake, and the new one would get no work. So the word counts only for the life it was first said of.
+    /// The list carries no incarnation and lags. After a restart it may still report the instance
+    /// as leaving because of the previous incarnation, and the new one would receive no work. The
+    /// state therefore applies only to the incarnation it was first reported for.
     fn listed_leaving(&self, id: &InstanceId, incarnation: Incarnation) -> bool {
         self.listed.get(id).is_some_and(|listed| {
             listed.leaving && listed.leaving_incarnation.is_none_or(|i| incarnation <= i)
         })
     }
 
-    /// Leaves out members dead for longer than `retention`, and forgets those dead for much longer unless they are
-    /// listed. Returns those newly left out and those forgotten.
-    pub(crate) fn retire(&mut self, now: MonoTime, retention: Duration) -> Retired {
-        let mut retired = Retired::default();
-        let is_over =
+    /// Hides members dead for longer than `retention`, and removes those dead for
+    /// `TOMBSTONE_FACTOR` times as long unless they are listed.
+    pub(crate) fn prune(&mut self, now: MonoTime, retention: Duration) -> Pruned {
+        let mut pruned = Pruned::default();
+        let is_expired =
             |e: &Entry, after| e.dead_since.is_some_and(|since| now.since(since) >= after);
         for entry in self.entries.values_mut() {
-            if !entry.hidden && is_over(entry, retention) {
+            if !entry.hidden && is_expired(entry, retention) {
                 entry.hidden = true;
-                retired.hidden = true;
+                pruned.hidden = true;
             }
         }
         let listed = &self.listed;
         self.entries.retain(|id, e| {
-            let keep = listed.contains_key(id) || !is_over(e, retention * TOMBSTONE_FACTOR);
+            let keep = listed.contains_key(id) || !is_expired(e, retention * TOMBSTONE_FACTOR);
             if !keep {
-                retired.forgotten.push(id.clone());
+                pruned.removed.push(id.clone());
             }
             keep
         });
-        retired
+        pruned
     }
 }
 
-/// What [`Table::retire`] did.
+/// Result of [`Table::prune`].
 #[derive(Debug, Default)]
-pub(crate) struct Retired {
+pub(crate) struct Pruned {
     pub(crate) hidden: bool,
-    pub(crate) forgotten: Vec<InstanceId>,
+    pub(crate) removed: Vec<InstanceId>,
 }
 
 impl Entry {
@@ -215,75 +228,94 @@
             record,
             leaving: false,
             suspicion: None,
-            disputed: None,
-            heard: None,
+            unconfirmed_death: None,
+            last_heard: None,
             dead_since: None,
             hidden: false,
         }
     }
 
-    fn merge(&mut self, now: MonoTime, claim: &Record, suspicion: Duration) -> Merged {
-        let same_life = claim.member.incarnation == self.record.member.incarnation;
-        if same_life && claim.is_dead() && !self.record.accuses() && claim.supersedes(&self.record)
+    fn merge(
+        &mut self,
+        now: MonoTime,
+        update: &Record,
+        suspicion_timeout: Duration,
+    ) -> MergeOutcome {
+        let same_incarnation = update.member.incarnation == self.record.member.incarnation;
+        if same_incarnation
+            && update.is_dead()
+            && !self.record.is_suspect_or_dead()
+            && update.supersedes(&self.record)
         {
-            return self.dispute(claim);
+            return self.defer_death(update);
         }
-        if claim.supersedes(&self.record) {
-            self.hold(now, claim.clone(), suspicion);
-            return Merged::State;
+        if update.supersedes(&self.record) {
+            self.replace(now, update.clone(), suspicion_timeout);
+            return MergeOutcome::Replaced;
         }
-        if same_life && claim.revision > self.record.revision {
-            self.record.revision = claim.revision;
-            return Merged::Revision;
+        if same_incarnation && update.revision > self.record.revision {
+            self.record.revision = update.revision;
+            return MergeOutcome::RevisionChanged;
         }
-        if self.record.accuses() && self.record.supersedes(claim) {
-            return Merged::Contradicts;
+        if self.record.is_suspect_or_dead() && self.record.supersedes(update) {
+            return MergeOutcome::Outdated;
         }
-        Merged::Nothing
+        MergeOutcome::Unchanged
     }
 
-    /// A member that seems alive from here is called dead by others.
+    /// Stores a death record for a member that appears alive here until a probe confirms or refutes
+    /// it.
     ///
-    /// After two failure domains were cut from each other and are joined again, each still calls the other's members
-    /// dead. Believing it would spread over the whole fleet within a second, seen as every instance losing half the
-    /// others just when the network has come back. So the claim is kept apart, and a probe that carries it decides:
-    /// the member refutes it, or does not answer.
-    fn dispute(&mut self, claim: &Record) -> Merged {
-        if self.disputed.as_ref().is_some_and(|d| !claim.supersedes(d)) {
-            return Merged::Nothing;
+    /// After a network partition between two failure domains heals, each side still holds the
+    /// other's members as dead. If such records were accepted, they would spread through the fleet
+    /// within a second and every instance would lose half of the others just as the network
+    /// recovers. The record is therefore kept separately and sent with a probe: the member either
+    /// refutes it or does not reply.
+    fn defer_death(&mut self, update: &Record) -> MergeOutcome {
+        if self
+            .unconfirmed_death
+            .as_ref()
+            .is_some_and(|d| !update.supersedes(d))
+        {
+            return MergeOutcome::Unchanged;
         }
-        self.disputed = Some(claim.clone());
-        Merged::Disputed
+        self.unconfirmed_death = Some(update.clone());
+        MergeOutcome::UnconfirmedDeath
     }
 
-    /// Lets `claim` hold.
-    pub(crate) fn hold(&mut self, now: MonoTime, claim: Record, suspicion: Duration) {
-        let revision = if claim.member.incarnation == self.record.member.incarnation {
+    /// Replaces the record and resets the state derived from it.
+    pub(crate) fn replace(&mut self, now: MonoTime, update: Record, suspicion_timeout: Duration) {
+        let revision = if update.member.incarnation == self.record.member.incarnation {
             self.record.revision
         } else {
             self.leaving = false;
             0
         };
-        // Others' suspicion says nothing about what the member itself last said.
-        match claim.member.state {
+        // A suspicion or death reported by others does not change what the member last announced
+        // itself.
+        match update.member.state {
             MemberState::Leaving => self.leaving = true,
             MemberState::Alive => self.leaving = false,
             MemberState::Suspect | MemberState::Dead => {}
         }
-        self.suspicion = (claim.member.state == MemberState::Suspect).then(|| Suspicion {
+        self.suspicion = (update.member.state == MemberState::Suspect).then(|| Suspicion {
             since: now,
-            ends: Some(now.after(suspicion)),
+            deadline: Some(now.after(suspicion_timeout)),
         });
-        self.dead_since = claim.is_dead().then_some(now);
+        self.dead_since = update.is_dead().then_some(now);
         self.hidden = false;
-        self.disputed = self.disputed.take().filter(|d| d.supersedes(&claim));
-        self.record = claim;
-        // Whoever accuses a member may know an older revision of it than is known here.
+        self.unconfirmed_death = self
+            .unconfirmed_death
+            .take()
+            .filter(|d| d.supersedes(&update));
+        self.record = update;
+        // The sender of a suspicion or death record may know an older revision of the member than
+        // this instance.
         self.record.revision = self.record.revision.max(revision);
     }
 
-    /// The claim to tell the member itself, so that it can refute it.
-    pub(crate) fn claim_to_refute(&self) -> &Record {
-        self.disputed.as_ref().unwrap_or(&self.record)
+    /// Returns the record to send to the member itself so that it can refute it.
+    pub(crate) fn record_to_refute(&self) -> &Record {
+        self.unconfirmed_death.as_ref().unwrap_or(&self.record)
     }
 }
--- a/crates/tc-membership/src/membership/tick.rs
+++ b/crates/tc-membership/src/membership/tick.rs
@@ -1,4 +1,4 @@
-//! What the passing of time does: probes, timeouts, the end of suspicions.
+//! Timer-driven actions: probes, probe timeouts, expiry of suspicions and reconnects.
 
 use std::time::Duration;
 
@@ -7,44 +7,49 @@
 
 use super::{Membership, MessageKind, Outgoing, Record, dissemination::Urgency};
 
-/// Listed strangers probed per interval; a fresh instance with a long list must not flood the network.
-const STRANGERS_PER_INTERVAL: usize = 2;
-/// A member that is dead or only listed is tried again, one at a time, every so many intervals.
-const INTERVALS_PER_CONTACT: u32 = 5;
-/// Part by which the time to the next probe varies, so that instances do not fall into step.
+/// Number of listed but unprobed instances contacted per interval. The limit keeps a new instance
+/// with a long list from flooding the network.
+const UNPROBED_PER_INTERVAL: usize = 2;
+/// Dead or only listed members are retried one at a time, once per this many intervals.
+const INTERVALS_PER_RECONNECT: u32 = 5;
+/// Fraction by which the probe interval varies, so that instances do not synchronize.
 const JITTER: f64 = 0.1;
 
 impl Membership {
-    /// Does what is due at `now` and returns what to send. Call it at [`Membership::next_wake`], or earlier.
+    /// Performs the actions due at `now` and returns the messages to send. Call it at
+    /// [`Membership::next_wake`] or earlier.
     pub fn tick(&mut self, now: MonoTime) -> Vec<Outgoing> {
-        let mut out = self.ask_others(now);
-        out.extend(self.fail_probes(now));
-        out.extend(self.end_suspicions(now));
+        let mut out = self.send_indirect_probes(now);
+        out.extend(self.expire_probes(now));
+        out.extend(self.expire_suspicions(now));
         if now >= self.next_probe {
             out.extend(self.probe(now));
         }
-        if now >= self.next_contact {
-            out.extend(self.contact(now));
+        if now >= self.next_reconnect {
+            out.extend(self.reconnect(now));
         }
-        self.retire(now);
+        self.prune(now);
         out
     }
 
-    /// When [`Membership::tick`] has something to do next.
+    /// Returns when [`Membership::tick`] has to be called next.
     #[must_use]
     pub fn next_wake(&self) -> MonoTime {
         let probes = self.prober.outstanding().map(|o| {
-            let wait = if o.asked_others {
+            let wait = if o.indirect_probes_sent {
                 self.cfg.probe_deadline()
             } else {
                 self.cfg.probe_timeout
             };
             o.sent.after(wait)
         });
-        let suspicions = self.table.entries().filter_map(|(_, e)| e.suspicion?.ends);
+        let suspicions = self
+            .table
+            .entries()
+            .filter_map(|(_, e)| e.suspicion?.deadline);
         probes
             .chain(suspicions)
-            .chain([self.next_probe, self.next_contact])
+            .chain([self.next_probe, self.next_reconnect])
             .min()
             .unwrap_or_default()
     }
@@ -52,33 +57,37 @@
     fn probe(&mut self, now: MonoTime) -> Option<Outgoing> {
         let target = self.next_target();
         self.last_probe = now;
-        self.next_probe = now.after(self.jittered(self.interval()));
-        if self.prober.is_hurried() {
+        self.next_probe = now.after(self.jittered(self.probe_interval()));
+        if self.prober.has_urgent_targets() {
             let soon = now.after(self.cfg.probe_interval / 8);
             self.next_probe = self.next_probe.min(soon);
         }
         let target = target?;
         let entry = self.table.get(&target)?;
         let to = entry.record.member.fleet_address;
-        let accused = entry.claim_to_refute().accuses().then_some(&target);
+        let suspected = entry
+            .record_to_refute()
+            .is_suspect_or_dead()
+            .then_some(&target);
         let nonce = self.prober.start(now, target.clone(), &mut self.rng);
         let kind = MessageKind::Probe {
             nonce,
             relayed_for: None,
         };
-        Some(self.send(to, kind, accused))
+        Some(self.send(to, kind, suspected))
     }
 
-    /// Alternates between the next member in order of identifier and one by chance.
+    /// Alternates between the successor in identifier order and a random member.
     ///
-    /// Were all chosen by chance, a dead member would now and then go unprobed for several intervals; this way the one
-    /// before it in order probes it within two. Chance is still needed to spread news.
+    /// With random targets only, a dead member would occasionally go unprobed for several
+    /// intervals. This way its predecessor probes it within two. Random targets are still needed to
+    /// spread updates.
     fn next_target(&mut self) -> Option<InstanceId> {
-        self.neighbour_next = !self.neighbour_next;
-        if self.neighbour_next && !self.prober.is_hurried() {
-            let neighbour = self.neighbour()?.clone();
-            if !self.prober.is_probing(&neighbour) {
-                return Some(neighbour);
+        self.probe_successor_next = !self.probe_successor_next;
+        if self.probe_successor_next && !self.prober.has_urgent_targets() {
+            let successor = self.successor()?.clone();
+            if !self.prober.is_probing(&successor) {
+                return Some(successor);
             }
         }
         let table = &self.table;
@@ -87,8 +96,8 @@
         self.prober.next_target(is_live, all, &mut self.rng)
     }
 
-    /// The member that is not dead after this one in order of identifier, the first coming after the last.
-    fn neighbour(&self) -> Option<&InstanceId> {
+    /// Returns the next member that is not dead in identifier order, wrapping around at the end.
+    fn successor(&self) -> Option<&InstanceId> {
         let me = &self.me.member.id;
         let mut live = self.table.live().map(|(id, _)| id);
         let first = live.clone().next();
@@ -99,20 +108,21 @@
         wait.mul_f64(self.rng.random_range(1.0 - JITTER..1.0 + JITTER))
     }
 
-    /// Asks others to probe in our place what has not answered in time, and tries once more directly: a lost datagram
-    /// must not look like a lost instance, nor a broken path from here.
-    fn ask_others(&mut self, now: MonoTime) -> Vec<Outgoing> {
+    /// Requests indirect probes of the targets that have not replied in time, and probes them
+    /// directly once more, so that neither a lost datagram nor a broken path from here looks like a
+    /// failed instance.
+    fn send_indirect_probes(&mut self, now: MonoTime) -> Vec<Outgoing> {
         let timeout = self.cfg.probe_timeout;
-        let mut late = Vec::new();
+        let mut overdue = Vec::new();
         for (nonce, outstanding) in self.prober.outstanding_mut() {
-            if !outstanding.asked_others && now.since(outstanding.sent) >= timeout {
-                outstanding.asked_others = true;
-                late.push((nonce, outstanding.target.clone()));
+            if !outstanding.indirect_probes_sent && now.since(outstanding.sent) >= timeout {
+                outstanding.indirect_probes_sent = true;
+                overdue.push((nonce, outstanding.target.clone()));
             }
         }
         let mut out = Vec::new();
-        for (nonce, target) in late {
-            for (_, to) in self.some_peers(self.cfg.fanout, Some(&target)) {
+        for (nonce, target) in overdue {
+            for (_, to) in self.sample_peers(self.cfg.fanout, Some(&target)) {
                 let kind = MessageKind::IndirectProbe {
                     nonce,
                     subject: target.clone(),
@@ -132,9 +142,9 @@
         out
     }
 
-    fn fail_probes(&mut self, now: MonoTime) -> Vec<Outgoing> {
+    fn expire_probes(&mut self, now: MonoTime) -> Vec<Outgoing> {
         let deadline = self.cfg.probe_deadline();
-        let failed = self.prober.take_failed(|o| now.since(o.sent) >= deadline);
+        let failed = self.prober.take_expired(|o| now.since(o.sent) >= deadline);
         failed
             .iter()
             .flat_map(|id| self.probe_failed(now, id))
@@ -142,84 +152,95 @@
     }
 
     fn probe_failed(&mut self, now: MonoTime, id: &InstanceId) -> Vec<Outgoing> {
-        let ends = now.after(self.cfg.suspicion_among(self.size()));
+        let deadline = now.after(self.cfg.scaled_suspicion_timeout(self.live_count()));
         let Some(entry) = self.table.get_mut(id) else {
             return Vec::new();
         };
-        if let Some(claim) = entry.disputed.take() {
-            return self.accuse(now, claim);
+        if let Some(record) = entry.unconfirmed_death.take() {
+            return self.store_and_announce(now, record);
         }
         if let Some(suspicion) = &mut entry.suspicion {
-            suspicion.ends.get_or_insert(ends);
+            suspicion.deadline.get_or_insert(deadline);
             return Vec::new();
         }
-        if entry.record.accuses() {
+        if entry.record.is_suspect_or_dead() {
             return Vec::new();
         }
-        let mut claim = entry.record.clone();
-        claim.member.state = MemberState::Suspect;
-        self.accuse(now, claim)
+        let mut record = entry.record.clone();
+        record.member.state = MemberState::Suspect;
+        self.store_and_announce(now, record)
     }
 
-    fn end_suspicions(&mut self, now: MonoTime) -> Vec<Outgoing> {
-        let wait = self.cfg.suspicion_among(self.size());
+    fn expire_suspicions(&mut self, now: MonoTime) -> Vec<Outgoing> {
+        let wait = self.cfg.scaled_suspicion_timeout(self.live_count());
         let mut dead = Vec::new();
         let mut heard = Vec::new();
         for (id, entry) in self.table.entries_mut() {
             let Some(suspicion) = &mut entry.suspicion else {
                 continue;
             };
-            if suspicion.ends.is_none_or(|ends| ends > now) {
+            if suspicion.deadline.is_none_or(|deadline| deadline > now) {
                 continue;
             }
-            // It has sent us something since, so it lives; only its refutation is missing.
-            if entry.heard.is_some_and(|heard| heard > suspicion.since) {
+            // The member has sent a message since, so it is alive and only its refutation is
+            // missing.
+            if entry
+                .last_heard
+                .is_some_and(|heard| heard > suspicion.since)
+            {
                 suspicion.since = now;
-                suspicion.ends = Some(now.after(wait));
+                suspicion.deadline = Some(now.after(wait));
                 heard.push(id.clone());
                 continue;
             }
-            let mut claim = entry.record.clone();
-            claim.member.state = MemberState::Dead;
-            dead.push(claim);
+            let mut record = entry.record.clone();
+            record.member.state = MemberState::Dead;
+            dead.push(record);
         }
         for id in &heard {
-            self.hurry(now, id);
+            self.probe_soon(now, id);
         }
         dead.into_iter()
-            .flat_map(|claim| self.accuse(now, claim))
+            .flat_map(|record| self.store_and_announce(now, record))
             .collect()
     }
 
-    /// Lets an accusation hold and tells it to some at once.
-    fn accuse(&mut self, now: MonoTime, claim: Record) -> Vec<Outgoing> {
-        let size = self.size();
-        let id = claim.member.id.clone();
-        let suspicion = self.cfg.suspicion_among(size);
+    /// Stores a suspicion or death record and announces it immediately to some instances.
+    fn store_and_announce(&mut self, now: MonoTime, record: Record) -> Vec<Outgoing> {
+        let size = self.live_count();
+        let id = record.member.id.clone();
+        let suspicion_timeout = self.cfg.scaled_suspicion_timeout(size);
         if let Some(entry) = self.table.get_mut(&id) {
-            entry.hold(now, claim, suspicion);
+            entry.replace(now, record, suspicion_timeout);
         }
         self.changed = true;
         self.queue.push(&id, Urgency::Urgent, size);
         self.announce(self.cfg.fanout, Some(&id))
     }
 
-    /// Probes instances that may exist but are not known to live; nothing follows if they do not answer.
+    /// Probes instances that may exist but are not known to be alive. A missing reply has no
+    /// effect.
     ///
-    /// Without it, two parts of the fleet that were cut from each other would each call the other dead for ever.
-    fn contact(&mut self, now: MonoTime) -> Vec<Outgoing> {
-        let count = STRANGERS_PER_INTERVAL.min(self.strangers.len());
-        let mut targets: Vec<_> = self.strangers.drain(..count).collect();
-        let interval = self.interval();
+    /// Without these probes, the two sides of a healed partition would consider each other dead
+    /// forever.
+    fn reconnect(&mut self, now: MonoTime) -> Vec<Outgoing> {
+        let count = UNPROBED_PER_INTERVAL.min(self.unprobed.len());
+        let mut targets: Vec<_> = self.unprobed.drain(..count).collect();
+        let interval = self.probe_interval();
         let mut wait = interval;
         if targets.is_empty() {
-            targets.extend(self.table.missing().choose(&mut self.rng).cloned());
-            wait = interval * INTERVALS_PER_CONTACT;
+            targets.extend(
+                self.table
+                    .reconnect_candidates()
+                    .choose(&mut self.rng)
+                    .cloned(),
+            );
+            wait = interval * INTERVALS_PER_RECONNECT;
         }
-        self.next_contact = now.after(self.jittered(wait));
+        self.next_reconnect = now.after(self.jittered(wait));
         let mut out = Vec::new();
         for id in targets {
-            let Some(to) = self.table.contact_address(&id) else {
+            let Some(to) = self.table.reconnect_address(&id) else {
                 continue;
             };
             let kind = MessageKind::Probe {
@@ -231,10 +252,10 @@
         out
     }
 
-    fn retire(&mut self, now: MonoTime) {
-        let retired = self.table.retire(now, self.cfg.dead_retention);
-        self.changed |= retired.hidden;
-        for id in &retired.forgotten {
+    fn prune(&mut self, now: MonoTime) {
+        let pruned = self.table.prune(now, self.cfg.dead_retention);
+        self.changed |= pruned.hidden;
+        for id in &pruned.removed {
             self.queue.remove(id);
         }
     }
--- a/crates/tc-membership/src/order.rs
+++ b/crates/tc-membership/src/order.rs
@@ -1,29 +1,30 @@
-//! Fencing of orders at the home of an upstream that does not check fencing numbers itself.
+//! Fencing of orders by the home of an upstream that does not check fencing tokens itself.
 
 use thiserror::Error;
 
-/// The order's fencing number is below one already seen: its sender has lost its lease.
+/// The order's fencing token is lower than one already seen: its sender has lost the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the order is fenced off: fencing number {highest} was seen before")]
+#[error("the fencing token is stale: {highest} has already been seen")]
 pub struct StaleFence {
-    /// Highest number seen.
+    /// Highest fencing token seen.
     pub highest: u64,
 }
 
-/// Remembers the highest fencing number seen for one upstream.
+/// Tracks the highest fencing token seen for one upstream.
 ///
-/// A holder that was paused past the end of its lease may still send its order, after its successor's. An upstream
-/// that ignores fencing numbers would obey and be left in the older state; so all orders go through the home, and the
-/// home refuses.
+/// A lease holder that was paused past the end of its lease may send its order after its
+/// successor's. An upstream that ignores fencing tokens would execute it and be left in the older
+/// state. All orders therefore go through the home, which rejects stale ones.
 #[derive(Clone, Debug, Default)]
 pub struct OrderGuard {
     highest: u64,
 }
 
 impl OrderGuard {
-    /// A guard that starts at the fencing number of the plan in the platform.
+    /// Creates a guard that starts at the fencing token of the plan stored in the platform.
     ///
-    /// A new home has seen no orders; starting at zero it would let pass one that its predecessor would have refused.
+    /// A new home has seen no orders. Starting at zero, it would accept an order that its
+    /// predecessor would have rejected.
     #[must_use]
     pub fn new(plan_fence: u64) -> Self {
         Self {
@@ -31,15 +32,16 @@
         }
     }
 
-    /// Records a number seen in the plan.
+    /// Records a fencing token seen in the plan.
     pub fn observe(&mut self, fence: u64) {
         self.highest = self.highest.max(fence);
     }
 
-    /// Lets an order pass if no higher number was seen; the same number may pass again, orders being idempotent.
+    /// Accepts an order unless a higher token was seen. The same token is accepted again, since
+    /// orders are idempotent.
     ///
     /// # Errors
-    /// [`StaleFence`] when a higher number was seen.
+    /// Returns [`StaleFence`] if a higher token was seen.
     ///
     /// ```
     /// use tc_membership::{OrderGuard, StaleFence};
--- a/crates/tc-membership/src/pause.rs
+++ b/crates/tc-membership/src/pause.rs
@@ -1,13 +1,14 @@
-//! Notices that this process was paused.
+//! Detection of process pauses.
 
 use std::time::Duration;
 
 use tc_protocol::MonoTime;
 
-/// Compares the times of regular beats.
+/// Detects pauses from the gaps between regular heartbeats.
 ///
-/// A paused process (a stopped virtual machine, a stalled scheduler) goes on as if no time had passed: it would act on
-/// a lease that lapsed and call others dead whose answers it did not read. The gap between two beats shows it.
+/// A paused process (a stopped virtual machine, a stalled scheduler) continues as if no time had
+/// passed. It would act on an expired lease, and declare instances dead whose replies it has not
+/// read. The gap between two heartbeats reveals the pause.
 #[derive(Clone, Debug)]
 pub struct PauseDetector {
     threshold: Duration,
@@ -15,7 +16,7 @@
 }
 
 impl PauseDetector {
-    /// Reports gaps longer than `threshold`; beats must come well inside it.
+    /// Reports gaps longer than `threshold`. Heartbeats must come at much shorter intervals.
     #[must_use]
     pub fn new(threshold: Duration) -> Self {
         Self {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Records a beat. Returns the gap since the last one if it is longer than the threshold.
+    /// Records a heartbeat. Returns the gap since the last one if it exceeds the threshold.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/tc-membership/src/placement.rs
+++ b/crates/tc-membership/src/placement.rs
@@ -1,19 +1,21 @@
-//! Placement of roles on instances by rendezvous hashing: no election, and only the roles of an instance that goes
-//! are moved.
+//! Placement of roles on instances by rendezvous hashing. No election is needed, and losing an
+//! instance moves only the roles it held.
 
 use tc_protocol::{FailureDomain, Member, Region};
 
 use crate::rank::{rank, usable};
 
-/// What is less than this part of the strongest is weak: a home that moves there would take four times as long for each call.
-const WEAK_PART: u32 = 4;
+/// Members with less than `1 / WEAK_DIVISOR` of the greatest strength are weak: a home that moved
+/// there would take four times as long for each call.
+const WEAK_DIVISOR: u32 = 4;
 const HOME_ROLE: &str = "home";
 const WATCHER_ROLE: &str = "watcher";
 
-/// The instance that holds the role named by `key`, or `None` when no instance is usable.
+/// Returns the instance that holds the role named by `key`, or `None` if no instance is usable.
 ///
-/// Candidates are the alive members of the failure domain; when it has none, those of the region; when that has none,
-/// all. Suspected members are candidates only while no member at all is alive; leaving and dead ones never are.
+/// Candidates are the alive members of the failure domain, else those of the region, else all.
+/// Suspected members are candidates only while no member at all is alive. Leaving and dead members
+/// never are.
 ///
 /// ```
 /// use tc_membership::home_of;
@@ -28,51 +30,57 @@
 ) -> Option<&'a Member> {
     let usable = usable(members);
     let in_domain = || {
-        best(key, usable.iter().copied(), |m| {
+        highest_scored(key, usable.iter().copied(), |m| {
             Some(&m.failure_domain) == failure_domain
         })
     };
-    let in_region = || best(key, usable.iter().copied(), |m| Some(&m.region) == region);
+    let in_region = || highest_scored(key, usable.iter().copied(), |m| Some(&m.region) == region);
     in_domain()
         .or_else(in_region)
-        .or_else(|| best(key, usable.iter().copied(), |_| true))
+        .or_else(|| highest_scored(key, usable.iter().copied(), |_| true))
 }
 
-fn best<'a>(
+fn highest_scored<'a>(
     key: &str,
     members: impl Iterator<Item = &'a Member>,
-    admits: impl Fn(&Member) -> bool,
+    is_candidate: impl Fn(&Member) -> bool,
 ) -> Option<&'a Member> {
-    let admitted: Vec<&Member> = members.filter(|m| admits(m)).collect();
-    let weak_below = weak_below(&admitted);
-    let strong = admitted.into_iter().filter(|m| m.strength >= weak_below);
+    let candidates: Vec<&Member> = members.filter(|m| is_candidate(m)).collect();
+    let min_strength = min_strength(&candidates);
+    let strong = candidates
+        .into_iter()
+        .filter(|m| m.strength >= min_strength);
     strong.max_by(|a, b| {
-        let (of_a, of_b) = (weighted(key, a), weighted(key, b));
-        of_a.total_cmp(&of_b).then_with(|| a.id.cmp(&b.id))
+        let (score_a, score_b) = (weighted_score(key, a), weighted_score(key, b));
+        score_a.total_cmp(&score_b).then_with(|| a.id.cmp(&b.id))
     })
 }
 
-/// Members of less strength hold no role while there are stronger ones.
+/// Returns the strength below which members hold no role while stronger ones exist.
 ///
-/// Weighing alone does not keep roles off them: of 295 instances 277 may be weak, and together they then hold one home in
-/// thirty. Such a home has an eighth of a core and a link of 20 Mbit/s for 3,000 pieces a second. It never catches up, its
-/// callers' connections time out and are made anew, and every request of its service waits until the next restart.
-pub(crate) fn weak_below(members: &[&Member]) -> u32 {
+/// Weighting alone does not keep roles off weak members: 277 of 295 instances may be weak, and
+/// together they then hold one home in thirty. Such a home has an eighth of a core and a 20 Mbit/s
+/// link for 3,000 pieces per second. It never catches up, its callers' connections time out and are
+/// re-established, and every request of its service waits until the next restart.
+pub(crate) fn min_strength(members: &[&Member]) -> u32 {
     let strongest = members.iter().map(|member| member.strength).max();
-    strongest.unwrap_or_default() / WEAK_PART
+    strongest.unwrap_or_default() / WEAK_DIVISOR
 }
 
-/// Score of a member for a key: in proportion to their strength, members have the highest one.
+/// Weighted rendezvous score of a member for a key. The probability of having the highest score is
+/// proportional to the member's strength.
 ///
-/// Instances differ by five times in processor and a hundred times in network. A home on the weakest would delay every
-/// call of its service: 250 to 590 ms were seen on an eighth of a core behind 10 Mbit/s.
-pub(crate) fn weighted(key: &str, member: &Member) -> f64 {
-    // Evenly between 0 and 1, neither included.
-    let even = (rank(HOME_ROLE, key, member.id.as_str()) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-    f64::from(member.strength.max(1)) / -even.min(1.0 - f64::EPSILON).ln()
+/// Instances differ by a factor of five in CPU and a hundred in network bandwidth. A home on the
+/// weakest would delay every call of its service: 250 to 590 ms on an eighth of a core behind 10
+/// Mbit/s.
+pub(crate) fn weighted_score(key: &str, member: &Member) -> f64 {
+    // Uniformly distributed between 0 and 1, both exclusive.
+    let uniform = (rank(HOME_ROLE, key, member.id.as_str()) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+    f64::from(member.strength.max(1)) / -uniform.min(1.0 - f64::EPSILON).ln()
 }
 
-/// The `count` instances of a failure domain that watch the platform for a new configuration, best rank first.
+/// Returns the `count` instances of a failure domain that watch the platform for new
+/// configurations, highest rank first.
 ///
 /// ```
 /// use tc_membership::config_watchers;
--- a/crates/tc-membership/src/plan.rs
+++ b/crates/tc-membership/src/plan.rs
@@ -1,4 +1,5 @@
-//! Which model each engine should have loaded: by demand, with hysteresis, never below a model's floor.
+//! Model placement: which model each engine should have loaded, by demand, with hysteresis and a
+//! minimum number of engines per model.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,46 +8,46 @@
 
 use tc_protocol::{MonoTime, UpstreamId};
 
-/// In sharing out engines, one that a model has already counts for this much more demand, in engines, and one that it
-/// would gain for as much less. Without it, demand that wavers around the point where an engine would move would
-/// reload weights over and over.
+/// Demand bonus, in engines, for an engine that a model already has; the same amount is subtracted
+/// for an engine it would gain. Without it, demand fluctuating around the point where an engine
+/// changes models would reload weights over and over.
 const HYSTERESIS: f64 = 0.25;
-/// Wait after a failed load before the engine is ordered again.
+/// Delay before a load is ordered again for the same engine.
 const LOAD_RETRY: Duration = Duration::from_secs(5);
 
-/// What is needed of one model.
+/// Requirements of one model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelRequirements {
     /// Version that engines should have loaded.
     pub version: String,
-    /// Engines that must keep it loaded at least.
+    /// Minimum number of engines that keep the model loaded.
     pub floor: u32,
-    /// Engines its calls would keep busy; fractions count.
+    /// Number of engines that the model's calls would keep busy; may be fractional.
     pub demand: f64,
 }
 
-/// One engine as last reported.
+/// Last reported state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineState {
-    /// The engine.
+    /// Identifier of the engine.
     pub id: UpstreamId,
-    /// Models loaded, as `name@version`.
+    /// Loaded models, as `name@version`.
     pub loaded: Vec<String>,
 }
 
-/// One load to order.
+/// A model load to order from an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelLoad {
-    /// The engine.
+    /// Identifier of the engine.
     pub upstream: UpstreamId,
-    /// The model to have loaded, as `name@version`.
+    /// Model to load, as `name@version`.
     pub model: String,
 }
 
-/// The desired model of each engine, and the loads that are still to be done.
+/// The desired model of each engine, and the loads still to be done.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Model name by engine.
+    /// Desired model name for each engine.
     pub desired: BTreeMap<UpstreamId, String>,
     /// Loads not yet reported as done, most urgent first.
     pub pending: Vec<ModelLoad>,
@@ -54,17 +55,18 @@
 }
 
 impl Plan {
-    /// The loads to order now: the first of those pending, so that at most `max` are in progress at once.
+    /// Returns the loads to order now: the first pending ones, so that at most `max` are in
+    /// progress at once.
     ///
-    /// The weight store is rate-limited: more loads at once would make every one of them slow.
+    /// The weight store is rate-limited, so more concurrent loads would slow down all of them.
     ///
     /// ```
     /// use std::collections::BTreeMap;
     /// use tc_membership::{EngineState, ModelRequirements, Plan, plan};
     /// use tc_protocol::MonoTime;
-    /// let need = ModelRequirements { version: "2".into(), floor: 2, demand: 0.5 };
+    /// let requirements = ModelRequirements { version: "2".into(), floor: 2, demand: 0.5 };
     /// let engines = ["e1", "e2"].map(|id| EngineState { id: id.into(), loaded: vec![] });
-    /// let plan = plan(&BTreeMap::from([("draft".into(), need)]), &engines, &Plan::default());
+    /// let plan = plan(&BTreeMap::from([("draft".into(), requirements)]), &engines, &Plan::default());
     /// assert_eq!(plan.next_loads(MonoTime::default(), 0, 1).len(), 1);
     /// assert!(plan.next_loads(MonoTime::default(), 1, 1).is_empty());
     /// ```
@@ -82,29 +84,30 @@
             .collect()
     }
 
-    /// A load was ordered and failed, or was ordered and will take a while: leave it out for some time.
+    /// Excludes an engine from [`Plan::next_loads`] for a few seconds, after its load has failed or
+    /// was ordered and takes time to finish.
     pub fn defer(&mut self, now: MonoTime, upstream: &UpstreamId) {
         self.retry_at
             .insert(upstream.clone(), now.after(LOAD_RETRY));
     }
 
-    fn count_of(&self, model: &str) -> usize {
+    fn planned_engines(&self, model: &str) -> usize {
         self.desired.values().filter(|m| *m == model).count()
     }
 }
 
-/// Plans the engines of one service.
+/// Assigns the engines of one service to models.
 ///
-/// Floors come first, in order of model name when there are too few engines for all. Engines beyond the floors go
-/// where demand per engine is highest. An engine keeps its model when the model is to keep that many engines; it is
-/// moved only when another model needs it.
+/// Floors are met first, in order of model name if there are too few engines. The remaining engines
+/// go to the models with the highest unmet demand. An engine keeps its model while the model's
+/// engine count allows it and is moved only when another model needs it.
 ///
 /// ```
 /// use std::collections::BTreeMap;
 /// use tc_membership::{EngineState, ModelRequirements, Plan, plan};
-/// let need = ModelRequirements { version: "2".into(), floor: 1, demand: 0.5 };
+/// let requirements = ModelRequirements { version: "2".into(), floor: 1, demand: 0.5 };
 /// let engines = [EngineState { id: "e1".into(), loaded: vec![] }];
-/// let plan = plan(&BTreeMap::from([("draft".into(), need)]), &engines, &Plan::default());
+/// let plan = plan(&BTreeMap::from([("draft".into(), requirements)]), &engines, &Plan::default());
 /// assert_eq!(plan.pending[0].model, "draft@2");
 /// ```
 #[must_use]
@@ -117,10 +120,11 @@
     let desired = assign(models, engines, previous, targets);
     let pending = pending(models, engines, &desired);
     let mut retry_at = previous.retry_at.clone();
-    // The wait is for the load that was ordered: another model or version for the same engine is not put off.
+    // The retry delay applies to the load that was ordered; a different model or version for the
+    // same engine is not delayed.
     retry_at.retain(|id, _| {
-        let mut same = pending.iter().filter(|load| load.upstream == *id);
-        same.any(|load| previous.pending.contains(load))
+        let mut loads_of_engine = pending.iter().filter(|load| load.upstream == *id);
+        loads_of_engine.any(|load| previous.pending.contains(load))
     });
     Plan {
         desired,
@@ -129,23 +133,23 @@
     }
 }
 
-/// Number of engines for each model; their sum is `engines` unless there is no model.
+/// Returns the number of engines for each model. They add up to `engines` unless there is no model.
 fn targets<'a>(
     models: &'a BTreeMap<String, ModelRequirements>,
     engines: usize,
     previous: &Plan,
 ) -> BTreeMap<&'a str, usize> {
-    let mut left = engines;
+    let mut remaining = engines;
     let mut targets = BTreeMap::new();
-    for (name, need) in models {
-        let floor = (need.floor as usize).min(left);
-        left -= floor;
+    for (name, requirements) in models {
+        let floor = (requirements.floor as usize).min(remaining);
+        remaining -= floor;
         targets.insert(name.as_str(), floor);
     }
-    while left > 0 {
-        // Demand not yet met, with a bonus for engines the model has already: the hysteresis.
+    while remaining > 0 {
+        // Unmet demand, with the hysteresis bonus for engines that the model already has.
         let unmet = |name: &str, target: usize| {
-            let has_more = previous.count_of(name) > target;
+            let has_more = previous.planned_engines(name) > target;
             let bonus = if has_more { HYSTERESIS } else { -HYSTERESIS };
             models[name].demand - target as f64 + bonus
         };
@@ -156,12 +160,13 @@
             break;
         };
         *target += 1;
-        left -= 1;
+        remaining -= 1;
     }
     targets
 }
 
-/// Gives each engine a model: engines that have or should have had it keep it, up to its target; the rest fill up.
+/// Assigns a model to each engine. Engines that have the model loaded or planned keep it, up to the
+/// model's engine count; the rest fill the remaining places.
 fn assign(
     models: &BTreeMap<String, ModelRequirements>,
     engines: &[EngineState],
@@ -169,54 +174,60 @@
     mut targets: BTreeMap<&str, usize>,
 ) -> BTreeMap<UpstreamId, String> {
     let mut desired = BTreeMap::new();
-    for reason in [Reason::Keep, Reason::Loaded, Reason::Ordered, Reason::Room] {
+    for engine_match in [
+        EngineMatch::LoadedAndPlanned,
+        EngineMatch::Loaded,
+        EngineMatch::Planned,
+        EngineMatch::Any,
+    ] {
         for engine in engines {
             if desired.contains_key(&engine.id) {
                 continue;
             }
             let fits = |name: &str| {
-                let loaded = engine.loaded.contains(&label(name, &models[name]));
-                let ordered = previous.desired.get(&engine.id).is_some_and(|m| m == name);
-                reason.holds(loaded, ordered)
+                let loaded = engine.loaded.contains(&versioned_name(name, &models[name]));
+                let planned = previous.desired.get(&engine.id).is_some_and(|m| m == name);
+                engine_match.accepts(loaded, planned)
             };
-            let Some((name, left)) = targets
+            let Some((name, remaining)) = targets
                 .iter_mut()
-                .find(|(name, left)| **left > 0 && fits(name))
+                .find(|(name, remaining)| **remaining > 0 && fits(name))
             else {
                 continue;
             };
-            *left -= 1;
+            *remaining -= 1;
             desired.insert(engine.id.clone(), (*name).to_owned());
         }
     }
     desired
 }
 
-/// Why an engine is given a model, best reason first.
+/// Match between an engine and a model, best first.
 #[derive(Clone, Copy, Debug)]
-enum Reason {
-    /// It was to have it and has it.
-    Keep,
-    /// It has it.
+enum EngineMatch {
+    /// The model is loaded and was planned for the engine.
+    LoadedAndPlanned,
+    /// The model is loaded.
     Loaded,
-    /// It was to have it.
-    Ordered,
-    /// The model needs one more.
-    Room,
+    /// The model was planned for the engine.
+    Planned,
+    /// Any engine, if the model still needs one.
+    Any,
 }
 
-impl Reason {
-    fn holds(self, loaded: bool, ordered: bool) -> bool {
+impl EngineMatch {
+    fn accepts(self, loaded: bool, planned: bool) -> bool {
         match self {
-            Self::Keep => loaded && ordered,
+            Self::LoadedAndPlanned => loaded && planned,
             Self::Loaded => loaded,
-            Self::Ordered => ordered,
-            Self::Room => true,
+            Self::Planned => planned,
+            Self::Any => true,
         }
     }
 }
 
-/// Loads still to be done: first for models that have fewest engines ready above their floor.
+/// Returns the loads still to be done, starting with the models that have the fewest ready engines
+/// relative to their floor.
 fn pending(
     models: &BTreeMap<String, ModelRequirements>,
     engines: &[EngineState],
@@ -229,7 +240,7 @@
         let Some(name) = desired.get(&engine.id) else {
             continue;
         };
-        if engine.loaded.contains(&label(name, &models[name])) {
+        if engine.loaded.contains(&versioned_name(name, &models[name])) {
             *ready.entry(name).or_default() += 1;
         } else {
             missing.push((engine, name));
@@ -247,12 +258,12 @@
         *ready.entry(name).or_default() += 1;
         loads.push(ModelLoad {
             upstream: engine.id.clone(),
-            model: label(name, &models[name]),
+            model: versioned_name(name, &models[name]),
         });
     }
     loads
 }
 
-fn label(name: &str, need: &ModelRequirements) -> String {
-    format!("{name}@{}", need.version)
+fn versioned_name(name: &str, requirements: &ModelRequirements) -> String {
+    format!("{name}@{}", requirements.version)
 }
--- a/crates/tc-membership/src/rank.rs
+++ b/crates/tc-membership/src/rank.rs
@@ -1,11 +1,11 @@
-//! Rendezvous ranks: a stable pseudo-random order of candidates for each key.
+//! Rendezvous hashing: a stable pseudo-random order of candidates for each key.
 
 use tc_protocol::{Member, MemberState};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Rank of `candidate` for `key` in the role `role`; the highest wins.
+/// Returns the rank of `candidate` for `key` in `role`. The highest rank wins.
 ///
-/// Each part is preceded by its length, so that no two different triples hash the same bytes.
+/// Each part is prefixed with its length, so that no two different triples hash the same bytes.
 pub(crate) fn rank(role: &str, key: &str, candidate: &str) -> u64 {
     let mut hasher = Xxh3::new();
     for part in [role, key, candidate] {
@@ -15,7 +15,7 @@
     hasher.digest()
 }
 
-/// Members that answer probes or, when there are none at all, those under suspicion.
+/// Returns the alive members or, if there are none, the suspected ones.
 pub(crate) fn usable(members: &[Member]) -> Vec<&Member> {
     let in_state = |state| members.iter().filter(move |m| m.state == state);
     let alive: Vec<_> = in_state(MemberState::Alive).collect();
--- a/crates/tc-membership/src/shuffle_shard.rs
+++ b/crates/tc-membership/src/shuffle_shard.rs
@@ -1,4 +1,4 @@
-//! The addresses a workspace's callers are told: a shuffle shard of the instances.
+//! Shuffle sharding: the instances whose addresses are given to the callers of a workspace.
 
 use std::{
     cmp::Reverse,
@@ -11,15 +11,16 @@
 
 const INSTANCE_ROLE: &str = "shard-instance";
 const DOMAIN_ROLE: &str = "shard-domain";
-/// With fewer, the loss of one instance would leave callers without an address until they ask again.
-const MIN_SHARD: usize = 2;
+/// With fewer, losing one instance would leave callers without an address until their next lookup.
+const MIN_SHARD_SIZE: usize = 2;
 
-/// Instances that callers of `workspace` should use, best first.
+/// Returns the instances that callers of `workspace` should use, best first.
 ///
-/// The shard has `weight * shard_size` instances, at least two where there are two, taken in turn from the failure
-/// domains. It holds alive members, or suspected ones when no member is alive. Which instances are in it depends only
-/// on the workspace and the members, so every instance answers the same; the order puts those in the failure domain
-/// `near` first, then those in its region. When an instance goes, one other takes its place.
+/// The shard has `weight * shard_size` instances, at least two if available, picked round-robin
+/// across the failure domains. It contains alive members, or suspected ones if no member is alive.
+/// The selection depends only on the workspace and the members, so every instance returns the same
+/// set. Instances in `preferred_domain` are ordered first, then those in its region. When an
+/// instance is lost, one other takes its place.
 ///
 /// ```
 /// use tc_membership::shuffle_shard;
@@ -31,22 +32,27 @@
     weight: u32,
     shard_size: u32,
     members: &'a [Member],
-    near: &FailureDomain,
+    preferred_domain: &FailureDomain,
 ) -> Vec<&'a Member> {
     let size = (weight as usize)
         .saturating_mul(shard_size as usize)
-        .max(MIN_SHARD);
-    let mut shard = take_in_turn(by_domain(workspace, members), size);
-    let near_region = members
+        .max(MIN_SHARD_SIZE);
+    let mut shard = take_round_robin(by_domain(workspace, members), size);
+    let preferred_region = members
         .iter()
-        .find(|m| m.failure_domain == *near)
+        .find(|m| m.failure_domain == *preferred_domain)
         .map(|m| &m.region);
-    // The sort is stable: instances at the same distance keep the order in which they were taken.
-    shard.sort_by_key(|m| (m.failure_domain != *near, Some(&m.region) != near_region));
+    // The sort is stable: instances at the same distance keep their order of selection.
+    shard.sort_by_key(|m| {
+        (
+            m.failure_domain != *preferred_domain,
+            Some(&m.region) != preferred_region,
+        )
+    });
     shard
 }
 
-/// Usable members of each failure domain by rank, the domains themselves by rank.
+/// Returns the usable members of each failure domain by rank, with the domains ordered by rank.
 fn by_domain<'a>(workspace: &WorkspaceName, members: &'a [Member]) -> Vec<VecDeque<&'a Member>> {
     let key = workspace.as_str();
     let mut ranked = usable(members);
@@ -54,22 +60,22 @@
     let mut domains: BTreeMap<(Reverse<u64>, &FailureDomain), VecDeque<&Member>> = BTreeMap::new();
     for member in ranked {
         let domain = &member.failure_domain;
-        let place = (Reverse(rank(DOMAIN_ROLE, key, domain.as_str())), domain);
-        domains.entry(place).or_default().push_back(member);
+        let domain_order = (Reverse(rank(DOMAIN_ROLE, key, domain.as_str())), domain);
+        domains.entry(domain_order).or_default().push_back(member);
     }
     domains.into_values().collect()
 }
 
-fn take_in_turn(mut domains: Vec<VecDeque<&Member>>, size: usize) -> Vec<&Member> {
+fn take_round_robin(mut domains: Vec<VecDeque<&Member>>, size: usize) -> Vec<&Member> {
     let mut shard = Vec::new();
     while shard.len() < size {
         let before = shard.len();
-        let room = size - before;
+        let remaining = size - before;
         shard.extend(
             domains
                 .iter_mut()
                 .filter_map(VecDeque::pop_front)
-                .take(room),
+                .take(remaining),
         );
         if shard.len() == before {
             break;
--- a/crates/tc-membership/src/store_source.rs
+++ b/crates/tc-membership/src/store_source.rs
@@ -1,9 +1,9 @@
-//! Which instances watch the store, and from whom the others hear what it says.
+//! Selection of the instances that watch the store, and of the sources that other instances follow.
 //!
-//! Each change that a watch brings is a call of every instance that watches. With one watch an instance, a change costs as
-//! many calls as there are instances, and a list of hundreds of upstreams is read page by page by each: most of what a fleet
-//! of hundreds spends on the store. A few instances watch instead and pass on what changes; the rest watch only when nobody
-//! tells them anything.
+//! Every change costs one store call per watching instance. If each instance had its own watch, a
+//! change would cost as many calls as there are instances, and each would read a list of hundreds
+//! of upstreams page by page: most of what a fleet of hundreds spends on the store. Instead, a few
+//! instances watch and relay changes. The others watch only while no source keeps them up to date.
 
 use std::{
     cmp::Reverse,
@@ -14,18 +14,19 @@
 use tc_protocol::{FailureDomain, InstanceId, Member, MonoTime};
 
 use crate::{
-    placement::{weak_below, weighted},
+    placement::{min_strength, weighted_score},
     rank::{rank, usable},
 };
 
-/// Instances that watch the store: with four, one that is left passes changes on while a third of the fleet is cut off or
-/// restarts, in 99 cases of 100.
-const WATCHERS: usize = 4;
+/// Number of instances that watch the store. With four, at least one remains to relay changes in 99
+/// of 100 cases where a third of the fleet is partitioned or restarting.
+const WATCHER_COUNT: usize = 4;
 const WATCHER_ROLE: &str = "watcher of the store";
 const SOURCE_ROLE: &str = "source";
 
-/// The instances that watch the store, best first: strong ones, in as many failure domains as there are. Weak ones only when there
-/// are too few others: a list of hundreds of upstreams for dozens of followers is seconds of a slow link.
+/// Returns the instances that watch the store, best first: strong ones, spread over as many failure
+/// domains as possible. Weak ones are used only if there are too few others, because sending a list
+/// of hundreds of upstreams to dozens of followers takes seconds on a slow link.
 ///
 /// ```
 /// use tc_membership::store_watchers;
@@ -35,51 +36,55 @@
 pub fn store_watchers(members: &[Member]) -> Vec<&Member> {
     let mut ranked: Vec<(f64, &Member)> = usable(members)
         .into_iter()
-        .map(|member| (weighted(WATCHER_ROLE, member), member))
+        .map(|member| (weighted_score(WATCHER_ROLE, member), member))
         .collect();
     ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.id.cmp(&b.1.id)));
-    let weak_below = weak_below(&usable(members));
-    let mut of_domain: HashMap<&FailureDomain, usize> = HashMap::new();
-    let mut by_turn: Vec<(bool, usize, &Member)> = ranked
+    let min_strength = min_strength(&usable(members));
+    let mut taken_by_domain: HashMap<&FailureDomain, usize> = HashMap::new();
+    let mut by_position: Vec<(bool, usize, &Member)> = ranked
         .into_iter()
         .map(|(_, member)| {
-            let turn = of_domain.entry(&member.failure_domain).or_default();
-            *turn += 1;
-            (member.strength < weak_below, *turn, member)
+            let position = taken_by_domain.entry(&member.failure_domain).or_default();
+            *position += 1;
+            (member.strength < min_strength, *position, member)
         })
         .collect();
-    // The sort is stable: the best of each domain first, then the second best of each; weak ones last.
-    by_turn.sort_by_key(|(weak, turn, _)| (*weak, *turn));
-    by_turn.truncate(WATCHERS);
-    by_turn.into_iter().map(|(.., member)| member).collect()
+    // The sort is stable: the best of each domain first, then the second best of each, with weak
+    // members last.
+    by_position.sort_by_key(|(is_weak, position, _)| (*is_weak, *position));
+    by_position.truncate(WATCHER_COUNT);
+    by_position.into_iter().map(|(.., member)| member).collect()
 }
 
-/// Times that decide when another source is chosen and when the store is read.
+/// Durations that control when another source is chosen and when the store is read directly.
 ///
-/// An instance's state of the store is *confirmed* as of a time if it is known to include every change that the store had
-/// accepted by then.
+/// An instance's copy of the store is *confirmed* as of a time if it is known to include every
+/// change that the store had accepted by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SourceTiming {
-    /// Time between two words of a source that has no news.
+    /// Interval between the messages of a source that has no changes to report.
     pub heartbeat_interval: Duration,
-    /// A source that says nothing for so long is given up.
+    /// Time without messages after which a source is abandoned.
     pub silence_timeout: Duration,
-    /// Age of a source's confirmation from which another source is chosen.
+    /// Age of a source's confirmation at which another source is chosen.
     pub stale_after: Duration,
-    /// Age of the newest confirmation from any source from which an instance reads the store itself.
+    /// Age of the newest confirmation from any source at which an instance watches the store
+    /// itself.
     pub watch_after: Duration,
-    /// Age of its own confirmation from which the first watcher lists the store.
+    /// Age of its own confirmation at which the first watcher lists the store.
     pub list_after: Duration,
-    /// Added to `list_after` for each hop from the first watcher, so that another instance lists only if the first cannot.
+    /// Added to `list_after` for each hop from the first watcher, so that another instance lists
+    /// the store only if the first cannot.
     pub list_delay_per_hop: Duration,
 }
 
 impl SourceTiming {
-    /// Times that fit within the bound by which a change of the store is to count everywhere.
+    /// Returns durations that keep within `bound`, the maximum time until a store change takes
+    /// effect everywhere.
     ///
-    /// A watcher gathers changes for a quarter of the bound. With the times below an instance whose source has died, was
-    /// cut off or is no longer answered by the store has another or its own list after half of it, so that a quarter is
-    /// left for slow calls.
+    /// A watcher batches changes for a quarter of the bound. With these durations, an instance
+    /// whose source has died, is partitioned or no longer gets answers from the store has another
+    /// source or its own listing after half of the bound, which leaves a quarter for slow calls.
     #[must_use]
     pub fn within(bound: Duration) -> Self {
         Self {
@@ -94,14 +99,15 @@
 }
 
 #[derive(Clone, Debug)]
-struct Source {
+struct CurrentSource {
     id: InstanceId,
-    heard: MonoTime,
-    /// Its last reported confirmation; before its first message, the time at which it was chosen.
+    last_heard: MonoTime,
+    /// Last confirmation reported by the source or, before its first message, the time when it was
+    /// chosen.
     confirmed: MonoTime,
 }
 
-/// One instance's choice of where it hears of the store from.
+/// Source selection of one instance.
 ///
 /// ```
 /// use std::time::Duration;
@@ -110,59 +116,60 @@
 /// let start = MonoTime::from_millis(1_000);
 /// let timing = SourceTiming::within(Duration::from_secs(2));
 /// let source = StoreSource::new("kl-a-1".into(), timing, start);
-/// assert!(!source.should_watch(start), "others may be about to tell");
+/// assert!(!source.should_watch(start), "a source may still confirm");
 /// assert!(source.should_watch(start.after(Duration::from_millis(1_001))));
 /// ```
 #[derive(Clone, Debug)]
 pub struct StoreSource {
     me: InstanceId,
     timing: SourceTiming,
-    /// This instance's place among those that watch; `None` if it is not one of them.
-    watcher_place: Option<usize>,
-    /// Whether it knows the members well enough to say so. A fleet that starts knows few in its first moments, and each would
-    /// take itself for one of the best.
+    /// Position of this instance among the watchers, or `None` if it is not one of them.
+    watcher_index: Option<usize>,
+    /// Whether this instance knows enough members to determine the watchers. While a fleet starts,
+    /// each instance knows few others and would consider itself one of the best.
     is_settled: bool,
-    /// Whom to follow, best first.
+    /// Possible sources, best first.
     candidates: Vec<InstanceId>,
-    current: Option<Source>,
+    current: Option<CurrentSource>,
     /// Newest confirmation reported by any source.
-    confirmed: MonoTime,
+    newest_confirmation: MonoTime,
     avoided_until: BTreeMap<InstanceId, MonoTime>,
 }
 
 impl StoreSource {
-    /// An instance that knows no others yet.
+    /// Creates the state of an instance that knows no others yet.
     #[must_use]
     pub fn new(me: InstanceId, timing: SourceTiming, now: MonoTime) -> Self {
         Self {
             me,
             timing,
-            watcher_place: None,
+            watcher_index: None,
             is_settled: false,
             candidates: Vec::new(),
             current: None,
-            confirmed: now,
+            newest_confirmation: now,
             avoided_until: BTreeMap::new(),
         }
     }
 
-    /// Takes up who there is.
+    /// Updates the watchers and candidate sources from the member list.
     pub fn update_members(&mut self, members: &[Member]) {
         let watchers = store_watchers(members);
-        let my_place = watchers.iter().position(|w| w.id == self.me);
-        self.watcher_place = my_place;
+        let own_index = watchers.iter().position(|w| w.id == self.me);
+        self.watcher_index = own_index;
         let mut candidates: Vec<&Member> = watchers;
-        if let Some(place) = my_place {
-            // Each watcher follows the next, so that what one of them sees reaches all of them.
-            candidates.rotate_left(place);
+        if let Some(index) = own_index {
+            // Each watcher follows the next one, so that a change seen by one of them reaches all
+            // of them.
+            candidates.rotate_left(index);
             candidates.remove(0);
         } else {
-            let my_domain = members.iter().find(|m| m.id == self.me);
-            let my_domain = my_domain.map(|me| &me.failure_domain);
+            let own_domain = members.iter().find(|m| m.id == self.me);
+            let own_domain = own_domain.map(|me| &me.failure_domain);
             candidates.sort_by_key(|member| {
-                let is_far = Some(&member.failure_domain) != my_domain;
-                let order = rank(SOURCE_ROLE, self.me.as_str(), member.id.as_str());
-                (is_far, Reverse(order))
+                let in_other_domain = Some(&member.failure_domain) != own_domain;
+                let score = rank(SOURCE_ROLE, self.me.as_str(), member.id.as_str());
+                (in_other_domain, Reverse(score))
             });
         }
         self.candidates = candidates.into_iter().map(|m| m.id.clone()).collect();
@@ -170,16 +177,16 @@
         self.current.take_if(|c| !candidates.contains(&c.id));
     }
 
-    /// From now on this instance knows the members as well as others do.
+    /// Marks the member list as complete enough to determine the watchers.
     pub fn mark_settled(&mut self) {
         self.is_settled = true;
     }
 
-    /// Whom to follow now; the caller follows nobody else.
+    /// Returns the source to follow now. The caller follows no other instance.
     pub fn source(&mut self, now: MonoTime) -> Option<InstanceId> {
         if let Some(current) = &self.current {
             let id = current.id.clone();
-            if now.since(current.heard) > self.timing.silence_timeout {
+            if now.since(current.last_heard) > self.timing.silence_timeout {
                 self.source_failed(now, &id);
             } else if self.is_stale(now, current.confirmed) {
                 self.avoid(now, &id, self.timing.heartbeat_interval);
@@ -190,83 +197,89 @@
         self.avoided_until.retain(|_, until| *until > now);
         let avoided = &self.avoided_until;
         let next = self.candidates.iter().find(|id| !avoided.contains_key(*id));
-        self.current = next.map(|id| Source {
+        self.current = next.map(|id| CurrentSource {
             id: id.clone(),
-            heard: now,
+            last_heard: now,
             confirmed: now,
         });
         next.cloned()
     }
 
-    /// Whether a source with this confirmation is to be replaced. A watcher keeps following the next one, however old its
-    /// confirmation is.
+    /// Whether a source with this confirmation is to be replaced. A watcher keeps following the
+    /// next one, however old its confirmation is.
     fn is_stale(&self, now: MonoTime, confirmed: MonoTime) -> bool {
-        self.watcher_place.is_none() && now.since(confirmed) >= self.timing.stale_after
+        self.watcher_index.is_none() && now.since(confirmed) >= self.timing.stale_after
     }
 
-    /// A source sent a message; its state is confirmed as of `confirmed`.
+    /// Records a message from a source whose copy is confirmed as of `confirmed`.
     pub fn note_confirmation(&mut self, now: MonoTime, from: &InstanceId, confirmed: MonoTime) {
         let Some(current) = self.current.as_mut().filter(|c| c.id == *from) else {
             return;
         };
-        current.heard = now;
+        current.last_heard = now;
         current.confirmed = confirmed;
-        self.confirmed = self.confirmed.max(confirmed);
+        self.newest_confirmation = self.newest_confirmation.max(confirmed);
         if self.is_stale(now, confirmed) {
             self.avoid(now, from, self.timing.heartbeat_interval);
         }
     }
 
-    /// The process was absent, and its clock may not show how old the confirmations are. Unless a source reports one
-    /// within a beat, this instance reads the store itself.
+    /// Handles a resume after a pause, when the clock may not show how old the confirmations are.
+    /// Unless a source reports one within a heartbeat interval, this instance reads the store
+    /// itself.
     pub fn resumed(&mut self, now: MonoTime) {
         self.current = None;
-        let patience_left = self
+        let confirmation_age = self
             .timing
             .watch_after
             .saturating_sub(self.timing.heartbeat_interval);
-        self.confirmed = self.confirmed.min(now.before(patience_left));
+        self.newest_confirmation = self.newest_confirmation.min(now.before(confirmation_age));
     }
 
-    /// A source cannot be reached, ended, or was silent: another is taken, and this one not for a while.
+    /// Reports that a source is unreachable, ended the stream or timed out. Another one is chosen,
+    /// and this one is avoided for a while.
     pub fn source_failed(&mut self, now: MonoTime, from: &InstanceId) {
         self.avoid(now, from, self.timing.silence_timeout);
     }
 
-    fn avoid(&mut self, now: MonoTime, source: &InstanceId, time: Duration) {
-        self.avoided_until.insert(source.clone(), now.after(time));
+    fn avoid(&mut self, now: MonoTime, source: &InstanceId, duration: Duration) {
+        self.avoided_until
+            .insert(source.clone(), now.after(duration));
         self.current.take_if(|c| c.id == *source);
     }
 
-    /// Whether this instance watches the store itself.
+    /// Returns whether this instance should watch the store itself.
     #[must_use]
     pub fn should_watch(&self, now: MonoTime) -> bool {
-        let is_watcher = self.watcher_place.is_some() && self.is_settled;
-        is_watcher || now.since(self.confirmed) >= self.timing.watch_after
+        let is_watcher = self.watcher_index.is_some() && self.is_settled;
+        is_watcher || now.since(self.newest_confirmation) >= self.timing.watch_after
     }
 
-    /// Age of its confirmation from which this instance, while it watches, lists the store as well.
+    /// Returns the age of its confirmation at which this instance, while it watches, also lists the
+    /// store.
     ///
-    /// A watch that is never answered looks like a store without changes. The list of the first watcher confirms the state
-    /// of all instances; each of the others waits longer by its hops from the first, so that it lists only if that fails.
+    /// A watch that is never answered is indistinguishable from a store without changes. The
+    /// listing of the first watcher confirms the state of all instances. Each of the others waits
+    /// longer by its number of hops from the first, so that it lists only if the first one fails.
     #[must_use]
     pub fn list_after(&self) -> Duration {
-        let hops = match self.watcher_place {
+        let hops = match self.watcher_index {
             Some(0) => 0,
-            // Each watcher follows the next, and the last one follows the first.
-            Some(place) => WATCHERS - place,
-            None => WATCHERS,
+            // Each watcher follows the next one, and the last one follows the first.
+            Some(index) => WATCHER_COUNT - index,
+            None => WATCHER_COUNT,
         };
         self.timing.list_after + self.timing.list_delay_per_hop * hops as u32
     }
 
-    /// How long [`StoreSource::source`] and [`StoreSource::should_watch`] may go unasked.
+    /// Returns the time until [`StoreSource::source`] and [`StoreSource::should_watch`] must be
+    /// checked again.
     #[must_use]
     pub fn next_check_in(&self, now: MonoTime) -> Duration {
-        let patience_ends = self.confirmed.after(self.timing.watch_after);
+        let watch_from = self.newest_confirmation.after(self.timing.watch_after);
         let source = self.current.as_ref();
         let stale_from = source.map(|source| source.confirmed.after(self.timing.stale_after));
-        let due = [Some(patience_ends), stale_from].into_iter().flatten();
+        let due = [Some(watch_from), stale_from].into_iter().flatten();
         let upcoming = due.map(|at| at.since(now)).filter(|left| !left.is_zero());
         upcoming
             .min()
--- a/crates/tc-membership/src/view_sync.rs
+++ b/crates/tc-membership/src/view_sync.rs
@@ -1,43 +1,49 @@
-//! When an instance compares its list of members with another's.
+//! Scheduling of member list comparisons between instances.
 //!
-//! Probes carry news, three records each. An instance that starts together with many others is introduced while the
-//! one that introduces it knows only those that came before; from then on it hears of about one member a second, and it
-//! places roles among the few that it knows. Seen as two homes of one service for the rest of a day: calls of the second
-//! wait at upstreams that the first takes for free. So lists are compared, as digests, until they agree, and now and then
-//! after that.
+//! Probes carry only three records each. When many instances start together, a new one is
+//! introduced by an instance that knows only those that started earlier. Without comparisons it
+//! then learns of about one member per second and places roles among the few it knows. This led to
+//! two homes for one service for the rest of a day, where calls of the second home wait at
+//! upstreams that the first considers free. Lists are therefore compared by digest until they
+//! agree, and periodically after that.
 
 use std::time::Duration;
 
 use tc_protocol::MonoTime;
 
-/// Wait until the first comparison, and again after each that brought news: an instance that was introduced among
-/// hundreds knows them all after a few, and until then it takes the wrong instances for homes.
-const FIRST: Duration = Duration::from_millis(80);
-/// Longest wait. Two digests a few seconds apart are 50 bytes a second; two lists that differ in one record are told so
-/// within it, where the records on probes take a minute among hundreds.
-const LONGEST: Duration = Duration::from_secs(4);
-/// Longest wait while lists differ, though the other's told nothing new: a third may know what both of them lack.
-const LONGEST_UNLIKE: Duration = Duration::from_millis(500);
-/// Lists that must be found the same, without news between them, before the members count as known: two that have just
-/// started often know the same few.
+/// Delay before the first comparison, and after each one that brought new records. An instance
+/// introduced to a fleet of hundreds knows all members after a few comparisons, and until then
+/// picks the wrong homes.
+const INITIAL_WAIT: Duration = Duration::from_millis(80);
+/// Maximum delay. Two digests every few seconds cost 50 bytes per second. Two lists that differ in
+/// one record are reconciled within this time, while the records on probes take a minute in a fleet
+/// of hundreds.
+const MAX_WAIT: Duration = Duration::from_secs(4);
+/// Maximum delay while the lists differ although the other's had nothing new: a third instance may
+/// have records that both are missing.
+const MAX_WAIT_WHILE_DIFFERENT: Duration = Duration::from_millis(500);
+/// Number of comparisons that must find the same list, without new records in between, before the
+/// members count as known. Two instances that have just started often know the same few members.
 const SETTLED_AFTER: u32 = 2;
-/// Part by which waits vary, so that instances that start together do not ask in step.
+/// Relative width of the range by which delays vary, so that instances that start together do not
+/// compare in lockstep.
 const JITTER: f64 = 0.5;
 
-/// What a comparison brought.
+/// Result of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ComparisonOutcome {
-    /// The other's list has the same members.
+    /// Both lists have the same members.
     Same,
-    /// It differs, and told something that was not known here.
+    /// The lists differ, and the other's added something new.
     Updated,
-    /// It differs, but told nothing new: the other knows less, or what it tells is disputed.
+    /// The lists differ, but the other's added nothing: it has fewer members, or its records await
+    /// confirmation.
     Unchanged,
-    /// The other did not answer.
+    /// The other instance did not reply.
     NoAnswer,
 }
 
-/// The times of comparisons.
+/// Schedule of member list comparisons.
 ///
 /// ```
 /// use tc_membership::{ComparisonOutcome, ViewSync};
@@ -54,61 +60,65 @@
 /// sync.record(sync.next_comparison(), ComparisonOutcome::Updated, 0.5);
 /// let shorter = sync.next_comparison();
 /// sync.record(shorter, ComparisonOutcome::Updated, 0.5);
-/// assert!(longer > sync.next_comparison().since(shorter), "lists that agree are compared less often");
+/// assert!(longer > sync.next_comparison().since(shorter), "equal lists are compared less often");
 /// ```
 #[derive(Clone, Debug)]
 pub struct ViewSync {
     wait: Duration,
     next: MonoTime,
-    /// Comparisons in a row that brought no news and found the same list, up to [`SETTLED_AFTER`].
-    same: u32,
+    /// Comparisons that found the same list with no new records in between, up to
+    /// [`SETTLED_AFTER`].
+    same_count: u32,
 }
 
 impl ViewSync {
-    /// `chance` is between 0 and 1, as in [`ViewSync::record`].
+    /// Creates a schedule that starts at `now`. `random` is between 0 and 1, as in
+    /// [`ViewSync::record`].
     #[must_use]
-    pub fn new(now: MonoTime, chance: f64) -> Self {
+    pub fn new(now: MonoTime, random: f64) -> Self {
         let mut sync = Self {
-            wait: FIRST,
+            wait: INITIAL_WAIT,
             next: now,
-            same: 0,
+            same_count: 0,
         };
-        sync.schedule(now, chance);
+        sync.schedule(now, random);
         sync
     }
 
-    /// When to compare next.
+    /// Returns when to compare next.
     #[must_use]
     pub fn next_comparison(&self) -> MonoTime {
         self.next
     }
 
-    /// Whether this instance has come to know the same members as others, at some time since it started.
+    /// Returns whether this instance has, at some point since it started, known the same members as
+    /// others.
     #[must_use]
     pub fn is_settled(&self) -> bool {
-        self.same >= SETTLED_AFTER
+        self.same_count >= SETTLED_AFTER
     }
 
-    /// Takes up what a comparison brought; `chance`, between 0 and 1, varies the wait until the next.
-    pub fn record(&mut self, now: MonoTime, outcome: ComparisonOutcome, chance: f64) {
+    /// Records the result of a comparison. `random`, between 0 and 1, varies the delay until the
+    /// next one.
+    pub fn record(&mut self, now: MonoTime, outcome: ComparisonOutcome, random: f64) {
         if !self.is_settled() {
             match outcome {
-                ComparisonOutcome::Same => self.same += 1,
-                ComparisonOutcome::Updated => self.same = 0,
+                ComparisonOutcome::Same => self.same_count += 1,
+                ComparisonOutcome::Updated => self.same_count = 0,
                 ComparisonOutcome::Unchanged | ComparisonOutcome::NoAnswer => {}
             }
         }
         self.wait = match outcome {
-            _ if !self.is_settled() => FIRST,
-            ComparisonOutcome::Updated | ComparisonOutcome::NoAnswer => FIRST,
-            ComparisonOutcome::Unchanged => (self.wait * 2).min(LONGEST_UNLIKE),
-            ComparisonOutcome::Same => (self.wait * 2).min(LONGEST),
+            _ if !self.is_settled() => INITIAL_WAIT,
+            ComparisonOutcome::Updated | ComparisonOutcome::NoAnswer => INITIAL_WAIT,
+            ComparisonOutcome::Unchanged => (self.wait * 2).min(MAX_WAIT_WHILE_DIFFERENT),
+            ComparisonOutcome::Same => (self.wait * 2).min(MAX_WAIT),
         };
-        self.schedule(now, chance);
+        self.schedule(now, random);
     }
 
-    fn schedule(&mut self, now: MonoTime, chance: f64) {
-        let varied = 1.0 + JITTER * (chance - 0.5);
-        self.next = now.after(self.wait.mul_f64(varied));
+    fn schedule(&mut self, now: MonoTime, random: f64) {
+        let factor = 1.0 + JITTER * (random - 0.5);
+        self.next = now.after(self.wait.mul_f64(factor));
     }
 }
--- a/crates/tc-membership/tests/config_puller.rs
+++ b/crates/tc-membership/tests/config_puller.rs
@@ -1,4 +1,5 @@
-//! Configuration spread: whom an instance pulls from, and that it never goes back.
+//! Configuration pulls: which source an instance pulls from, and that it never reverts to an older
+//! revision.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
     name.into()
 }
 
-/// An instance with revision 3 in force that has heard of 5 at `a` and 4 at `b`.
+/// Returns an instance with revision 3 active that knows of revision 5 at `a` and 4 at `b`.
 fn behind() -> ConfigPuller {
     let mut puller = ConfigPuller::new(1);
     assert!(puller.activate(3));
@@ -23,11 +24,10 @@
 
 #[test]
 fn never_applies_a_lower_revision() {
-    // Symptom: an accepted configuration reverts somewhere.
-    // Sequence: answers to several pulls arrive out of order, the older one last, or twice.
-    // Cause: the answer that came last is taken for the newest.
+    // Guards against reverting to an older configuration because the last response is taken for the
+    // newest. Responses to several pulls arrive out of order or twice.
     let mut puller = ConfigPuller::new(1);
-    for (revision, applied, in_force) in [
+    for (revision, applied, active_revision) in [
         (4, true, 4),
         (3, false, 4),
         (4, false, 4),
@@ -35,15 +35,14 @@
         (5, false, 6),
     ] {
         assert_eq!(puller.activate(revision), applied);
-        assert_eq!(puller.active_revision(), in_force);
+        assert_eq!(puller.active_revision(), active_revision);
     }
 }
 
 #[test]
 fn pulls_the_newest_then_others_then_the_platform() {
-    // Symptom: a new configuration never reaches an instance though others have it.
-    // Sequence: the instance that has it dies or refuses during the pull.
-    // Cause: the same source is tried for ever.
+    // Guards against an instance never getting a configuration that others have, because it keeps
+    // trying the same source, which died or refuses.
     let mut puller = behind();
     assert_eq!(puller.next_pull(NOW, false, true), Pull::Peer(peer("a")));
     assert_eq!(
@@ -63,7 +62,7 @@
     assert_eq!(
         puller.next_pull(NOW, false, false),
         Pull::Nothing,
-        "the store is out"
+        "the store is unreachable"
     );
     assert_eq!(puller.next_pull(NOW, false, true), Pull::Platform);
     assert_eq!(
@@ -74,10 +73,9 @@
 }
 
 #[test]
-fn lost_end_of_a_pull_times_out() {
-    // Symptom: an instance stays on an old configuration for good.
-    // Sequence: a pull starts; its task is dropped, so neither success nor failure is told.
-    // Cause: the pull counts as in progress for ever.
+fn pull_without_a_result_times_out() {
+    // Guards against an instance staying on an old configuration forever, because its pull was
+    // dropped without reporting a result and still counts as in progress.
     let mut puller = behind();
     assert_eq!(puller.next_pull(NOW, false, false), Pull::Peer(peer("a")));
     let after = NOW.after(Duration::from_secs(6));
@@ -86,9 +84,8 @@
 
 #[test]
 fn invalid_revision_is_not_pulled_again() {
-    // Symptom: every instance pulls the same broken configuration over and over.
-    // Sequence: a revision is rejected; its holders keep announcing it; a later one comes.
-    // Cause: only the revision in force is compared.
+    // Guards against every instance pulling the same invalid configuration repeatedly, because only
+    // the active revision is compared while other instances keep announcing the rejected one.
     let mut puller = behind();
     puller.next_pull(NOW, false, false);
     puller.reject(5);
@@ -102,7 +99,7 @@
 }
 
 #[test]
-fn who_asks_the_platform() {
+fn only_watchers_or_instances_without_a_source_ask_the_platform() {
     let cases = [
         (
             "a fresh instance that knows nobody",
@@ -113,7 +110,7 @@
             Pull::Platform,
         ),
         (
-            "not while the store is out",
+            "none while the store is unreachable",
             0,
             0,
             true,
@@ -128,16 +125,9 @@
             true,
             Pull::Peer(peer("p")),
         ),
+        ("an up-to-date watcher", 2, 2, true, true, Pull::Platform),
         (
-            "a watcher that is up to date",
-            2,
-            2,
-            true,
-            true,
-            Pull::Platform,
-        ),
-        (
-            "no one else that is up to date",
+            "an up-to-date instance that is not a watcher",
             2,
             2,
             false,
@@ -145,14 +135,14 @@
             Pull::Nothing,
         ),
     ];
-    for (name, in_force, heard, watcher, reachable, expected) in cases {
+    for (name, active_revision, heard, is_watcher, reachable, expected) in cases {
         let mut puller = ConfigPuller::new(1);
-        puller.activate(in_force);
+        puller.activate(active_revision);
         if heard > 0 {
             puller.note_peer_revision(NOW, &peer("p"), heard);
         }
         assert_eq!(
-            puller.next_pull(NOW, watcher, reachable),
+            puller.next_pull(NOW, is_watcher, reachable),
             expected,
             "{name}"
         );
--- a/crates/tc-membership/tests/membership_failures.rs
+++ b/crates/tc-membership/tests/membership_failures.rs
@@ -1,4 +1,4 @@
-//! Single failures of the fleet, each with what instances must then hold.
+//! Single failures, and the member states that must result.
 
 mod support;
 
@@ -44,7 +44,7 @@
         .collect()
 }
 
-/// Two instances that know each other and have just probed each other.
+/// Returns two instances that know each other and have just probed each other.
 fn pair() -> Net {
     let mut net = Net::joined(2, MembershipConfig::default(), 1);
     net.run(SECOND, |_, _, _| {});
@@ -52,10 +52,9 @@
 }
 
 #[test]
-fn crash_is_known_by_all_within_two_seconds() {
-    // Symptom: callers are sent to an instance that is gone.
-    // Sequence: one of eight instances crashes, under each of twenty seeds.
-    // Cause: no probe happens to reach it soon, or the news takes too long.
+fn crash_is_known_to_all_within_two_seconds() {
+    // Guards against callers being sent to a crashed instance, because no probe reaches it soon or
+    // the update spreads too slowly. One of eight instances crashes, with twenty seeds.
     for seed in 0..20 {
         let mut net = Net::joined(8, MembershipConfig::default(), seed);
         net.run(SECOND * 5, |_, _, _| {});
@@ -67,16 +66,16 @@
 }
 
 #[test]
-fn joined_again_after_a_cut_without_losing_own_side() {
-    // Symptom: when the network between two failure domains is mended, instances lose sight of their own side too.
-    // Sequence: cut for long, each half calls the other dead; the cut ends.
-    // Cause: the other half's claims that this half's members are dead are believed without a probe.
+fn healed_partition_keeps_members_of_own_side_alive() {
+    // Guards against instances losing sight of their own side when a partition between two failure
+    // domains heals. After a long partition each half considers the other dead, and must not accept
+    // the other half's death records about its own members without a probe.
     let mut net = Net::joined(8, MembershipConfig::default(), 7);
     net.run(SECOND * 3, |_, _, _| {});
-    net.links.side = vec![0, 0, 0, 0, 1, 1, 1, 1];
+    net.links.partition = vec![0, 0, 0, 0, 1, 1, 1, 1];
     net.run(SECOND * 20, |_, _, _| {});
     assert_eq!(states_at(&net, 0)[4..], [Some(Dead); 4]);
-    net.links.side.fill(0);
+    net.links.partition.fill(0);
     net.run(SECOND * 15, |net, _, _| {
         assert_eq!(states_at(net, 0)[..4], [Some(Alive); 4]);
         assert_eq!(states_at(net, 5)[4..], [Some(Alive); 4]);
@@ -87,10 +86,10 @@
 }
 
 #[test]
-fn cut_longer_than_retention_heals_while_listed() {
-    // Symptom: after a long cut, the fleet stays in two halves for good.
-    // Sequence: cut for longer than dead members are remembered, with the platform's list known.
-    // Cause: a dead member is forgotten and never probed again.
+fn partition_longer_than_retention_heals_while_listed() {
+    // Guards against a fleet staying split after a partition longer than the retention of dead
+    // members, because a dead member is removed and never probed again. The platform's list is
+    // known.
     let cfg = MembershipConfig {
         dead_retention: SECOND,
         ..MembershipConfig::default()
@@ -98,153 +97,152 @@
     let mut net = Net::joined(4, cfg, 9);
     net.list_all(1);
     net.run(SECOND * 3, |_, _, _| {});
-    net.links.side = vec![0, 0, 1, 1];
+    net.links.partition = vec![0, 0, 1, 1];
     net.run(SECOND * 30, |_, _, _| {});
     assert_eq!(
         states_at(&net, 0)[2..],
         [None; 2],
-        "dead ones are left out after retention"
+        "dead members are hidden after the retention"
     );
-    net.links.side.fill(0);
+    net.links.partition.fill(0);
     net.run(SECOND * 20, |_, _, _| {});
     assert_eq!(states_at(&net, 0), [Some(Alive); 4]);
 }
 
 #[test]
-fn pause_calls_nobody_dead() {
-    // Symptom: one instance stalls for seconds and, waking up, sees no other instance alive.
-    // Sequence: paused with a probe under way and a suspicion held; woken; timers run.
-    // Cause: timers that ran out during the pause are acted on, though answers could not be read.
+fn pause_declares_no_instance_dead() {
+    // Guards against an instance that resumes after seconds of pause declaring all others dead,
+    // because it acts on timers that expired while it could not read replies. It is paused with a
+    // probe pending and a suspicion held.
     let paused = MonoTime::from_millis(1);
     let mut machine = Membership::new(MembershipConfig::default(), member(0, 1), 1);
     machine.merge_records(paused, &[record(3, Alive, 0)]);
     assert_eq!(machine.tick(paused)[0].to, member(3, 1).fleet_address);
     machine.merge_records(paused, &[record(1, Suspect, 0)]);
-    let awake = paused.after(SECOND * 30);
-    machine.resumed(awake);
-    let probes = machine.tick(awake);
+    let resumed = paused.after(SECOND * 30);
+    machine.resumed(resumed);
+    let probes = machine.tick(resumed);
     assert_eq!(state_at(&machine, 1), Some(Suspect));
     assert_eq!(state_at(&machine, 3), Some(Alive));
     assert!(
         probes.iter().any(|o| o.to == member(1, 1).fleet_address),
-        "the suspect is probed afresh"
+        "the suspect is probed again"
     );
-    let still_waiting = awake.after(SECOND / 10);
+    let still_waiting = resumed.after(SECOND / 10);
     machine.tick(still_waiting);
     assert_eq!(state_at(&machine, 1), Some(Suspect));
 }
 
 #[test]
-fn claims_about_a_member_hold_by_precedence() {
-    // Symptom: an instance that lives stays dead in the views of others, or a dead one comes back.
-    // Sequence: claims about one member arrive in any order, repeated.
-    // Cause: an older claim is allowed to replace a newer one.
-    let life = |incarnation, state, refutation| {
+fn record_with_highest_precedence_wins() {
+    // Guards against a live instance staying dead in the views of others, or a dead one coming
+    // back, because an older record replaces a newer one. Records about one member arrive in any
+    // order, repeated.
+    let record_of = |incarnation, state, refutation| {
         let mut record = record(1, state, refutation);
         record.member.incarnation = Incarnation(incarnation);
         record
     };
     let cases = [
         (
-            "suspicion beats alive",
-            vec![life(1, Alive, 0), life(1, Suspect, 0)],
+            "suspicion replaces alive",
+            vec![record_of(1, Alive, 0), record_of(1, Suspect, 0)],
             Suspect,
         ),
         (
-            "alive does not beat suspicion",
-            vec![life(1, Suspect, 0), life(1, Alive, 0)],
+            "alive does not replace suspicion",
+            vec![record_of(1, Suspect, 0), record_of(1, Alive, 0)],
             Suspect,
         ),
         (
-            "a refutation does",
-            vec![life(1, Suspect, 0), life(1, Alive, 1)],
+            "refutation replaces suspicion",
+            vec![record_of(1, Suspect, 0), record_of(1, Alive, 1)],
             Alive,
         ),
         (
-            "death ends a suspicion",
-            vec![life(1, Suspect, 0), life(1, Dead, 0)],
+            "death replaces suspicion",
+            vec![record_of(1, Suspect, 0), record_of(1, Dead, 0)],
             Dead,
         ),
         (
-            "alive does not revive",
-            vec![life(1, Dead, 0), life(1, Alive, 0)],
+            "alive does not replace death",
+            vec![record_of(1, Dead, 0), record_of(1, Alive, 0)],
             Dead,
         ),
         (
-            "a refutation revives",
-            vec![life(1, Dead, 0), life(1, Alive, 1)],
+            "refutation replaces death",
+            vec![record_of(1, Dead, 0), record_of(1, Alive, 1)],
             Alive,
         ),
         (
-            "a restart revives",
-            vec![life(1, Dead, 9), life(2, Alive, 0)],
+            "new incarnation replaces death",
+            vec![record_of(1, Dead, 9), record_of(2, Alive, 0)],
             Alive,
         ),
         (
-            "an old life is over",
-            vec![life(2, Alive, 0), life(1, Dead, 9)],
+            "record of an old incarnation is ignored",
+            vec![record_of(2, Alive, 0), record_of(1, Dead, 9)],
             Alive,
         ),
         (
-            "death of a live one needs a probe",
-            vec![life(1, Alive, 0), life(1, Dead, 0)],
+            "death of a live member requires a probe",
+            vec![record_of(1, Alive, 0), record_of(1, Dead, 0)],
             Alive,
         ),
         (
-            "leaving beats alive",
-            vec![life(1, Alive, 0), life(1, Leaving, 1)],
+            "leaving replaces alive",
+            vec![record_of(1, Alive, 0), record_of(1, Leaving, 1)],
             Leaving,
         ),
         (
-            "a leaving suspect still leaves",
-            vec![life(1, Leaving, 1), life(1, Suspect, 1)],
+            "suspected member is still leaving",
+            vec![record_of(1, Leaving, 1), record_of(1, Suspect, 1)],
             Leaving,
         ),
         (
-            "a leaving one is not back",
-            vec![life(1, Leaving, 1), life(1, Alive, 0)],
+            "outdated alive does not replace leaving",
+            vec![record_of(1, Leaving, 1), record_of(1, Alive, 0)],
             Leaving,
         ),
         (
-            "its next life is not leaving",
-            vec![life(1, Leaving, 1), life(2, Alive, 0)],
+            "new incarnation is not leaving",
+            vec![record_of(1, Leaving, 1), record_of(2, Alive, 0)],
             Alive,
         ),
     ];
-    for (name, claims, expected) in cases {
+    for (name, records, expected) in cases {
         let mut machine = Membership::new(MembershipConfig::default(), member(0, 1), 1);
-        for claim in claims.iter().flat_map(|claim| [claim, claim]) {
-            machine.handle(MonoTime(1), &announcement(2, vec![claim.clone()]));
+        for record in records.iter().flat_map(|record| [record, record]) {
+            machine.handle(MonoTime(1), &announcement(2, vec![record.clone()]));
         }
         assert_eq!(state_at(&machine, 1), Some(expected), "{name}");
     }
 }
 
 #[test]
-fn accused_refutes_at_once() {
-    // Symptom: an instance that lives is taken for dead though it hears the accusation.
-    // Sequence: it is told that it is suspected, or dead, under a number as high as its own or higher.
-    // Cause: it does not raise its number above the accusation's, or keeps it to itself.
+fn suspected_instance_refutes_immediately() {
+    // Guards against a live instance being declared dead although it receives the suspicion,
+    // because it does not raise its refutation number above the record's or does not announce it.
+    // The record's number is as high as its own or higher.
     for (state, number) in [(Suspect, 0), (Dead, 0), (Dead, 7)] {
         let mut machine = pair().nodes.remove(0).machine;
         let out = machine.handle(
             MonoTime(1),
             &announcement(1, vec![record(0, state, number)]),
         );
-        let told = out
+        let refutation = out
             .iter()
             .find(|o| o.to == member(1, 1).fleet_address)
             .unwrap();
-        assert!(told.message.from.refutation > number);
-        assert_eq!(told.message.from.member.state, Alive);
+        assert!(refutation.message.from.refutation > number);
+        assert_eq!(refutation.message.from.member.state, Alive);
     }
 }
 
 #[test]
-fn accused_is_told_by_whoever_hears_from_it() {
-    // Symptom: two instances talk to each other for minutes while one holds the other dead.
-    // Sequence: one holds the other suspect or dead; the other, not knowing, sends it any message.
-    // Cause: the accusation is never sent to the accused.
+fn suspicion_is_sent_to_its_subject() {
+    // Guards against two instances communicating for minutes while one considers the other suspect
+    // or dead, because the record is never sent to its subject.
     for state in [Suspect, Dead] {
         for kind in [
             MessageKind::Probe {
@@ -266,19 +264,23 @@
 }
 
 #[test]
-fn list_says_who_may_exist_and_who_leaves() {
-    // Symptom: a live instance is dropped, or a restarted one gets no work, because the platform's list lags.
-    // Sequence: lists arrive that miss a live member, call one leaving, lag behind its restart, or are out of order.
-    // Cause: the list is taken for the truth of the moment.
+fn instance_list_adds_candidates_and_marks_leaving() {
+    // Guards against dropping a live instance, or giving no work to a restarted one, because the
+    // lagging platform list is taken as current. Lists omit a live member, report one as leaving,
+    // lag behind its restart, and arrive out of order.
     let mut net = pair();
     let now = net.now;
     let machine = &mut net.nodes[0].machine;
     machine.apply_instance_list(now, &list(5, [(2, ListedState::Live)].into_iter()));
-    assert_eq!(state_at(machine, 1), Some(Alive), "absence kills nobody");
+    assert_eq!(
+        state_at(machine, 1),
+        Some(Alive),
+        "a member missing from the list stays alive"
+    );
     let probed = machine.tick(now);
     assert!(
         probed.iter().any(|o| o.to == member(2, 1).fleet_address),
-        "a listed stranger is probed"
+        "a listed unknown instance is probed"
     );
     let leaving = list(6, [(1, ListedState::Leaving)].into_iter());
     machine.apply_instance_list(now, &leaving);
@@ -289,22 +291,22 @@
         Some(Leaving),
         "an older list is ignored"
     );
-    let mut next_life = record(1, Alive, 0);
-    next_life.member.incarnation = Incarnation(2);
-    machine.merge_records(now, &[next_life]);
+    let mut next_incarnation = record(1, Alive, 0);
+    next_incarnation.member.incarnation = Incarnation(2);
+    machine.merge_records(now, &[next_incarnation]);
     machine.apply_instance_list(now, &leaving);
     assert_eq!(
         state_at(machine, 1),
         Some(Alive),
-        "the word was about its predecessor"
+        "the list refers to the previous incarnation"
     );
 }
 
 #[test]
-fn second_process_under_one_identifier_is_told() {
-    // Symptom: an instance serves, but nobody sends it anything.
-    // Sequence: a later life of its identifier exists; it probes an instance that knows that.
-    // Cause: its clock went back before it started, or it was replaced while it was paused.
+fn superseded_process_learns_of_its_replacement() {
+    // Guards against an instance that keeps running although all others ignore it, because a newer
+    // incarnation of its identifier exists: its clock was set back before it started, or it was
+    // replaced while paused. It learns this by probing an instance that knows the newer one.
     let mut old = Membership::new(MembershipConfig::default(), member(0, 1), 1);
     let mut other = Membership::new(MembershipConfig::default(), member(1, 1), 2);
     let mut replacement = record(0, Alive, 0);
--- a/crates/tc-membership/tests/membership_fuzz.rs
+++ b/crates/tc-membership/tests/membership_fuzz.rs
@@ -1,4 +1,5 @@
-//! Random faults on random fleets: what must hold at every step, and what all must agree on once the faults end.
+//! Random faults on random fleets: checks invariants at every step, and agreement once the faults
+//! end.
 
 mod support;
 
@@ -10,14 +11,14 @@
 use tc_protocol::{InstanceId, Member, MemberState, wire::ListedState};
 
 const ITERATIONS: usize = 150;
-const MOST_STEPS: usize = 24;
-const QUIET: Duration = Duration::from_secs(25);
+const MAX_STEPS: usize = 24;
+const CONVERGENCE_TIME: Duration = Duration::from_secs(25);
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
     Run(u8),
-    Cut(u8),
-    Join,
+    Partition(u8),
+    Heal,
     Crash(u8),
     Restart(u8),
     Pause(u8, u8),
@@ -28,42 +29,42 @@
     Listed(u8),
 }
 
-/// What one node held when last looked at.
+/// State of one node at the last check.
 #[derive(Default)]
-struct Seen {
+struct NodeSnapshot {
     incarnation: u64,
-    in_force: u64,
+    active_revision: u64,
     records: BTreeMap<InstanceId, Record>,
 }
 
-/// Checks what must hold at every step.
-struct Watch {
-    seen: Vec<Seen>,
+/// Checks the invariants that hold at every step.
+struct InvariantChecker {
+    snapshots: Vec<NodeSnapshot>,
     max_changes: usize,
 }
 
-impl Watch {
-    fn look(&mut self, net: &Net, index: usize, message: &Message) {
+impl InvariantChecker {
+    fn check(&mut self, net: &Net, index: usize, message: &Message) {
         assert!(
             message.changes.len() <= self.max_changes,
             "message is too large"
         );
         let node = &net.nodes[index];
-        let seen = &mut self.seen[index];
-        if node.incarnation != seen.incarnation {
-            *seen = Seen {
+        let snapshot = &mut self.snapshots[index];
+        if node.incarnation != snapshot.incarnation {
+            *snapshot = NodeSnapshot {
                 incarnation: node.incarnation,
-                ..Seen::default()
+                ..NodeSnapshot::default()
             };
         }
         assert!(
-            node.spread.active_revision() >= seen.in_force,
-            "revision went back"
+            node.puller.active_revision() >= snapshot.active_revision,
+            "active revision went back"
         );
-        seen.in_force = node.spread.active_revision();
+        snapshot.active_revision = node.puller.active_revision();
         for record in node.machine.records() {
             let id = record.member.id.clone();
-            if let Some(before) = seen.records.insert(id, record.clone()) {
+            if let Some(before) = snapshot.records.insert(id, record.clone()) {
                 check_succession(&before, &record);
             }
         }
@@ -71,10 +72,10 @@
 }
 
 fn check_succession(before: &Record, after: &Record) {
-    let life = |r: &Record| (r.member.incarnation, r.refutation);
+    let version = |r: &Record| (r.member.incarnation, r.refutation);
     assert!(
-        life(after) >= life(before),
-        "old life or refutation came back: {before:?} {after:?}"
+        version(after) >= version(before),
+        "incarnation or refutation went back: {before:?} {after:?}"
     );
     if before.member.incarnation == after.member.incarnation {
         assert!(
@@ -85,23 +86,25 @@
     let revived =
         before.member.state == MemberState::Dead && after.member.state != MemberState::Dead;
     assert!(
-        !revived || life(after) > life(before),
-        "revived without reason: {before:?} {after:?}"
+        !revived || version(after) > version(before),
+        "dead member revived without a newer record: {before:?} {after:?}"
     );
 }
 
-fn take(net: &mut Net, watch: &mut Watch, step: Step, revision: &mut u64) {
+fn apply_step(net: &mut Net, checker: &mut InvariantChecker, step: Step, revision: &mut u64) {
     let count = net.nodes.len();
     let at = |n: u8| usize::from(n) % count;
     let all_listed = |n| list(n, (0..count).map(|i| (i, ListedState::Live)));
     match step {
         Step::Run(time) => {
             net.run(Duration::from_millis(u64::from(time) * 20), |net, i, m| {
-                watch.look(net, i, m);
+                checker.check(net, i, m);
             });
         }
-        Step::Cut(sides) => net.links.side = (0..count).map(|i| sides >> (i % 8) & 1).collect(),
-        Step::Join => net.links.side = vec![0; count],
+        Step::Partition(groups) => {
+            net.links.partition = (0..count).map(|i| groups >> (i % 8) & 1).collect();
+        }
+        Step::Heal => net.links.partition = vec![0; count],
         Step::Crash(n) => net.crash(at(n)),
         Step::Restart(n) => net.restart(at(n), &all_listed(1)),
         Step::Pause(n, time) => net.pause(at(n), Duration::from_millis(u64::from(time) * 20)),
@@ -112,8 +115,8 @@
         }
         Step::BadLinks(loss, repeat, delay) => {
             net.links.loss = f64::from(loss) / 512.0;
-            net.links.repeat = f64::from(repeat) / 512.0;
-            net.links.longest_delay = Duration::from_millis(1 + u64::from(delay));
+            net.links.duplicate = f64::from(repeat) / 512.0;
+            net.links.max_delay = Duration::from_millis(1 + u64::from(delay));
         }
         Step::FailedCall(n, other) => {
             let now = net.now;
@@ -130,33 +133,35 @@
     }
 }
 
-/// Faults end; all that run must come to hold the truth.
-fn settle(net: &mut Net, watch: &mut Watch) {
-    net.links.side.fill(0);
+/// Ends all faults and checks that the running nodes converge on the actual state.
+fn check_convergence(net: &mut Net, checker: &mut InvariantChecker) {
+    net.links.partition.fill(0);
     net.links.loss = 0.0;
-    net.links.repeat = 0.0;
-    net.links.longest_delay = Duration::from_millis(2);
-    net.run(QUIET, |net, i, m| watch.look(net, i, m));
-    let truth: Vec<Member> = (0..net.nodes.len()).map(|i| true_member(net, i)).collect();
+    net.links.duplicate = 0.0;
+    net.links.max_delay = Duration::from_millis(2);
+    net.run(CONVERGENCE_TIME, |net, i, m| checker.check(net, i, m));
+    let expected: Vec<Member> = (0..net.nodes.len())
+        .map(|i| expected_member(net, i))
+        .collect();
     let running: Vec<_> = net.nodes.iter().filter(|n| n.up).collect();
     let newest = running
         .iter()
-        .map(|n| n.spread.active_revision())
+        .map(|n| n.puller.active_revision())
         .max()
         .unwrap_or_default();
     for node in running {
-        assert_eq!(live(&node.machine.members()), live(&truth));
+        assert_eq!(live(&node.machine.members()), live(&expected));
         assert_eq!(
-            node.spread.active_revision(),
+            node.puller.active_revision(),
             newest,
-            "a revision is not in force everywhere"
+            "a revision is not active everywhere"
         );
         assert_eq!(node.machine.lowest_revision(), newest);
         assert_eq!(node.machine.newest_revision(), (newest, None));
     }
 }
 
-fn true_member(net: &Net, index: usize) -> Member {
+fn expected_member(net: &Net, index: usize) -> Member {
     let node = &net.nodes[index];
     let mut member = support::member(index, node.incarnation);
     member.state = match (node.up, node.left) {
@@ -167,7 +172,7 @@
     member
 }
 
-/// Incarnation and state of the members that are not dead.
+/// Returns the incarnation and state of the members that are not dead.
 fn live(members: &[Member]) -> Vec<(InstanceId, u64, MemberState)> {
     let live = members.iter().filter(|m| m.state != MemberState::Dead);
     live.map(|m| (m.id.clone(), m.incarnation.0, m.state))
@@ -178,24 +183,24 @@
 fn agrees_once_faults_end() {
     tc_fuzz::check(
         ITERATIONS,
-        produce::<(u64, u8, [Step; MOST_STEPS])>(),
+        produce::<(u64, u8, [Step; MAX_STEPS])>(),
         |(seed, size, steps)| {
             let count = 3 + usize::from(size % 6);
             let cfg = MembershipConfig {
                 dead_retention: Duration::from_mins(10),
                 ..MembershipConfig::default()
             };
-            let mut watch = Watch {
-                seen: (0..count).map(|_| Seen::default()).collect(),
+            let mut checker = InvariantChecker {
+                snapshots: (0..count).map(|_| NodeSnapshot::default()).collect(),
                 max_changes: cfg.max_changes,
             };
             let mut net = Net::new(count, cfg, *seed);
             net.list_all(1);
             let mut revision = 0;
             for step in steps {
-                take(&mut net, &mut watch, *step, &mut revision);
+                apply_step(&mut net, &mut checker, *step, &mut revision);
             }
-            settle(&mut net, &mut watch);
+            check_convergence(&mut net, &mut checker);
         },
     );
 }
--- a/crates/tc-membership/tests/placement.rs
+++ b/crates/tc-membership/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Placement of roles and address sets: who is chosen, and how little moves when an instance goes.
+//! Placement of roles and shuffle shards: which instances are chosen, and how little changes when
+//! one is lost.
 
 mod support;
 
@@ -31,22 +32,22 @@
     let near: FailureDomain = "kl-0".into();
     let cases = [
         (
-            "alive in the domain",
+            "alive in the failure domain",
             vec![Alive, Alive, Alive, Alive],
             Some(0),
         ),
         (
-            "else alive in the region",
+            "alive in the region",
             vec![Dead, Alive, Dead, Leaving],
             Some(1),
         ),
         (
-            "alive elsewhere before suspect here",
+            "alive elsewhere before suspect in the failure domain",
             vec![Suspect, Dead, Alive, Dead],
             Some(2),
         ),
         (
-            "suspect when none is alive",
+            "suspect if none is alive",
             vec![Suspect, Leaving, Dead, Suspect],
             Some(0),
         ),
@@ -97,7 +98,13 @@
     let cases = [
         ("size by weight", [Alive; 8].to_vec(), 2, 3, 6),
         ("at least two", [Alive; 8].to_vec(), 1, 1, 2),
-        ("no more than there are", vec![Alive, Alive, Dead], 4, 4, 2),
+        (
+            "limited by the number of members",
+            vec![Alive, Alive, Dead],
+            4,
+            4,
+            2,
+        ),
         (
             "no leaving, suspect or dead",
             vec![Leaving, Suspect, Dead, Alive, Alive],
@@ -106,13 +113,13 @@
             2,
         ),
         (
-            "suspect ones when none is alive",
+            "suspect if none is alive",
             vec![Leaving, Suspect, Dead, Suspect],
             1,
             4,
             2,
         ),
-        ("none", vec![Leaving, Dead], 1, 4, 0),
+        ("no usable members", vec![Leaving, Dead], 1, 4, 0),
     ];
     for (name, states, weight, size, expected) in cases {
         let members = fleet(&states);
@@ -143,7 +150,7 @@
         assert_eq!(
             shard,
             ids(&shuffle_shard(&workspace, 1, 4, &before, &"kl-3".into())),
-            "same wherever asked"
+            "same for every failure domain"
         );
         for lost in 0..24 {
             let mut after = before.clone();
--- a/crates/tc-membership/tests/placement_by_strength.rs
+++ b/crates/tc-membership/tests/placement_by_strength.rs
@@ -1,4 +1,4 @@
-//! Roles go to instances in proportion to their strength.
+//! Placement of roles in proportion to the strength of instances.
 
 use tc_membership::home_of;
 use tc_protocol::{Incarnation, Member, MemberState};
@@ -16,10 +16,11 @@
     }
 }
 
-/// Symptom: every call of a service takes half a second longer. Sequence: its home is placed on an instance with an
-/// eighth of a core behind a narrow link. Cause: all instances count alike.
+/// Guards against every call of a service taking half a second longer, because all instances are
+/// weighted equally and its home is placed on one with an eighth of a core behind a slow link.
 ///
-/// The pattern is 60 weak instances beside 20 strong ones, 50 times as strong: all roles belong on the strong.
+/// The fleet has 60 weak instances and 20 strong ones, 50 times as strong. All roles belong on the
+/// strong ones.
 #[test]
 fn weak_instances_get_no_roles_and_strong_ones_share_them() {
     let mut members: Vec<Member> = (0..60).map(|n| member(n, 1)).collect();
@@ -33,7 +34,7 @@
         }
     }
     let strong: u32 = on_strong.iter().sum();
-    assert_eq!(strong, 2_000, "on strong ones");
+    assert_eq!(strong, 2_000, "roles on strong instances");
     assert!(
         on_strong.iter().all(|n| (60..=130).contains(n)),
         "{on_strong:?}"
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn only_the_roles_of_an_instance_that_goes_are_moved() {
+fn only_roles_of_a_removed_instance_move() {
     let all: Vec<Member> = (0..10)
         .map(|n| member(n, 10 * (1 + u32::from(n))))
         .collect();
@@ -54,8 +55,9 @@
     }
 }
 
-/// Symptom: after a power loss of all 295 instances, answers in time stay at four in ten until the next restart. Sequence: the
-/// home of the busiest service falls to one of the 277 weak ones. Cause: each of them has a small chance, all together one in thirty.
+/// Guards against the home of the busiest service falling to one of 277 weak instances after a
+/// power loss of all 295: each has a small chance, together one in thirty. Only four in ten answers
+/// were then in time until the next restart.
 #[test]
 fn no_weak_member_is_home_while_there_are_strong_ones() {
     let mut members: Vec<Member> = (0..295).map(|n| member(n, 5)).collect();
@@ -68,19 +70,22 @@
     }
     members.retain(|member| member.strength == 5);
     let home = home_of("service-0", &members, None, None);
-    assert!(home.is_some(), "weak ones are better than none");
+    assert!(
+        home.is_some(),
+        "weak members are used if there are no strong ones"
+    );
 }
 
-/// Instances that differ by less than a factor of four share roles in proportion.
+/// Instances whose strength differs by less than a factor of four share roles in proportion.
 #[test]
 fn members_of_similar_strength_all_hold_roles() {
     let members: Vec<Member> = (0..6)
         .map(|n| member(n, if n < 3 { 10 } else { 30 }))
         .collect();
     let homes = (0..600).filter_map(|key| home_of(&format!("service-{key}"), &members, None, None));
-    let on_lesser = homes.filter(|home| home.strength == 10).count();
+    let on_weaker = homes.filter(|home| home.strength == 10).count();
     assert!(
-        (110..=190).contains(&on_lesser),
-        "{on_lesser} of 600, a quarter expected"
+        (110..=190).contains(&on_weaker),
+        "{on_weaker} of 600, a quarter expected"
     );
 }
--- a/crates/tc-membership/tests/plan.rs
+++ b/crates/tc-membership/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of which models to load.
+//! Model placement: which engines load which models.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
     MonoTime::from_millis(millis)
 }
 
-fn need(floor: u32, demand: f64) -> ModelRequirements {
+fn requirements(floor: u32, demand: f64) -> ModelRequirements {
     ModelRequirements {
         version: "1".into(),
         floor,
@@ -17,7 +17,7 @@
     }
 }
 
-/// Engines `e0`, `e1`, … with the given models loaded.
+/// Returns engines `e0`, `e1`, … with the given models loaded.
 fn engines(loaded: &[&str]) -> Vec<EngineState> {
     let engine = |(index, model): (usize, &&str)| EngineState {
         id: format!("e{index}").into(),
@@ -30,7 +30,7 @@
     loaded.iter().enumerate().map(engine).collect()
 }
 
-fn needs(
+fn models(
     draft: ModelRequirements,
     status: ModelRequirements,
 ) -> BTreeMap<String, ModelRequirements> {
@@ -38,30 +38,35 @@
 }
 
 #[test]
-fn engines_go_by_floor_then_demand() {
+fn engines_are_assigned_by_floor_then_demand() {
     let cases = [
         (
             "floors first",
-            need(2, 9.0),
-            need(2, 0.0),
+            requirements(2, 9.0),
+            requirements(2, 0.0),
             ["draft", "draft", "status", "status"],
         ),
         (
-            "then demand",
-            need(1, 3.0),
-            need(1, 0.5),
+            "remaining engines by demand",
+            requirements(1, 3.0),
+            requirements(1, 0.5),
             ["draft", "draft", "draft", "status"],
         ),
         (
-            "too few for all floors",
-            need(3, 0.0),
-            need(3, 5.0),
+            "too few engines for all floors",
+            requirements(3, 0.0),
+            requirements(3, 5.0),
             ["draft", "draft", "draft", "status"],
         ),
-        ("a floor of none", need(0, 0.0), need(0, 4.0), ["status"; 4]),
+        (
+            "no floors",
+            requirements(0, 0.0),
+            requirements(0, 4.0),
+            ["status"; 4],
+        ),
     ];
     for (name, draft, status, expected) in cases {
-        let plan = plan(&needs(draft, status), &engines(&[""; 4]), &Plan::default());
+        let plan = plan(&models(draft, status), &engines(&[""; 4]), &Plan::default());
         let mut models: Vec<_> = plan.desired.values().map(String::as_str).collect();
         models.sort_unstable();
         assert_eq!(models, expected, "{name}");
@@ -70,33 +75,43 @@
 }
 
 #[test]
-fn wavering_demand_reloads_nothing() {
-    // Symptom: engines spend their time loading weights.
-    // Sequence: demand wavers a little around the point where one more engine would pay; planned every time.
-    // Cause: every plan starts afresh.
+fn fluctuating_demand_reloads_nothing() {
+    // Guards against engines spending their time loading weights, because every plan starts from
+    // scratch while demand fluctuates around the point where one more engine would pay off.
     let loaded = engines(&["draft", "draft", "status", "status"]);
     let mut current = plan(
-        &needs(need(1, 2.4), need(1, 1.6)),
+        &models(requirements(1, 2.4), requirements(1, 1.6)),
         &loaded,
         &Plan::default(),
     );
-    for waver in [0.2, -0.2, 0.2, -0.2] {
+    for fluctuation in [0.2, -0.2, 0.2, -0.2] {
         current = plan(
-            &needs(need(1, 2.5 + waver), need(1, 1.5 - waver)),
+            &models(
+                requirements(1, 2.5 + fluctuation),
+                requirements(1, 1.5 - fluctuation),
+            ),
             &loaded,
             &current,
         );
         assert!(current.pending.is_empty());
     }
-    current = plan(&needs(need(1, 3.0), need(1, 1.0)), &loaded, &current);
-    assert_eq!(current.pending.len(), 1, "a real shift moves one engine");
+    current = plan(
+        &models(requirements(1, 3.0), requirements(1, 1.0)),
+        &loaded,
+        &current,
+    );
+    assert_eq!(
+        current.pending.len(),
+        1,
+        "a significant shift moves one engine"
+    );
 }
 
 #[test]
-fn loads_are_paced_and_the_neediest_come_first() {
+fn loads_are_limited_and_ordered_by_shortage() {
     let loaded = engines(&["draft", "draft", "", "", ""]);
     let mut plan = plan(
-        &needs(need(1, 3.0), need(2, 2.0)),
+        &models(requirements(1, 3.0), requirements(2, 2.0)),
         &loaded,
         &Plan::default(),
     );
--- a/crates/tc-membership/tests/store_source/fleet.rs
+++ b/crates/tc-membership/tests/store_source/fleet.rs
@@ -1,14 +1,15 @@
-//! Simulated fleet: instances that choose sources and read a store on a simulated clock.
+//! Simulated fleet whose instances choose sources and read a store, in simulated time.
 
 use std::time::Duration;
 
 use tc_membership::{SourceTiming, StoreSource};
 use tc_protocol::{Incarnation, InstanceId, Member, MemberState, MonoTime};
 
-/// Bound by which a change of the store is to count everywhere, on deployments of hundreds of instances.
+/// Maximum time until a store change takes effect everywhere, on deployments of hundreds of
+/// instances.
 pub(crate) const BOUND: Duration = Duration::from_secs(4);
 pub(crate) const STEP: Duration = Duration::from_millis(20);
-/// Hops that news travel in one step.
+/// Number of hops that a change travels in one step.
 const HOPS_PER_STEP: usize = 4;
 const DOMAINS: usize = 6;
 
@@ -16,7 +17,8 @@
     format!("i{index:03}").into()
 }
 
-/// One instance in seventeen has four times the processor and ten times the link of the others.
+/// Creates a member. One in seventeen is strong, with four times the CPU and ten times the
+/// bandwidth of the others.
 pub(crate) fn member(index: usize) -> Member {
     let strong = index.is_multiple_of(17);
     Member {
@@ -35,15 +37,16 @@
     (0..count).map(member).collect()
 }
 
-/// What an instance can do at a moment.
+/// Condition of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
-    Well,
-    /// It lost power, or a cut separates it from all others: it says nothing more.
+    Healthy,
+    /// The instance lost power or is partitioned from all others, and sends nothing.
     Silent,
-    /// The store rejects its calls or answers none of them; other instances reach it.
-    TurnedAway,
-    /// The store answers its lists and none of its watches.
+    /// The store rejects or never answers the instance's calls, but other instances reach the
+    /// instance.
+    Rejected,
+    /// The store answers the instance's lists but not its watches.
     WatchHangs,
 }
 
@@ -52,11 +55,11 @@
     pub(crate) now: MonoTime,
     pub(crate) states: Vec<State>,
     pub(crate) sources: Vec<StoreSource>,
-    /// Time up to which each instance has all changes.
-    pub(crate) current: Vec<MonoTime>,
+    /// Time up to which each instance has received all changes.
+    pub(crate) current_as_of: Vec<MonoTime>,
     /// Time as of which each instance's state is confirmed.
     pub(crate) confirmed: Vec<MonoTime>,
-    /// Number of list calls to the store so far.
+    /// Number of list calls made to the store so far.
     pub(crate) lists: usize,
 }
 
@@ -72,9 +75,9 @@
         });
         Self {
             now,
-            states: vec![State::Well; count],
+            states: vec![State::Healthy; count],
             sources: sources.collect(),
-            current: vec![now; count],
+            current_as_of: vec![now; count],
             confirmed: vec![now; count],
             lists: 0,
         }
@@ -86,59 +89,63 @@
             .collect()
     }
 
-    /// Lets time pass; each live instance reads the store if it watches, and hears from its source, in every step.
+    /// Advances the simulation. In every step each running instance reads the store if it watches,
+    /// and receives from its source.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now.after(time);
         while self.now < end {
             self.now = self.now.after(STEP);
-            let living: Vec<usize> = (0..self.sources.len())
+            let running: Vec<usize> = (0..self.sources.len())
                 .filter(|i| self.states[*i] != State::Silent)
                 .collect();
-            for index in &living {
+            for index in &running {
                 self.read_store(*index);
             }
             for _ in 0..HOPS_PER_STEP {
-                for index in &living {
-                    self.hear(*index);
+                for index in &running {
+                    self.receive_from_source(*index);
                 }
             }
         }
     }
 
-    /// A working watch delivers changes at once but confirms nothing while it waits; a list confirms the state.
+    /// A working watch delivers changes immediately but confirms nothing while it waits. A list
+    /// confirms the state.
     fn read_store(&mut self, index: usize) {
         let now = self.now;
         let state = self.states[index];
-        if state == State::TurnedAway || !self.sources[index].should_watch(now) {
+        if state == State::Rejected || !self.sources[index].should_watch(now) {
             return;
         }
-        if state == State::Well {
-            self.current[index] = now;
+        if state == State::Healthy {
+            self.current_as_of[index] = now;
         }
         if now.since(self.confirmed[index]) >= self.sources[index].list_after() {
-            self.current[index] = now;
+            self.current_as_of[index] = now;
             self.confirmed[index] = now;
             self.lists += 1;
         }
     }
 
-    fn hear(&mut self, index: usize) {
+    fn receive_from_source(&mut self, index: usize) {
         let now = self.now;
         let Some(from) = self.sources[index].source(now) else {
             return;
         };
-        let source: usize = from.as_str()[1..].parse().expect("an id of the test");
+        let source: usize = from.as_str()[1..]
+            .parse()
+            .expect("id has the format of this test");
         if self.states[source] == State::Silent {
             return;
         }
         let confirmed = self.confirmed[source];
         self.sources[index].note_confirmation(now, &from, confirmed);
-        self.current[index] = self.current[index].max(self.current[source]);
+        self.current_as_of[index] = self.current_as_of[index].max(self.current_as_of[source]);
         self.confirmed[index] = self.confirmed[index].max(confirmed);
     }
 
-    /// Tells all instances which members are left.
-    pub(crate) fn learn_losses(&mut self) {
+    /// Updates the member list of all instances to the remaining members.
+    pub(crate) fn remove_lost_members(&mut self) {
         let left: Vec<Member> = (0..self.states.len())
             .filter(|index| self.states[*index] != State::Silent)
             .map(member)
@@ -148,10 +155,10 @@
         }
     }
 
-    /// The longest time for which a living instance has not known whether what it holds is current.
-    pub(crate) fn oldest(&self) -> Duration {
-        let living = (0..self.states.len()).filter(|i| self.states[*i] != State::Silent);
-        let ages = living.map(|i| self.now.since(self.current[i]));
+    /// Returns the greatest age of the state of any running instance.
+    pub(crate) fn max_age(&self) -> Duration {
+        let running = (0..self.states.len()).filter(|i| self.states[*i] != State::Silent);
+        let ages = running.map(|i| self.now.since(self.current_as_of[i]));
         ages.max().unwrap_or_default()
     }
 }
