--- a/crates/tc-membership/examples/spread_cost.rs
+++ b/crates/tc-membership/examples/spread_cost.rs
@@ -50,7 +50,9 @@
             net.nodes.iter().all(|n| n.puller.active_revision() == 1)
         });
         let report_time = net.run_until(TIME_LIMIT, |net| {
-            net.nodes.iter().all(|n| n.machine.lowest_revision() == 1)
+            net.nodes
+                .iter()
+                .all(|n| n.membership.lowest_revision() == 1)
         });
         revisions.push(activation_time.unwrap_or(TIME_LIMIT));
         reports.push(activation_time.unwrap_or(TIME_LIMIT) + report_time.unwrap_or(TIME_LIMIT));
@@ -85,7 +87,7 @@
     net.crash(index);
     let crashed = id(index);
     let knows = |net: &Net, i: usize| {
-        let members = net.nodes[i].machine.members();
+        let members = net.nodes[i].membership.members();
         members
             .iter()
             .any(|m| m.id == crashed && m.state == MemberState::Dead)
@@ -103,12 +105,12 @@
     let seconds = LOSSY_INSTANCE_S / size as u64;
     for _ in 0..seconds {
         net.run(Duration::from_secs(1), |_, _, _| {});
-        let members = net.nodes.iter().flat_map(|n| n.machine.members());
+        let members = net.nodes.iter().flat_map(|n| n.membership.members());
         false_deaths += members.filter(|m| m.state == MemberState::Dead).count();
     }
     let own = |i: usize| {
         net.nodes[i]
-            .machine
+            .membership
             .records()
             .into_iter()
             .find(|r| r.member.id == id(i))
--- a/crates/tc-membership/src/membership/probe.rs
+++ b/crates/tc-membership/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes under way, and whom to probe next.
+//! Pending probes and selection of the next probe target.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -27,7 +27,7 @@
     expires_at: MonoTime,
 }
 
-/// Probes under way, and whom to probe next.
+/// Tracks pending probes and selects the next probe target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Prober {
     /// Targets left in this round, in random order, taken from the end.
--- a/crates/tc-membership/src/membership/tick.rs
+++ b/crates/tc-membership/src/membership/tick.rs
@@ -174,7 +174,7 @@
     fn expire_suspicions(&mut self, now: MonoTime) -> Vec<Outgoing> {
         let wait = self.cfg.scaled_suspicion_timeout(self.live_count());
         let mut dead = Vec::new();
-        let mut heard = Vec::new();
+        let mut still_alive = Vec::new();
         for (id, entry) in self.table.entries_mut() {
             let Some(suspicion) = &mut entry.suspicion else {
                 continue;
@@ -190,14 +190,14 @@
             {
                 suspicion.since = now;
                 suspicion.deadline = Some(now.after(wait));
-                heard.push(id.clone());
+                still_alive.push(id.clone());
                 continue;
             }
             let mut record = entry.record.clone();
             record.member.state = MemberState::Dead;
             dead.push(record);
         }
-        for id in &heard {
+        for id in &still_alive {
             self.probe_soon(now, id);
         }
         dead.into_iter()
--- a/crates/tc-membership/tests/config_puller.rs
+++ b/crates/tc-membership/tests/config_puller.rs
@@ -14,7 +14,7 @@
 }
 
 /// Returns an instance with revision 3 active that knows of revision 5 at `a` and 4 at `b`.
-fn behind() -> ConfigPuller {
+fn outdated_puller() -> ConfigPuller {
     let mut puller = ConfigPuller::new(1);
     assert!(puller.activate(3));
     puller.note_peer_revision(NOW, &peer("a"), 5);
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn never_applies_a_lower_revision() {
+fn never_activates_a_lower_revision() {
     // Guards against reverting to an older configuration because the last response is taken for the
     // newest. Responses to several pulls arrive out of order or twice.
     let mut puller = ConfigPuller::new(1);
-    for (revision, applied, active_revision) in [
+    for (revision, is_activated, active_revision) in [
         (4, true, 4),
         (3, false, 4),
         (4, false, 4),
         (6, true, 6),
         (5, false, 6),
     ] {
-        assert_eq!(puller.activate(revision), applied);
+        assert_eq!(puller.activate(revision), is_activated);
         assert_eq!(puller.active_revision(), active_revision);
     }
 }
@@ -43,7 +43,7 @@
 fn pulls_the_newest_then_others_then_the_platform() {
     // Guards against an instance never getting a configuration that others have, because it keeps
     // trying the same source, which died or refuses.
-    let mut puller = behind();
+    let mut puller = outdated_puller();
     assert_eq!(puller.next_pull(NOW, false, true), Pull::Peer(peer("a")));
     assert_eq!(
         puller.next_pull(NOW, false, true),
@@ -76,7 +76,7 @@
 fn pull_without_a_result_times_out() {
     // Guards against an instance staying on an old configuration forever, because its pull was
     // dropped without reporting a result and still counts as in progress.
-    let mut puller = behind();
+    let mut puller = outdated_puller();
     assert_eq!(puller.next_pull(NOW, false, false), Pull::Peer(peer("a")));
     let after = NOW.after(Duration::from_secs(6));
     assert_eq!(puller.next_pull(after, false, false), Pull::Peer(peer("b")));
@@ -86,7 +86,7 @@
 fn invalid_revision_is_not_pulled_again() {
     // Guards against every instance pulling the same invalid configuration repeatedly, because only
     // the active revision is compared while other instances keep announcing the rejected one.
-    let mut puller = behind();
+    let mut puller = outdated_puller();
     puller.next_pull(NOW, false, false);
     puller.reject(5);
     assert_eq!((puller.active_revision(), puller.rejections()), (3, 1));
@@ -135,14 +135,14 @@
             Pull::Nothing,
         ),
     ];
-    for (name, active_revision, heard, is_watcher, reachable, expected) in cases {
+    for (name, active_revision, peer_revision, is_watcher, store_reachable, expected) in cases {
         let mut puller = ConfigPuller::new(1);
         puller.activate(active_revision);
-        if heard > 0 {
-            puller.note_peer_revision(NOW, &peer("p"), heard);
+        if peer_revision > 0 {
+            puller.note_peer_revision(NOW, &peer("p"), peer_revision);
         }
         assert_eq!(
-            puller.next_pull(NOW, is_watcher, reachable),
+            puller.next_pull(NOW, is_watcher, store_reachable),
             expected,
             "{name}"
         );
--- a/crates/tc-membership/tests/membership_failures.rs
+++ b/crates/tc-membership/tests/membership_failures.rs
@@ -40,7 +40,7 @@
 
 fn states_at(net: &Net, at: usize) -> Vec<Option<MemberState>> {
     (0..net.nodes.len())
-        .map(|i| state_at(&net.nodes[at].machine, i))
+        .map(|i| state_at(&net.nodes[at].membership, i))
         .collect()
 }
 
@@ -113,7 +113,7 @@
 fn pause_declares_no_instance_dead() {
     // Guards against an instance that resumes after seconds of pause declaring all others dead,
     // because it acts on timers that expired while it could not read replies. It is paused with a
-    // probe pending and a suspicion held.
+    // pending probe and a pending suspicion.
     let paused = MonoTime::from_millis(1);
     let mut machine = Membership::new(MembershipConfig::default(), member(0, 1), 1);
     machine.merge_records(paused, &[record(3, Alive, 0)]);
@@ -225,7 +225,7 @@
     // because it does not raise its refutation number above the record's or does not announce it.
     // The record's number is as high as its own or higher.
     for (state, number) in [(Suspect, 0), (Dead, 0), (Dead, 7)] {
-        let mut machine = pair().nodes.remove(0).machine;
+        let mut machine = pair().nodes.remove(0).membership;
         let out = machine.handle(
             MonoTime(1),
             &announcement(1, vec![record(0, state, number)]),
@@ -270,7 +270,7 @@
     // lag behind its restart, and arrive out of order.
     let mut net = pair();
     let now = net.now;
-    let machine = &mut net.nodes[0].machine;
+    let machine = &mut net.nodes[0].membership;
     machine.apply_instance_list(now, &list(5, [(2, ListedState::Live)].into_iter()));
     assert_eq!(
         state_at(machine, 1),
--- a/crates/tc-membership/tests/membership_fuzz.rs
+++ b/crates/tc-membership/tests/membership_fuzz.rs
@@ -62,7 +62,7 @@
             "active revision went back"
         );
         snapshot.active_revision = node.puller.active_revision();
-        for record in node.machine.records() {
+        for record in node.membership.records() {
             let id = record.member.id.clone();
             if let Some(before) = snapshot.records.insert(id, record.clone()) {
                 check_succession(&before, &record);
@@ -113,21 +113,21 @@
             *revision += 1;
             net.publish(at(n), *revision);
         }
-        Step::BadLinks(loss, repeat, delay) => {
+        Step::BadLinks(loss, duplicate, delay) => {
             net.links.loss = f64::from(loss) / 512.0;
-            net.links.duplicate = f64::from(repeat) / 512.0;
+            net.links.duplicate = f64::from(duplicate) / 512.0;
             net.links.max_delay = Duration::from_millis(1 + u64::from(delay));
         }
         Step::FailedCall(n, other) => {
             let now = net.now;
             net.nodes[at(n)]
-                .machine
+                .membership
                 .report_failed_call(now, &id(at(other)));
         }
         Step::Listed(n) => {
             let now = net.now;
             net.nodes[at(n)]
-                .machine
+                .membership
                 .apply_instance_list(now, &all_listed(1));
         }
     }
@@ -150,14 +150,14 @@
         .max()
         .unwrap_or_default();
     for node in running {
-        assert_eq!(live(&node.machine.members()), live(&expected));
+        assert_eq!(live(&node.membership.members()), live(&expected));
         assert_eq!(
             node.puller.active_revision(),
             newest,
             "a revision is not active everywhere"
         );
-        assert_eq!(node.machine.lowest_revision(), newest);
-        assert_eq!(node.machine.newest_revision(), (newest, None));
+        assert_eq!(node.membership.lowest_revision(), newest);
+        assert_eq!(node.membership.newest_revision(), (newest, None));
     }
 }
 
--- a/crates/tc-membership/tests/store_source/freshness.rs
+++ b/crates/tc-membership/tests/store_source/freshness.rs
@@ -20,7 +20,8 @@
 /// All combinations of states of the four watchers.
 fn all_states() -> impl Iterator<Item = [State; 4]> {
     let count = STATES.len();
-    (0..count.pow(4)).map(move |n| [0, 1, 2, 3].map(|place| STATES[n / count.pow(place) % count]))
+    (0..count.pow(4))
+        .map(move |n| [0, 1, 2, 3].map(|position| STATES[n / count.pow(position) % count]))
 }
 
 /// Advances the simulation, checking in every step the age of the instances that the store answers.
@@ -59,15 +60,17 @@
                 fleet.states[*watcher] = state;
             }
             run_checked(&mut fleet, BOUND / 3, &format!("{states:?} at {phase}"));
-            for (place, then) in [(0, 1), (1, 2), (2, 3), (3, 0), (0, 2), (1, 3)] {
+            for (position, then) in [(0, 1), (1, 2), (2, 3), (3, 0), (0, 2), (1, 3)] {
                 let mut fleet = fleet.clone();
                 // Only failures are simulated. A recovering instance needs time for its first read.
-                if fleet.states[watchers[place]] != State::Healthy {
+                if fleet.states[watchers[position]] != State::Healthy {
                     continue;
                 }
-                fleet.states[watchers[place]] = STATES[then];
-                let description =
-                    format!("{states:?} at {phase}, then {place} is {:?}", STATES[then]);
+                fleet.states[watchers[position]] = STATES[then];
+                let description = format!(
+                    "{states:?} at {phase}, then {position} is {:?}",
+                    STATES[then]
+                );
                 run_checked(&mut fleet, BOUND, &description);
             }
         }
--- a/crates/tc-membership/tests/store_source/roles.rs
+++ b/crates/tc-membership/tests/store_source/roles.rs
@@ -104,8 +104,8 @@
 fn a_silent_source_is_replaced_before_any_follower_watches_the_store() {
     let mut fleet = Fleet::new(60);
     fleet.run(Duration::from_secs(3));
-    let lost = fleet.watchers()[0];
-    fleet.states[lost] = State::Silent;
+    let lost_watcher = fleet.watchers()[0];
+    fleet.states[lost_watcher] = State::Silent;
     let mut max_watchers = 0;
     for _ in 0..100 {
         fleet.run(STEP);
--- a/crates/tc-membership/tests/support/mod.rs
+++ b/crates/tc-membership/tests/support/mod.rs
@@ -59,7 +59,7 @@
 }
 
 pub(crate) struct Node {
-    pub(crate) machine: Membership,
+    pub(crate) membership: Membership,
     pub(crate) puller: ConfigPuller,
     pub(crate) up: bool,
     pub(crate) left: bool,
@@ -118,9 +118,13 @@
     /// Creates nodes that know each other.
     pub(crate) fn joined(count: usize, cfg: MembershipConfig, seed: u64) -> Self {
         let mut net = Self::new(count, cfg, seed);
-        let all: Vec<_> = net.nodes.iter().flat_map(|n| n.machine.records()).collect();
+        let all: Vec<_> = net
+            .nodes
+            .iter()
+            .flat_map(|n| n.membership.records())
+            .collect();
         for index in 0..count {
-            net.nodes[index].machine.merge_records(net.now, &all);
+            net.nodes[index].membership.merge_records(net.now, &all);
         }
         net
     }
@@ -128,7 +132,7 @@
     fn new_node(&mut self, index: usize, incarnation: u64) -> Node {
         let seed = self.rng.random();
         Node {
-            machine: Membership::new(self.cfg.clone(), member(index, incarnation), seed),
+            membership: Membership::new(self.cfg.clone(), member(index, incarnation), seed),
             puller: ConfigPuller::new(seed),
             up: true,
             left: false,
@@ -145,7 +149,7 @@
         );
         for index in 0..self.nodes.len() {
             self.nodes[index]
-                .machine
+                .membership
                 .apply_instance_list(self.now, &list);
             self.schedule_wake(index);
         }
@@ -160,7 +164,7 @@
         let incarnation = self.nodes[index].incarnation + 1;
         self.nodes[index] = self.new_node(index, incarnation);
         self.nodes[index]
-            .machine
+            .membership
             .apply_instance_list(self.now, list);
         self.schedule_wake(index);
     }
@@ -174,20 +178,20 @@
     }
 
     pub(crate) fn leave(&mut self, index: usize) {
-        if self.runs(index) {
+        if self.is_running(index) {
             self.nodes[index].left = true;
-            let out = self.nodes[index].machine.leave();
+            let out = self.nodes[index].membership.leave();
             self.send(index, out);
         }
     }
 
     pub(crate) fn publish(&mut self, index: usize, revision: u64) {
-        if self.runs(index) && self.nodes[index].puller.activate(revision) {
-            self.nodes[index].machine.set_revision(revision);
+        if self.is_running(index) && self.nodes[index].puller.activate(revision) {
+            self.nodes[index].membership.set_revision(revision);
         }
     }
 
-    pub(crate) fn runs(&self, index: usize) -> bool {
+    pub(crate) fn is_running(&self, index: usize) -> bool {
         self.nodes[index].up && self.nodes[index].paused_until.is_none()
     }
 
@@ -239,11 +243,11 @@
         match event {
             Event::Wake(_) => {
                 self.nodes[index].wake_at = None;
-                let out = self.nodes[index].machine.tick(self.now);
+                let out = self.nodes[index].membership.tick(self.now);
                 self.send(index, out);
             }
             Event::Deliver(_, message) => {
-                let out = self.nodes[index].machine.handle(self.now, &message);
+                let out = self.nodes[index].membership.handle(self.now, &message);
                 self.send(index, out);
                 self.pull_newer_revision(index, &message);
                 check(self, index, &message);
@@ -251,7 +255,7 @@
             Event::Pulled(_, from) => self.pulled(index, &from),
             Event::Resume(_) => {
                 self.nodes[index].paused_until = None;
-                self.nodes[index].machine.resumed(self.now);
+                self.nodes[index].membership.resumed(self.now);
                 self.schedule_wake(index);
             }
         }
@@ -262,7 +266,7 @@
         let from = &message.from;
         node.puller
             .note_peer_revision(now, &from.member.id, from.revision);
-        if let (revision, Some(holder)) = node.machine.newest_revision() {
+        if let (revision, Some(holder)) = node.membership.newest_revision() {
             node.puller.note_peer_revision(now, &holder, revision);
         }
         if let Pull::Peer(peer) = node.puller.next_pull(now, false, false) {
@@ -276,10 +280,10 @@
         };
         let revision = self.nodes[peer].puller.active_revision();
         let reachable =
-            self.runs(peer) && self.links.partition[peer] == self.links.partition[index];
+            self.is_running(peer) && self.links.partition[peer] == self.links.partition[index];
         let node = &mut self.nodes[index];
         if reachable && node.puller.activate(revision) {
-            node.machine.set_revision(revision);
+            node.membership.set_revision(revision);
         } else {
             node.puller.pull_failed(self.now, from);
         }
@@ -311,7 +315,7 @@
     }
 
     fn schedule_wake(&mut self, index: usize) {
-        let at = self.nodes[index].machine.next_wake().max(self.now);
+        let at = self.nodes[index].membership.next_wake().max(self.now);
         if self.nodes[index]
             .wake_at
             .is_none_or(|scheduled| at < scheduled)
--- a/crates/tc-membership/tests/view_sync.rs
+++ b/crates/tc-membership/tests/view_sync.rs
@@ -70,7 +70,7 @@
     }
 
     fn compare(&mut self, index: usize) {
-        let members = self.net.nodes[index].machine.members();
+        let members = self.net.nodes[index].membership.members();
         let is_other = |m: &&Member| m.id != id(index);
         let mut others: Vec<&Member> = members.iter().filter(is_other).collect();
         let watchers: Vec<&Member> = store_watchers(&members);
@@ -91,25 +91,28 @@
 
     fn exchange(&mut self, asker: usize, other: usize) -> ComparisonOutcome {
         let now = self.net.now;
-        let view = self.net.nodes[asker].machine.view_digest();
+        let view = self.net.nodes[asker].membership.view_digest();
         let known: HashSet<u32> = self.net.nodes[asker]
-            .machine
+            .membership
             .member_hashes()
             .into_iter()
             .collect();
         let own: Vec<_> = self.net.nodes[asker]
-            .machine
+            .membership
             .records()
             .into_iter()
             .filter(|record| record.member.id == id(asker))
             .collect();
-        let other = &mut self.net.nodes[other].machine;
+        let other = &mut self.net.nodes[other].membership;
         other.merge_records(now, &own);
         if other.view_digest() == view {
             return ComparisonOutcome::Same;
         }
         let records = other.missing_records(&known);
-        if self.net.nodes[asker].machine.merge_records(now, &records) {
+        if self.net.nodes[asker]
+            .membership
+            .merge_records(now, &records)
+        {
             ComparisonOutcome::Updated
         } else {
             ComparisonOutcome::Unchanged
@@ -119,22 +122,22 @@
     /// Returns the instances that at least one instance considers the home of `role`.
     fn homes(&self, role: &str) -> BTreeSet<InstanceId> {
         let homes = self.net.nodes.iter().map(|node| {
-            let members = node.machine.members();
+            let members = node.membership.members();
             home_of(role, &members, None, None).map(|home| home.id.clone())
         });
         homes.flatten().collect()
     }
 
     fn min_known_members(&self) -> usize {
-        let known = self.net.nodes.iter().map(|n| n.machine.members().len());
+        let known = self.net.nodes.iter().map(|n| n.membership.members().len());
         known.min().unwrap_or_default()
     }
 }
 
 /// Guards against instances disagreeing on the home of a service, which for a whole day, on one day
 /// in four, left every third request without the results of its stages. 80 instances start within
-/// 0.3 s, and each is introduced once by one of three seeds. One of them was told of only 25
-/// others, learned of one more per second, and picked a different home than everybody else.
+/// 0.3 s, and each is introduced once by one of three seeds. One of them was introduced to only
+/// 25 others, learned of one more per second, and picked a different home than everybody else.
 #[test]
 fn instances_that_start_together_agree_on_homes_within_seconds() {
     let runs = (0..5).map(|seed| (80, 2, seed));
