--- a/crates/tc-membership/tests/placement.rs
+++ b/crates/tc-membership/tests/placement.rs
@@ -1,11 +1,12 @@
-//! Placement of roles and address sets: who is chosen, and how little moves when an instance goes.
+//! Placement of roles and shuffle shards: which instances are chosen, and how little changes when
+//! one is lost.
 
 mod support;
 
 use std::collections::BTreeSet;
 
 use support::{DOMAINS, id, member};
-use tc_membership::{addresses, home_of, watchers};
+use tc_membership::{config_watchers, home_of, shuffle_shard};
 use tc_protocol::{
     FailureDomain, InstanceId, Member,
     MemberState::{self, Alive, Dead, Leaving, Suspect},
@@ -31,22 +32,22 @@
     let near: FailureDomain = "kl-0".into();
     let cases = [
         (
-            "alive in the domain",
+            "alive in the failure domain",
             vec![Alive, Alive, Alive, Alive],
             Some(0),
         ),
         (
-            "else alive in the region",
+            "alive in the region",
             vec![Dead, Alive, Dead, Leaving],
             Some(1),
         ),
         (
-            "alive elsewhere before suspect here",
+            "alive elsewhere before suspect in the failure domain",
             vec![Suspect, Dead, Alive, Dead],
             Some(2),
         ),
         (
-            "suspect when none is alive",
+            "suspect if none is alive",
             vec![Suspect, Leaving, Dead, Suspect],
             Some(0),
         ),
@@ -82,11 +83,11 @@
 fn watchers_are_of_the_domain_and_replaced_one_by_one() {
     let mut members = fleet(&[Alive; 16]);
     let domain: FailureDomain = "kl-1".into();
-    let before = ids(&watchers(&members, &domain, 2));
+    let before = ids(&config_watchers(&members, &domain, 2));
     assert_eq!(before.len(), 2);
     let lost = before.first().unwrap();
     members.iter_mut().find(|m| m.id == *lost).unwrap().state = Leaving;
-    let after = watchers(&members, &domain, 2);
+    let after = config_watchers(&members, &domain, 2);
     assert!(after.iter().all(|m| m.failure_domain == domain));
     assert_eq!(ids(&after).intersection(&before).count(), 1);
 }
@@ -97,7 +98,13 @@
     let cases = [
         ("size by weight", [Alive; 8].to_vec(), 2, 3, 6),
         ("at least two", [Alive; 8].to_vec(), 1, 1, 2),
-        ("no more than there are", vec![Alive, Alive, Dead], 4, 4, 2),
+        (
+            "limited by the number of members",
+            vec![Alive, Alive, Dead],
+            4,
+            4,
+            2,
+        ),
         (
             "no leaving, suspect or dead",
             vec![Leaving, Suspect, Dead, Alive, Alive],
@@ -106,17 +113,17 @@
             2,
         ),
         (
-            "suspect ones when none is alive",
+            "suspect if none is alive",
             vec![Leaving, Suspect, Dead, Suspect],
             1,
             4,
             2,
         ),
-        ("none", vec![Leaving, Dead], 1, 4, 0),
+        ("no usable members", vec![Leaving, Dead], 1, 4, 0),
     ];
     for (name, states, weight, size, expected) in cases {
         let members = fleet(&states);
-        let shard = addresses(&"lintas".into(), weight, size, &members, &near);
+        let shard = shuffle_shard(&"lintas".into(), weight, size, &members, &near);
         assert_eq!(ids(&shard).len(), expected, "{name}");
         let first_far = shard.iter().position(|m| m.failure_domain != near);
         let last_near = shard.iter().rposition(|m| m.failure_domain == near);
@@ -133,7 +140,7 @@
     let near: FailureDomain = "kl-0".into();
     let mut shards = BTreeSet::new();
     for workspace in (0..KEYS).map(|k| WorkspaceName::from(format!("w{k}"))) {
-        let shard = ids(&addresses(&workspace, 1, 4, &before, &near));
+        let shard = ids(&shuffle_shard(&workspace, 1, 4, &before, &near));
         let domains: BTreeSet<_> = before
             .iter()
             .filter(|m| shard.contains(&m.id))
@@ -142,13 +149,13 @@
         assert_eq!(domains.len(), DOMAINS, "spread over the failure domains");
         assert_eq!(
             shard,
-            ids(&addresses(&workspace, 1, 4, &before, &"kl-3".into())),
-            "same wherever asked"
+            ids(&shuffle_shard(&workspace, 1, 4, &before, &"kl-3".into())),
+            "same for every failure domain"
         );
         for lost in 0..24 {
             let mut after = before.clone();
             after[lost].state = Suspect;
-            let kept = ids(&addresses(&workspace, 1, 4, &after, &near))
+            let kept = ids(&shuffle_shard(&workspace, 1, 4, &after, &near))
                 .intersection(&shard)
                 .count();
             assert_eq!(kept, 4 - usize::from(shard.contains(&id(lost))));
