--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{Coming, HomeOutlook, PiecesByDue};
+use tc_policy::{DueHistogram, HomeOutlook, IncomingPieces};
 use tc_protocol::{
     Fingerprint, InstanceId, ServiceName,
     routing::{
@@ -248,36 +248,36 @@
 }
 
 pub(super) fn outlook_to_wire(outlook: &HomeOutlook) -> wire::HomeOutlook {
-    let coming = |(service, coming): (&ServiceName, &Coming)| wire::ComingPieces {
+    let coming = |(service, coming): (&ServiceName, &IncomingPieces)| wire::ComingPieces {
         service: service.to_string(),
         in_time: coming.in_time.counts().to_vec(),
-        all: coming.all,
+        all: coming.total,
     };
     wire::HomeOutlook {
-        own_ms: convert::millis(outlook.own),
+        own_ms: convert::millis(outlook.base_latency),
         in_time: outlook.in_time.counts().to_vec(),
         waiting: outlook.waiting,
         pieces_per_s: outlook.pieces_per_s as f32,
-        free: outlook.free as f32,
-        coming: outlook.coming.iter().map(coming).collect(),
+        free: outlook.spare_capacity as f32,
+        coming: outlook.incoming.iter().map(coming).collect(),
     }
 }
 
 pub(super) fn outlook_from_wire(outlook: &wire::HomeOutlook) -> HomeOutlook {
     let coming = |coming: &wire::ComingPieces| {
-        let pieces = Coming {
-            in_time: PiecesByDue::from_counts(&coming.in_time),
-            all: coming.all,
+        let pieces = IncomingPieces {
+            in_time: DueHistogram::from_counts(&coming.in_time),
+            total: coming.all,
         };
         (coming.service.as_str().into(), pieces)
     };
     HomeOutlook {
-        own: convert::from_millis(outlook.own_ms),
-        in_time: PiecesByDue::from_counts(&outlook.in_time),
+        base_latency: convert::from_millis(outlook.own_ms),
+        in_time: DueHistogram::from_counts(&outlook.in_time),
         waiting: outlook.waiting,
         pieces_per_s: f64::from(outlook.pieces_per_s),
-        free: f64::from(outlook.free),
-        coming: outlook.coming.iter().map(coming).collect(),
+        spare_capacity: f64::from(outlook.free),
+        incoming: outlook.coming.iter().map(coming).collect(),
     }
 }
 
--- a/crates/tc-gateway/src/homes/calls.rs
+++ b/crates/tc-gateway/src/homes/calls.rs
@@ -29,7 +29,7 @@
         upstream: call.upstream.clone(),
         address,
         request: (cx.edges.batch_call)(&call.pieces, &call.upstream),
-        remaining: call.limit,
+        remaining: call.timeout,
         // An answer names no call, so a late second one on a kept connection would be taken for the next call's.
         reuse: false,
     };
--- a/crates/tc-gateway/src/homes/chains.rs
+++ b/crates/tc-gateway/src/homes/chains.rs
@@ -8,7 +8,7 @@
 
 use futures::future::join_all;
 use tc_fleet::Mesh;
-use tc_policy::{ChainJudge, HomeOutlook};
+use tc_policy::{ChainAdmission, HomeOutlook};
 use tc_protocol::{
     MonoTime, ServiceName,
     routing::{ChainAsk, PiecesAsk, PiecesRefusal},
@@ -29,7 +29,7 @@
 
 #[derive(Default)]
 struct Known {
-    judge: ChainJudge,
+    judge: ChainAdmission,
     /// Services of stages of requests that were judged here, and when last.
     wanted: BTreeMap<ServiceName, MonoTime>,
 }
@@ -58,12 +58,12 @@
         let call_times = call_times(world, &chain);
         let judged = {
             let mut known = self.lock();
-            known.judge.note(now, &ask.service, home.outlook());
+            known.judge.record(now, &ask.service, home.outlook());
             for stage in &chain.stages {
                 known.wanted.insert(stage.service.clone(), now);
             }
             let first = ask.stage as usize;
-            known.judge.judge(now, &chain, ask.rank, first, &call_times)
+            known.judge.admit(now, &chain, ask.rank, first, &call_times)
         };
         self.wanted.notify_one();
         match judged {
@@ -88,7 +88,7 @@
     }
 
     fn note(&self, service: &ServiceName, outlook: HomeOutlook) {
-        self.lock().judge.note(MonoTime::now(), service, outlook);
+        self.lock().judge.record(MonoTime::now(), service, outlook);
     }
 
     fn lock(&self) -> MutexGuard<'_, Known> {
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -7,7 +7,8 @@
 
 use slotmap::SecondaryMap;
 use tc_policy::{
-    BatchCall, BatchPlanner, BatchUpstream, HomeOutlook, JobKey, NewJob, RepeatBudget, Settled,
+    BatchCall, BatchPlanner, BatchUpstream, HomeOutlook, JobKey, NewJob, PlannerEffects,
+    RepeatBudget,
 };
 use tc_protocol::{
     MonoTime, ServiceName, UpstreamId,
@@ -100,7 +101,7 @@
         {
             let mut inner = self.lock();
             for handle in handles {
-                inner.planner.freed(handle);
+                inner.planner.result_freed(handle);
             }
         }
         self.drive();
@@ -136,12 +137,12 @@
     ///
     /// Both happen under one lock. A job that came in between would take the place of one that has ended, and the answer to that
     /// one would be lost: seen as a request refused for a stage that failed, while its results are made and nobody frees them.
-    fn step(&self, step: impl FnOnce(&mut BatchPlanner) -> Settled) -> usize {
+    fn step(&self, step: impl FnOnce(&mut BatchPlanner) -> PlannerEffects) -> usize {
         let settled = {
             let mut inner = self.lock();
             let mut settled = step(&mut inner.planner);
-            for handle in &settled.unwanted {
-                inner.planner.freed(handle);
+            for handle in &settled.discarded_results {
+                inner.planner.result_freed(handle);
             }
             for finished in &mut settled.finished {
                 if let Some(reply) = inner.waiting.remove(finished.job) {
@@ -152,8 +153,8 @@
             }
             settled
         };
-        calls::free_at_makers(&self.cx, &settled.unwanted);
-        self.give_up_inputs(&settled.read);
+        calls::free_at_makers(&self.cx, &settled.discarded_results);
+        self.give_up_inputs(&settled.released_inputs);
         settled.finished.len()
     }
 
@@ -186,7 +187,7 @@
             inner.waiting.remove(job);
             let unwanted = inner.planner.cancel(job);
             for handle in &unwanted {
-                inner.planner.freed(handle);
+                inner.planner.result_freed(handle);
             }
             unwanted
         };
@@ -244,7 +245,7 @@
         rank: ask.rank,
         in_time_until: now.after(ask.in_time_for),
         deadline: now.after(ask.remaining),
-        prefer: ask.prefer,
+        preferred_domain: ask.prefer,
         held_bytes: ask.held_bytes,
         is_last_reader: ask.is_last_reader,
         following: ask.following,
@@ -291,7 +292,7 @@
         let _ = timeout(wait, home.wake.notified()).await;
         let now = MonoTime::now();
         home.step(|planner| planner.expire(now));
-        let read = home.lock().planner.inputs_read(now);
+        let read = home.lock().planner.take_read_inputs(now);
         home.give_up_inputs(&read);
         home.drive();
     }
--- a/crates/tc-gateway/src/run/outlooks.rs
+++ b/crates/tc-gateway/src/run/outlooks.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use tc_policy::{ExpectedStages, HomeOutlook, JudgedRequest, StageOutlooks};
+use tc_policy::{ChainQuery, ExpectedStageTimes, HomeOutlook, StageOutlooks};
 use tc_protocol::{MonoTime, ServiceName};
 
 /// See [`StageOutlooks`].
@@ -11,11 +11,11 @@
 
 impl SharedOutlooks {
     pub(crate) fn note(&self, service: &ServiceName, home: HomeOutlook) {
-        self.lock().note(MonoTime::now(), service, home);
+        self.lock().record(MonoTime::now(), service, home);
     }
 
-    pub(crate) fn expect(&self, request: &JudgedRequest<'_>) -> ExpectedStages {
-        self.lock().expect(MonoTime::now(), request)
+    pub(crate) fn expect(&self, request: &ChainQuery<'_>) -> ExpectedStageTimes {
+        self.lock().estimate(MonoTime::now(), request)
     }
 
     fn lock(&self) -> MutexGuard<'_, StageOutlooks> {
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered};
-use tc_policy::{ExpectedStages, JudgedRequest, StageGraph};
+use tc_policy::{ChainQuery, ExpectedStageTimes, StageGraph};
 use tc_protocol::{
     FailureDomain, ServiceName,
     routing::{ChainAsk, PieceInput, PiecesAsk, PiecesRefusal, ResultHandle, RouteStage},
@@ -162,7 +162,7 @@
 }
 
 /// What the stages still to be made are expected to take.
-fn expected(cx: &RunContext, req: &RoutedRequest, graph: &StageGraph<'_>) -> ExpectedStages {
+fn expected(cx: &RunContext, req: &RoutedRequest, graph: &StageGraph<'_>) -> ExpectedStageTimes {
     let world = cx.world.load();
     let call_time = |stage: &RouteStage| {
         let config = world.config.as_ref()?;
@@ -174,7 +174,7 @@
         .iter()
         .map(|stage| call_time(stage).unwrap_or_default())
         .collect();
-    cx.outlooks.expect(&JudgedRequest {
+    cx.outlooks.expect(&ChainQuery {
         graph,
         call_times: &call_times,
         until_aim: in_time_for(cx, req, Duration::ZERO),
--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -48,7 +48,7 @@
         rank: (number % 3) as u8,
         in_time_until: now().after(Duration::from_millis(60_000 + number as u64 % 700)),
         deadline: now().after(Duration::from_mins(10)),
-        prefer: None,
+        preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
         following: vec![("next".into(), 2)],
--- a/crates/tc-policy/src/batch/judge.rs
+++ b/crates/tc-policy/src/batch/chain_admission.rs
@@ -12,14 +12,14 @@
 
 use super::{
     outlook::HomeOutlook,
-    outlooks::{JudgedRequest, StageOutlooks},
+    outlooks::{ChainQuery, StageOutlooks},
     refused::RefusedRequests,
 };
 use crate::StageGraph;
 
 /// How a request that is worth beginning is to be begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct AdmittedChain {
     /// Time within which its first stage must be done for it to be in time.
     pub in_time_for: Duration,
     /// Whether it comes again after a refusal and cannot be in time any more for its caller.
@@ -28,15 +28,15 @@
 
 /// What the home of a first stage knows of the homes of the stages that follow.
 #[derive(Clone, Debug, Default)]
-pub struct ChainJudge {
+pub struct ChainAdmission {
     outlooks: StageOutlooks,
     refused: RefusedRequests,
 }
 
-impl ChainJudge {
+impl ChainAdmission {
     /// A home told how it stands.
-    pub fn note(&mut self, now: MonoTime, service: &ServiceName, outlook: HomeOutlook) {
-        self.outlooks.note(now, service, outlook);
+    pub fn record(&mut self, now: MonoTime, service: &ServiceName, outlook: HomeOutlook) {
+        self.outlooks.record(now, service, outlook);
     }
 
     /// How a request whose first stage is `first` is to be begun; otherwise when it is to come back.
@@ -44,31 +44,31 @@
     /// A request that was refused and comes again counts from when it came first, as its caller does. Judged as a new one it
     /// would take the place of one that can still be in time: seen in a burst of five seconds as every request refused once and
     /// then answered late.
-    pub fn judge(
+    pub fn admit(
         &mut self,
         now: MonoTime,
         chain: &ChainAsk,
         rank: u8,
         first: usize,
         call_times: &[Duration],
-    ) -> Result<Begun, Duration> {
+    ) -> Result<AdmittedChain, Duration> {
         let aim = self.refused.aim_of(now, chain.fingerprint);
         let aim = aim.unwrap_or_else(|| now.after(chain.until_aim));
         let until_aim = aim.since(now).min(chain.until_aim);
         let graph = StageGraph::new(&chain.stages, &chain.pieces);
-        let request = JudgedRequest {
+        let request = ChainQuery {
             graph: &graph,
             call_times,
             until_aim,
             rank,
         };
-        let expected = self.outlooks.expect(now, &request);
+        let expected = self.outlooks.estimate(now, &request);
         if let Err(retry_after) = graph.worth_beginning(&expected, until_aim, chain.until_left) {
             self.refused.note(now, chain.fingerprint, aim);
             return Err(retry_after);
         }
         let after = graph.time_after(first, &expected.in_time);
-        Ok(Begun {
+        Ok(AdmittedChain {
             in_time_for: until_aim.saturating_sub(after),
             is_late_return: until_aim.is_zero(),
         })
--- a/crates/tc-policy/src/batch/ends.rs
+++ b/crates/tc-policy/src/batch/completion.rs
@@ -36,7 +36,7 @@
 
 /// A job that ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Finished {
+pub struct FinishedJob {
     /// Which one.
     pub job: JobKey,
     /// The results in the order of the pieces, or why there are none.
@@ -45,19 +45,19 @@
 
 /// What the end of a call brought.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Settled {
+pub struct PlannerEffects {
     /// Jobs that ended.
-    pub finished: Vec<Finished>,
+    pub finished: Vec<FinishedJob>,
     /// Results that nobody waits for; they are to be freed at their makers.
-    pub unwanted: Vec<ResultHandle>,
+    pub discarded_results: Vec<ResultHandle>,
     /// Inputs of finished jobs that nobody reads any more and that were not given up before.
-    pub read: Vec<ResultHandle>,
+    pub released_inputs: Vec<ResultHandle>,
 }
 
 impl BatchPlanner {
     /// Takes up how a call ended.
-    pub fn end_call(&mut self, now: MonoTime, key: CallKey, end: CallEnd) -> Settled {
-        let mut settled = Settled::default();
+    pub fn end_call(&mut self, now: MonoTime, key: CallKey, end: CallEnd) -> PlannerEffects {
+        let mut settled = PlannerEffects::default();
         let Some(call) = self.calls.remove(key) else {
             return settled;
         };
@@ -119,10 +119,10 @@
         maker: &UpstreamId,
         (key, piece): (JobKey, u32),
         result: PieceResult,
-        settled: &mut Settled,
+        settled: &mut PlannerEffects,
     ) {
         let Some(job) = self.jobs.get_mut(key) else {
-            settled.unwanted.extend(result.ok());
+            settled.discarded_results.extend(result.ok());
             return;
         };
         match result {
@@ -143,14 +143,14 @@
         }
     }
 
-    fn finish_if_done(&mut self, key: JobKey, settled: &mut Settled) {
+    fn finish_if_done(&mut self, key: JobKey, settled: &mut PlannerEffects) {
         if !self.jobs[key].is_done() {
             return;
         }
         if let Some(job) = self.jobs.remove(key) {
-            settled.read.extend(job.inputs_left());
+            settled.released_inputs.extend(job.inputs_left());
             self.note_inputs_found(&job);
-            settled.finished.push(Finished {
+            settled.finished.push(FinishedJob {
                 job: key,
                 result: Ok(job.results.into_iter().flatten().collect()),
             });
@@ -164,7 +164,7 @@
         call: &Call,
         arrived: bool,
         failed: bool,
-        settled: &mut Settled,
+        settled: &mut PlannerEffects,
     ) {
         for (key, piece) in &call.pieces {
             if !self.jobs.contains_key(*key) {
@@ -185,7 +185,7 @@
         key: JobKey,
         piece: u32,
         failed: bool,
-        settled: &mut Settled,
+        settled: &mut PlannerEffects,
     ) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -199,7 +199,7 @@
     }
 
     /// Puts a piece back into the queue, unless its inputs were given up: then the stages before must be made again.
-    fn put_back(&mut self, key: JobKey, piece: u32, settled: &mut Settled) {
+    fn put_back(&mut self, key: JobKey, piece: u32, settled: &mut PlannerEffects) {
         let job = &mut self.jobs[key];
         if job.has_no_inputs() {
             self.refuse(key, PiecesRefusal::InputGone, settled);
@@ -209,9 +209,14 @@
         job.waiting.push_front(piece);
     }
 
-    pub(super) fn refuse(&mut self, key: JobKey, refusal: PiecesRefusal, settled: &mut Settled) {
-        settled.unwanted.extend(self.cancel(key));
-        settled.finished.push(Finished {
+    pub(super) fn refuse(
+        &mut self,
+        key: JobKey,
+        refusal: PiecesRefusal,
+        settled: &mut PlannerEffects,
+    ) {
+        settled.discarded_results.extend(self.cancel(key));
+        settled.finished.push(FinishedJob {
             job: key,
             result: Err(refusal),
         });
--- a/crates/tc-policy/src/batch/choose.rs
+++ b/crates/tc-policy/src/batch/dispatch.rs
@@ -6,8 +6,8 @@
 
 use super::{
     job::{Job, JobKey},
-    maker::Maker,
     planner::{BatchCall, BatchPlanner, Call, EXPIRE_EVERY},
+    upstream::Maker,
 };
 
 /// A call that takes this many times its expected time is given up.
@@ -155,7 +155,7 @@
             key,
             upstream: id.clone(),
             pieces: orders,
-            limit: expected.mul_f64(GIVE_UP_FACTOR) + GIVE_UP_EXTRA,
+            timeout: expected.mul_f64(GIVE_UP_FACTOR) + GIVE_UP_EXTRA,
         })
     }
 
--- a/crates/tc-policy/src/batch/by_due.rs
+++ b/crates/tc-policy/src/batch/due_histogram.rs
@@ -11,20 +11,20 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use tc_policy::PiecesByDue;
-/// let mut pieces = PiecesByDue::default();
+/// use tc_policy::DueHistogram;
+/// let mut pieces = DueHistogram::default();
 /// pieces.add(Duration::from_millis(100), 10);
 /// pieces.add(Duration::from_millis(600), 20);
 /// assert_eq!(pieces.due_before(Duration::from_millis(500)), 10.0);
 /// assert_eq!(pieces.due_before(Duration::from_millis(625)), 20.0);
-/// assert_eq!(pieces.all(), 30);
+/// assert_eq!(pieces.total(), 30);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PiecesByDue {
+pub struct DueHistogram {
     counts: [u32; BUCKETS],
 }
 
-impl PiecesByDue {
+impl DueHistogram {
     /// Adds pieces that are due after `due`.
     pub fn add(&mut self, due: Duration, pieces: u32) {
         let count = &mut self.counts[bucket(due)];
@@ -42,7 +42,7 @@
 
     /// All of them.
     #[must_use]
-    pub fn all(&self) -> u32 {
+    pub fn total(&self) -> u32 {
         let add = |sum: u32, count: &u32| sum.saturating_add(*count);
         self.counts.iter().fold(0, add)
     }
@@ -54,7 +54,7 @@
         &self.counts[..used.map_or(0, |last| last + 1)]
     }
 
-    /// The inverse of [`PiecesByDue::counts`]; buckets beyond the last count in it.
+    /// The inverse of [`DueHistogram::counts`]; buckets beyond the last count in it.
     #[must_use]
     pub fn from_counts(counts: &[u32]) -> Self {
         let mut pieces = Self::default();
--- a/crates/tc-policy/src/batch/inputs.rs
+++ b/crates/tc-policy/src/batch/inputs.rs
@@ -84,7 +84,7 @@
     }
 
     /// Inputs that every reader has by now; each is told once.
-    pub fn inputs_read(&mut self, now: MonoTime) -> Vec<ResultHandle> {
+    pub fn take_read_inputs(&mut self, now: MonoTime) -> Vec<ResultHandle> {
         let mut read = Vec::new();
         for job in self.jobs.values_mut() {
             if matches!(job.inputs, Inputs::ReadBy(at) if at <= now) {
@@ -95,7 +95,7 @@
         read
     }
 
-    /// When [`BatchPlanner::inputs_read`] has something to tell, as far as known.
+    /// When [`BatchPlanner::take_read_inputs`] has something to tell, as far as known.
     pub(super) fn next_read(&self) -> Option<MonoTime> {
         let times = self.jobs.values().filter_map(|job| match job.inputs {
             Inputs::ReadBy(at) => Some(at),
--- a/crates/tc-policy/src/batch/job.rs
+++ b/crates/tc-policy/src/batch/job.rs
@@ -56,7 +56,7 @@
     /// When nobody waits any more.
     pub deadline: MonoTime,
     /// Where its results are wanted.
-    pub prefer: Option<FailureDomain>,
+    pub preferred_domain: Option<FailureDomain>,
     /// Bytes of inputs that are kept at their makers until its pieces have them.
     pub held_bytes: u64,
     /// Whether its inputs are given up as soon as its pieces have them.
@@ -139,7 +139,11 @@
     /// Place for a call that would end at `ends` on an upstream in `domain`.
     pub(super) fn place_in(&self, ends: MonoTime, domain: &FailureDomain) -> Place {
         let place = self.place(ends);
-        let is_away = self.new.prefer.as_ref().is_some_and(|d| d != domain);
+        let is_away = self
+            .new
+            .preferred_domain
+            .as_ref()
+            .is_some_and(|d| d != domain);
         let away = if is_away { AWAY_STEP } else { Duration::ZERO };
         Place {
             due: place.due.after(away),
@@ -177,8 +181,8 @@
 
     /// The first piece of a stage with large results decides where the others are wanted, unless that is known.
     pub(super) fn placed_in(&mut self, now: MonoTime, domain: &FailureDomain, call_time: Duration) {
-        if self.new.prefer.is_none() && self.bytes_to_be_read() >= LARGE_RESULTS_BYTES {
-            self.new.prefer = Some(domain.clone());
+        if self.new.preferred_domain.is_none() && self.bytes_to_be_read() >= LARGE_RESULTS_BYTES {
+            self.new.preferred_domain = Some(domain.clone());
             self.stay(now, call_time);
         }
     }
@@ -197,7 +201,7 @@
     ///
     /// Bytes between domains cost as much as a late answer: ten pieces that each read 360 KB move 3.6 MB.
     pub(super) fn stay(&mut self, now: MonoTime, call_time: Duration) {
-        if self.new.prefer.is_none() {
+        if self.new.preferred_domain.is_none() {
             return;
         }
         let spare = self
@@ -211,7 +215,7 @@
 
     /// The only domain whose upstreams may get it now, if it waits for one.
     pub(super) fn waits_for(&self, now: MonoTime) -> Option<&FailureDomain> {
-        let prefer = self.new.prefer.as_ref();
+        let prefer = self.new.preferred_domain.as_ref();
         prefer.filter(|_| now < self.stays_until)
     }
 
--- a/crates/tc-policy/src/batch/mod.rs
+++ b/crates/tc-policy/src/batch/mod.rs
@@ -5,27 +5,27 @@
 //!
 //! [`BatchPlanner`] only decides; whoever drives it makes the calls it names and tells it how they ended.
 
-mod by_due;
-mod choose;
+mod chain_admission;
+mod completion;
 mod demand;
-mod ends;
+mod dispatch;
+mod due_histogram;
 mod inputs;
 mod job;
-mod judge;
-mod maker;
 mod outlook;
 mod outlooks;
 mod piece_times;
 mod planner;
+mod queue_time;
 mod refused;
-mod results;
-mod waits;
+mod result_memory;
+mod upstream;
 
-pub use by_due::PiecesByDue;
-pub use ends::{CallEnd, Finished, Settled};
+pub use chain_admission::{AdmittedChain, ChainAdmission};
+pub use completion::{CallEnd, FinishedJob, PlannerEffects};
+pub use due_histogram::DueHistogram;
 pub use job::{JobKey, NewJob};
-pub use judge::{Begun, ChainJudge};
-pub use maker::BatchUpstream;
-pub use outlook::{Coming, HomeOutlook};
-pub use outlooks::{ExpectedStages, JudgedRequest, StageOutlooks};
+pub use outlook::{HomeOutlook, IncomingPieces};
+pub use outlooks::{ChainQuery, ExpectedStageTimes, StageOutlooks};
 pub use planner::{BatchCall, BatchPlanner, CallKey};
+pub use upstream::BatchUpstream;
--- a/crates/tc-policy/src/batch/outlook.rs
+++ b/crates/tc-policy/src/batch/outlook.rs
@@ -4,32 +4,32 @@
 
 use tc_protocol::{MonoTime, ServiceName};
 
-use super::{by_due::PiecesByDue, planner::BatchPlanner, waits::NEXT_CALL};
+use super::{due_histogram::DueHistogram, planner::BatchPlanner, queue_time::NEXT_CALL};
 
 /// How a home stands.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HomeOutlook {
     /// Time of a job that waits for nobody: its own call and a part of the one before it.
-    pub own: Duration,
+    pub base_latency: Duration,
     /// Pieces that wait and can be in time, by when they are due.
-    pub in_time: PiecesByDue,
+    pub in_time: DueHistogram,
     /// All pieces that wait.
     pub waiting: u32,
     /// Pieces that all upstreams together make in a second in full calls.
     pub pieces_per_s: f64,
     /// Part of that which work that comes to be done in time leaves free.
-    pub free: f64,
+    pub spare_capacity: f64,
     /// Pieces that will be asked of other services once what is here is made.
-    pub coming: BTreeMap<ServiceName, Coming>,
+    pub incoming: BTreeMap<ServiceName, IncomingPieces>,
 }
 
 /// Pieces of a service that are on their way to its home.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Coming {
+pub struct IncomingPieces {
     /// Those of requests that can be in time, by when they are due where they are now.
-    pub in_time: PiecesByDue,
+    pub in_time: DueHistogram,
     /// Those of all requests.
-    pub all: u32,
+    pub total: u32,
 }
 
 impl BatchPlanner {
@@ -38,9 +38,9 @@
     pub fn outlook(&self, now: MonoTime) -> HomeOutlook {
         let ends = self.typical_end(now);
         let mut outlook = HomeOutlook {
-            own: self.typical_call().mul_f64(NEXT_CALL),
+            base_latency: self.typical_call().mul_f64(NEXT_CALL),
             pieces_per_s: self.pieces_per_s(),
-            free: self.free_for_late(now),
+            spare_capacity: self.free_for_late(now),
             ..HomeOutlook::default()
         };
         for job in self.jobs.values() {
@@ -53,10 +53,10 @@
             }
             let is_late = place.is_late || job.expected_late;
             for (service, pieces) in &job.new.following {
-                let coming = outlook.coming.entry(service.clone()).or_default();
-                coming.all = coming.all.saturating_add(*pieces);
+                let incoming = outlook.incoming.entry(service.clone()).or_default();
+                incoming.total = incoming.total.saturating_add(*pieces);
                 if !is_late {
-                    coming.in_time.add(due, *pieces);
+                    incoming.in_time.add(due, *pieces);
                 }
             }
         }
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -6,7 +6,7 @@
 
 use super::{
     job::RANK_STEP,
-    outlook::{Coming, HomeOutlook},
+    outlook::{HomeOutlook, IncomingPieces},
 };
 use crate::StageGraph;
 
@@ -37,7 +37,7 @@
 
 /// A request whose stages are judged.
 #[derive(Clone, Copy, Debug)]
-pub struct JudgedRequest<'a> {
+pub struct ChainQuery<'a> {
     /// Its stages.
     pub graph: &'a StageGraph<'a>,
     /// Fixed time of a call of each stage.
@@ -50,7 +50,7 @@
 
 /// Expected times of a request's stages, their waits included.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ExpectedStages {
+pub struct ExpectedStageTimes {
     /// If the request goes with what can be in time.
     pub in_time: Vec<Duration>,
     /// If it goes with what cannot.
@@ -59,15 +59,15 @@
 
 impl StageOutlooks {
     /// A home told how it stands.
-    pub fn note(&mut self, now: MonoTime, service: &ServiceName, outlook: HomeOutlook) {
+    pub fn record(&mut self, now: MonoTime, service: &ServiceName, outlook: HomeOutlook) {
         self.told.insert(service.clone(), (now, outlook));
     }
 
     /// What a request that begins now, or goes on now, is to expect.
     #[must_use]
-    pub fn expect(&self, now: MonoTime, request: &JudgedRequest<'_>) -> ExpectedStages {
+    pub fn estimate(&self, now: MonoTime, request: &ChainQuery<'_>) -> ExpectedStageTimes {
         let stages = request.graph.stages().len();
-        let mut expected = ExpectedStages {
+        let mut expected = ExpectedStageTimes {
             in_time: vec![Duration::ZERO; stages],
             late: vec![Duration::ZERO; stages],
         };
@@ -99,10 +99,10 @@
         (now.since(*at) < LIFE).then_some(outlook)
     }
 
-    fn own(&self, now: MonoTime, request: &JudgedRequest<'_>, stage: usize) -> Duration {
+    fn own(&self, now: MonoTime, request: &ChainQuery<'_>, stage: usize) -> Duration {
         let told = self.told_of(now, request.graph, stage);
         told.map_or(request.call_times[stage].mul_f64(UNKNOWN_STAGE), |told| {
-            told.own
+            told.base_latency
         })
     }
 
@@ -112,12 +112,12 @@
         now: MonoTime,
         graph: &'a StageGraph<'a>,
         stage: usize,
-    ) -> impl Iterator<Item = (usize, &'a Coming)> + 'a {
+    ) -> impl Iterator<Item = (usize, &'a IncomingPieces)> + 'a {
         let service = &graph.stages()[stage].service;
         let before = graph.stages()[stage].after.iter().copied();
         before.filter_map(move |before| {
             let told = self.told_of(now, graph, before)?;
-            Some((before, told.coming.get(service)?))
+            Some((before, told.incoming.get(service)?))
         })
     }
 
@@ -125,7 +125,7 @@
     fn wait_in_time(
         &self,
         now: MonoTime,
-        request: &JudgedRequest<'_>,
+        request: &ChainQuery<'_>,
         stage: usize,
         told: &HomeOutlook,
         own: &[Duration],
@@ -149,15 +149,15 @@
     fn wait_late(
         &self,
         now: MonoTime,
-        request: &JudgedRequest<'_>,
+        request: &ChainQuery<'_>,
         stage: usize,
         told: &HomeOutlook,
         travel: Duration,
     ) -> Duration {
         let coming = self.coming(now, request.graph, stage);
-        let coming: f64 = coming.map(|(_, coming)| f64::from(coming.all)).sum();
+        let coming: f64 = coming.map(|(_, coming)| f64::from(coming.total)).sum();
         let ahead = f64::from(told.waiting) + coming;
-        time_for(ahead, told.pieces_per_s * told.free, travel)
+        time_for(ahead, told.pieces_per_s * told.spare_capacity, travel)
     }
 }
 
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -9,14 +9,14 @@
 };
 
 use super::{
+    completion::PlannerEffects,
     demand::Demand,
-    ends::Settled,
     inputs::FetchTime,
     job::{Job, JobKey, NewJob, Place},
-    maker::{BatchUpstream, Maker},
     piece_times::PieceTimes,
-    results::Results,
-    waits::NEXT_CALL,
+    queue_time::NEXT_CALL,
+    result_memory::Results,
+    upstream::{BatchUpstream, Maker},
 };
 use crate::{PacedSends, RepeatBudget};
 
@@ -45,7 +45,7 @@
     /// The pieces, in the order in which they are to be sent.
     pub pieces: Vec<PieceOrder>,
     /// When to give it up.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 #[derive(Debug)]
@@ -165,7 +165,7 @@
         if !job.expected_late {
             self.demand.add(now, self.work_of(&job));
         }
-        if self.makes_in(job.new.prefer.as_ref()) {
+        if self.makes_in(job.new.preferred_domain.as_ref()) {
             job.stay(now, self.spec.call_time);
         }
         Ok(self.jobs.insert(job))
@@ -197,8 +197,8 @@
     ///
     /// The latter are refused before their time is over, as more urgent ones went before them: their callers can still
     /// turn elsewhere, and the room that they hold is free for others.
-    pub fn expire(&mut self, now: MonoTime) -> Settled {
-        let mut settled = Settled::default();
+    pub fn expire(&mut self, now: MonoTime) -> PlannerEffects {
+        let mut settled = PlannerEffects::default();
         let ends = self.typical_end(now);
         let mut queue: Vec<(Place, JobKey)> = self
             .jobs
@@ -230,8 +230,8 @@
     ///
     /// Two homes that both work off a backlog send each upstream twice the calls it can make; each call then waits there
     /// for the other home's, seen as calls of twice their time until the old home is done, seconds later.
-    pub fn hand_over(&mut self) -> Settled {
-        let mut settled = Settled::default();
+    pub fn hand_over(&mut self) -> PlannerEffects {
+        let mut settled = PlannerEffects::default();
         let untouched: Vec<JobKey> = self
             .jobs
             .iter()
@@ -245,7 +245,7 @@
     }
 
     /// A result is no longer needed, or was freed.
-    pub fn freed(&mut self, handle: &ResultHandle) {
+    pub fn result_freed(&mut self, handle: &ResultHandle) {
         self.results.give_up(handle);
     }
 
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -25,9 +25,9 @@
 pub use admission::{admit, hedge_after, slack_for};
 pub use backoffs::Backoffs;
 pub use batch::{
-    BatchCall, BatchPlanner, BatchUpstream, Begun, CallEnd, CallKey, ChainJudge, Coming,
-    ExpectedStages, Finished, HomeOutlook, JobKey, JudgedRequest, NewJob, PiecesByDue, Settled,
-    StageOutlooks,
+    AdmittedChain, BatchCall, BatchPlanner, BatchUpstream, CallEnd, CallKey, ChainAdmission,
+    ChainQuery, DueHistogram, ExpectedStageTimes, FinishedJob, HomeOutlook, IncomingPieces, JobKey,
+    NewJob, PlannerEffects, StageOutlooks,
 };
 pub use budget::Budget;
 pub use choice::{Candidate, Choice, choose};
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{ServiceName, routing::RouteStage};
 
-use crate::ExpectedStages;
+use crate::ExpectedStageTimes;
 
 /// Part of the time until its caller leaves that the stages of a late request may be expected to take.
 const MOST_TIME: f64 = 0.8;
@@ -171,7 +171,7 @@
     /// the next, seen as half of a burst refused after half a second of work for it.
     pub fn worth_beginning(
         &self,
-        expected: &ExpectedStages,
+        expected: &ExpectedStageTimes,
         until_aim: Duration,
         until_left: Duration,
     ) -> Result<(), Duration> {
--- a/crates/tc-policy/tests/batch/common.rs
+++ b/crates/tc-policy/tests/batch/common.rs
@@ -62,7 +62,7 @@
         rank: 0,
         in_time_until: at(900),
         deadline: at(3_600),
-        prefer: None,
+        preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
         following: Vec::new(),
--- a/crates/tc-policy/tests/batch/ends.rs
+++ b/crates/tc-policy/tests/batch/ends.rs
@@ -15,7 +15,7 @@
     assert_eq!(settled.finished.len(), 1);
     assert_eq!(settled.finished[0].job, key);
     assert_eq!(settled.finished[0].result, Err(PiecesRefusal::Late));
-    assert_eq!(settled.unwanted.len(), 14);
+    assert_eq!(settled.discarded_results.len(), 14);
 }
 
 #[test]
@@ -27,7 +27,7 @@
     planner.end_call(at(300), first.key, made(&first));
     assert_eq!(planner.cancel(key).len(), 14);
     let settled = planner.end_call(at(310), second.key, made(&second));
-    assert_eq!(settled.unwanted.len(), 2);
+    assert_eq!(settled.discarded_results.len(), 2);
     assert!(settled.finished.is_empty());
 }
 
@@ -100,5 +100,5 @@
     let end = CallEnd::Answered(vec![Ok(handle("1")), Err(PieceFailure::InputGone)]);
     let settled = planner.end_call(at(250), call.key, end);
     assert_eq!(settled.finished[0].result, Err(PiecesRefusal::InputGone));
-    assert_eq!(settled.unwanted, [handle("1")]);
+    assert_eq!(settled.discarded_results, [handle("1")]);
 }
--- a/crates/tc-policy/tests/batch/fuzz.rs
+++ b/crates/tc-policy/tests/batch/fuzz.rs
@@ -6,7 +6,7 @@
 };
 
 use bolero::{TypeGenerator, generator::produce};
-use tc_policy::{BatchCall, BatchPlanner, CallEnd, CallKey, JobKey, NewJob, Settled};
+use tc_policy::{BatchCall, BatchPlanner, CallEnd, CallKey, JobKey, NewJob, PlannerEffects};
 use tc_protocol::{
     MonoTime, UpstreamId,
     routing::{BatchSpec, PieceFailure, ResultHandle},
@@ -203,7 +203,7 @@
         self.settle(settled);
     }
 
-    fn settle(&mut self, settled: Settled) {
+    fn settle(&mut self, settled: PlannerEffects) {
         for finished in settled.finished {
             let waiting = self.open.remove(&finished.job);
             let waiting = waiting.expect("a job ends once");
@@ -212,13 +212,13 @@
                 self.finished.push(results);
             }
         }
-        self.free(&settled.unwanted);
+        self.free(&settled.discarded_results);
     }
 
     fn free(&mut self, handles: &[ResultHandle]) {
         for handle in handles {
             self.kept.remove(handle);
-            self.planner.freed(handle);
+            self.planner.result_freed(handle);
         }
     }
 
--- a/crates/tc-policy/tests/batch/handing.rs
+++ b/crates/tc-policy/tests/batch/handing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{NewJob, PiecesByDue};
+use tc_policy::{DueHistogram, NewJob};
 use tc_protocol::{ServiceName, routing::PiecesRefusal};
 
 use crate::common::{at, job, made, planner, push};
@@ -48,11 +48,11 @@
     push(&mut planner, at(0), late);
     let outlook = planner.outlook(at(0));
     assert_eq!(outlook.waiting, 8);
-    assert_eq!(outlook.in_time.all(), 6, "what is late waits apart");
+    assert_eq!(outlook.in_time.total(), 6, "what is late waits apart");
     let soon = outlook.in_time.due_before(Duration::from_millis(500));
     assert!((soon - 3.0).abs() < 1e-9, "{soon}");
-    let coming = &outlook.coming[&ServiceName::from("behind")];
-    assert_eq!((coming.in_time.all(), coming.all), (8, 12));
-    let sent = PiecesByDue::from_counts(outlook.in_time.counts());
+    let coming = &outlook.incoming[&ServiceName::from("behind")];
+    assert_eq!((coming.in_time.total(), coming.total), (8, 12));
+    let sent = DueHistogram::from_counts(outlook.in_time.counts());
     assert_eq!(sent, outlook.in_time);
 }
--- a/crates/tc-policy/tests/batch/inputs.rs
+++ b/crates/tc-policy/tests/batch/inputs.rs
@@ -30,13 +30,17 @@
     let mut planner = planner();
     push(&mut planner, at(0), reader("x", 6));
     let call = planner.next_call(at(0)).expect("a call");
-    assert_eq!(planner.inputs_read(at(10)), [], "they may be on their way");
+    assert_eq!(
+        planner.take_read_inputs(at(10)),
+        [],
+        "they may be on their way"
+    );
     let wake = planner.next_wake(at(0)).expect("something comes");
     assert!(wake > at(10) && wake < at(100), "{wake:?}");
-    assert_eq!(planner.inputs_read(wake), inputs());
-    assert_eq!(planner.inputs_read(at(200)), [], "told once");
+    assert_eq!(planner.take_read_inputs(wake), inputs());
+    assert_eq!(planner.take_read_inputs(at(200)), [], "told once");
     let settled = planner.end_call(at(270), call.key, made(&call));
-    assert_eq!(settled.read, [], "nor again at the end");
+    assert_eq!(settled.released_inputs, [], "nor again at the end");
     assert!(settled.finished[0].result.is_ok());
 }
 
@@ -46,7 +50,7 @@
     push(&mut planner, at(0), reader("x", 2));
     let call = planner.next_call(at(0)).expect("a call");
     let settled = planner.end_call(at(5), call.key, made(&call));
-    assert_eq!(settled.read, inputs());
+    assert_eq!(settled.released_inputs, inputs());
 }
 
 #[test]
@@ -54,7 +58,7 @@
     let mut planner = planner();
     push(&mut planner, at(0), reader("long", 20));
     planner.next_call(at(0)).expect("a call of fourteen");
-    assert_eq!(planner.inputs_read(at(200)), [], "six still wait");
+    assert_eq!(planner.take_read_inputs(at(200)), [], "six still wait");
 }
 
 #[test]
@@ -66,9 +70,13 @@
     };
     push(&mut planner, at(0), shared);
     let call = planner.next_call(at(0)).expect("a call");
-    assert_eq!(planner.inputs_read(at(200)), []);
+    assert_eq!(planner.take_read_inputs(at(200)), []);
     let settled = planner.end_call(at(230), call.key, made(&call));
-    assert_eq!(settled.read, [], "the request itself gives them up");
+    assert_eq!(
+        settled.released_inputs,
+        [],
+        "the request itself gives them up"
+    );
 }
 
 fn planner() -> BatchPlanner {
@@ -82,11 +90,11 @@
     let mut planner = planner();
     push(&mut planner, at(0), reader("x", 2));
     let call = planner.next_call(at(0)).expect("a call");
-    assert_eq!(planner.inputs_read(at(150)).len(), 4);
+    assert_eq!(planner.take_read_inputs(at(150)).len(), 4);
     let end = CallEnd::Answered(vec![Ok(handle("1")), Err(PieceFailure::Failed)]);
     let settled = planner.end_call(at(230), call.key, end);
     assert_eq!(settled.finished[0].result, Err(PiecesRefusal::InputGone));
-    assert_eq!(settled.unwanted, [handle("1")]);
+    assert_eq!(settled.discarded_results, [handle("1")]);
 }
 
 #[test]
@@ -96,10 +104,14 @@
     push(&mut planner, at(0), reader("x", 2));
     let call = planner.next_call(at(0)).expect("a call");
     planner.end_call(at(10), call.key, CallEnd::Failed);
-    assert_eq!(planner.inputs_read(at(11)), [], "they are read once more");
+    assert_eq!(
+        planner.take_read_inputs(at(11)),
+        [],
+        "they are read once more"
+    );
     let again = planner.next_call(at(12)).expect("a call");
-    assert_eq!(planner.inputs_read(at(20)), []);
-    assert_eq!(planner.inputs_read(at(120)), inputs());
+    assert_eq!(planner.take_read_inputs(at(20)), []);
+    assert_eq!(planner.take_read_inputs(at(120)), inputs());
     planner.end_call(at(250), again.key, made(&again));
 }
 
@@ -119,7 +131,7 @@
     let call = planner.next_call(now).expect("a call");
     let given_up = (0..240).find(|ms| {
         let now = now.after(Duration::from_millis(*ms));
-        !planner.inputs_read(now).is_empty()
+        !planner.take_read_inputs(now).is_empty()
     });
     planner.end_call(now.after(Duration::from_millis(240)), call.key, end(&call));
     given_up
--- a/crates/tc-policy/tests/batch/order.rs
+++ b/crates/tc-policy/tests/batch/order.rs
@@ -78,7 +78,7 @@
     planner.end_call(at(600), second.key, made(&second));
     assert_eq!(planner.next_call(at(600)), None, "there is no room left");
     for piece in 0..7 {
-        planner.freed(&handle(&format!("u0-x-{piece}")));
+        planner.result_freed(&handle(&format!("u0-x-{piece}")));
     }
     let third = planner.next_call(at(610)).expect("room again");
     assert_eq!(names(&third), ["z/6"], "the piece that found no room");
@@ -195,7 +195,7 @@
                 };
                 in_time += u64::from(due[&finished.job] >= now);
                 for result in results {
-                    planner.freed(&result);
+                    planner.result_freed(&result);
                 }
             }
         }
@@ -334,7 +334,7 @@
     let busy = push(&mut planner, at(0), job("busy", 28));
     let calls = [planner.next_call(at(0)), planner.next_call(at(0))].map(|c| c.expect("a call"));
     let with_time = NewJob {
-        prefer: Some("near".into()),
+        preferred_domain: Some("near".into()),
         in_time_until: at(1_500),
         ..job("x", 2)
     };
@@ -354,7 +354,7 @@
     planner.cancel(busy);
     near.pop();
     let without_time = NewJob {
-        prefer: Some("near".into()),
+        preferred_domain: Some("near".into()),
         in_time_until: at(500),
         ..job("y", 2)
     };
--- a/crates/tc-policy/tests/chain/homes.rs
+++ b/crates/tc-policy/tests/chain/homes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{BatchCall, CallEnd, Settled};
+use tc_policy::{BatchCall, CallEnd, PlannerEffects};
 use tc_protocol::{
     FailureDomain, MonoTime,
     routing::{PiecesRefusal, ResultHandle},
@@ -23,7 +23,7 @@
         for (home, service) in self.homes.iter().zip(SERVICES) {
             let outlook = home.outlook(now);
             for judge in &mut self.judges {
-                judge.note(now, &service.into(), outlook.clone());
+                judge.record(now, &service.into(), outlook.clone());
             }
         }
     }
@@ -86,7 +86,7 @@
         for service in 0..SERVICES.len() {
             let settled = self.homes[service].expire(now);
             self.settle(now, service, settled);
-            let read = self.homes[service].inputs_read(now);
+            let read = self.homes[service].take_read_inputs(now);
             self.give_up(now, service, read);
             self.drive(now, service);
         }
@@ -101,11 +101,11 @@
         }
     }
 
-    pub(crate) fn settle(&mut self, now: MonoTime, service: usize, settled: Settled) {
-        for result in &settled.unwanted {
-            self.homes[service].freed(result);
+    pub(crate) fn settle(&mut self, now: MonoTime, service: usize, settled: PlannerEffects) {
+        for result in &settled.discarded_results {
+            self.homes[service].result_freed(result);
         }
-        self.give_up(now, service, settled.read);
+        self.give_up(now, service, settled.released_inputs);
         for finished in settled.finished {
             if let Some(of) = self.jobs[service].remove(finished.job) {
                 self.tell(now, service, of, finished.result.map_err(come_back));
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use tc_policy::{Begun, HomeOutlook, JudgedRequest, NewJob, StageGraph};
+use tc_policy::{AdmittedChain, ChainQuery, HomeOutlook, NewJob, StageGraph};
 use tc_protocol::{
     FailureDomain, Fingerprint, MonoTime,
     routing::{ChainAsk, PieceInput, ResultHandle},
@@ -166,9 +166,9 @@
         service: usize,
         request: usize,
         stage: usize,
-    ) -> Result<Begun, Duration> {
+    ) -> Result<AdmittedChain, Duration> {
         let own = self.homes[service].outlook(now);
-        self.judges[service].note(now, &SERVICES[service].into(), own);
+        self.judges[service].record(now, &SERVICES[service].into(), own);
         let req = &self.requests[request];
         let kind = &self.kinds[req.kind];
         let chain = ChainAsk {
@@ -179,7 +179,7 @@
             until_left: kind.patience.saturating_sub(now.since(req.at)),
         };
         let call_times = vec![Duration::from_millis(200); kind.stages.len()];
-        self.judges[service].judge(now, &chain, kind.rank, stage, &call_times)
+        self.judges[service].admit(now, &chain, kind.rank, stage, &call_times)
     }
 
     pub(crate) fn new_job(&self, now: MonoTime, request: usize, stage: usize) -> NewJob {
@@ -192,9 +192,9 @@
             }
         }
         let until_aim = kind.aim.saturating_sub(now.since(req.at) + PROMPT);
-        let expected = self.entries[req.entry].expect(
+        let expected = self.entries[req.entry].estimate(
             now,
-            &JudgedRequest {
+            &ChainQuery {
                 graph: &graph,
                 call_times: &vec![Duration::from_millis(200); kind.stages.len()],
                 until_aim,
@@ -208,7 +208,7 @@
             .flat_map(|before| req.results[*before].iter().cloned())
             .collect();
         let held_bytes: u64 = spec.after.iter().map(|b| graph.size_of(*b)).sum();
-        let prefer = preferred(&inputs, held_bytes * u64::from(req.pieces[stage]));
+        let preferred_domain = preferred(&inputs, held_bytes * u64::from(req.pieces[stage]));
         let until_aim = if req.is_late_return {
             Duration::ZERO
         } else {
@@ -224,7 +224,7 @@
             rank: kind.rank,
             in_time_until: now.after(in_time_for),
             deadline: req.at.after(kind.patience.saturating_sub(PROMPT)),
-            prefer,
+            preferred_domain,
             held_bytes,
             is_last_reader: graph.is_last_reader(stage),
             following: graph.following(stage),
@@ -239,7 +239,7 @@
     ) {
         let req = &self.requests[request];
         let service = &self.kinds[req.kind].stages[stage].service;
-        self.entries[req.entry].note(now, service, outlook);
+        self.entries[req.entry].record(now, service, outlook);
     }
 
     pub(crate) fn stage_made(
--- a/crates/tc-policy/tests/chain/world.rs
+++ b/crates/tc-policy/tests/chain/world.rs
@@ -5,7 +5,7 @@
 use rand_xoshiro::{Xoroshiro128PlusPlus, rand_core::SeedableRng};
 use slotmap::SecondaryMap;
 use tc_policy::{
-    BatchCall, BatchPlanner, BatchUpstream, ChainJudge, JobKey, RepeatBudget, RepeatLimits,
+    BatchCall, BatchPlanner, BatchUpstream, ChainAdmission, JobKey, RepeatBudget, RepeatLimits,
     StageOutlooks,
 };
 use tc_protocol::{MonoTime, routing::ResultHandle};
@@ -104,7 +104,7 @@
     pub(crate) homes: Vec<BatchPlanner>,
     pub(crate) jobs: Vec<SecondaryMap<JobKey, (usize, usize)>>,
     pub(crate) entries: Vec<StageOutlooks>,
-    pub(crate) judges: Vec<ChainJudge>,
+    pub(crate) judges: Vec<ChainAdmission>,
     pub(crate) requests: Vec<Request>,
     pub(crate) tallies: Vec<Tally>,
     pub(crate) results: u64,
@@ -136,7 +136,7 @@
             homes: (0..SERVICES.len()).map(home).collect(),
             jobs: vec![SecondaryMap::new(); SERVICES.len()],
             entries: vec![StageOutlooks::default(); ENTRIES],
-            judges: vec![ChainJudge::default(); SERVICES.len()],
+            judges: vec![ChainAdmission::default(); SERVICES.len()],
             requests: Vec::new(),
             tallies: vec![Tally::default(); kinds.len()],
             kinds,
@@ -209,7 +209,7 @@
             Event::Returns { request } => self.returns(now, request),
             Event::Freed(service, results) => {
                 for result in &results {
-                    self.homes[service].freed(result);
+                    self.homes[service].result_freed(result);
                 }
                 self.drive(now, service);
             }
--- a/crates/tc-policy/tests/judge.rs
+++ b/crates/tc-policy/tests/judge.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{Begun, ChainJudge, HomeOutlook, PiecesByDue};
+use tc_policy::{AdmittedChain, ChainAdmission, DueHistogram, HomeOutlook};
 use tc_protocol::{
     Fingerprint, MonoTime,
     routing::{ChainAsk, RouteStage},
@@ -30,28 +30,32 @@
     }
 }
 
-fn judge(judge: &mut ChainJudge, now: MonoTime, fingerprint: u64) -> Result<Begun, Duration> {
-    judge.judge(now, &chain(fingerprint), 0, 0, &[CALL, CALL])
+fn judge(
+    judge: &mut ChainAdmission,
+    now: MonoTime,
+    fingerprint: u64,
+) -> Result<AdmittedChain, Duration> {
+    judge.admit(now, &chain(fingerprint), 0, 0, &[CALL, CALL])
 }
 
 /// A home that makes 600 pieces a second and has this many waiting that can be in time.
 fn outlook(waiting: u32) -> HomeOutlook {
-    let mut in_time = PiecesByDue::default();
+    let mut in_time = DueHistogram::default();
     in_time.add(Duration::from_millis(100), waiting);
     HomeOutlook {
-        own: Duration::from_millis(300),
+        base_latency: Duration::from_millis(300),
         in_time,
         waiting,
         pieces_per_s: 600.0,
-        free: 0.02,
+        spare_capacity: 0.02,
         ..HomeOutlook::default()
     }
 }
 
-fn told(second: u32) -> ChainJudge {
-    let mut judge = ChainJudge::default();
-    judge.note(at(0), &"first".into(), outlook(0));
-    judge.note(at(0), &"second".into(), outlook(second));
+fn told(second: u32) -> ChainAdmission {
+    let mut judge = ChainAdmission::default();
+    judge.record(at(0), &"first".into(), outlook(0));
+    judge.record(at(0), &"second".into(), outlook(second));
     judge
 }
 
@@ -70,8 +74,8 @@
 fn who_comes_again_after_a_refusal_counts_from_when_he_came_first() {
     let mut home = told(900);
     assert!(judge(&mut home, at(0), 1).is_err());
-    home.note(at(400), &"second".into(), outlook(0));
-    home.note(at(400), &"first".into(), outlook(0));
+    home.record(at(400), &"second".into(), outlook(0));
+    home.record(at(400), &"first".into(), outlook(0));
     let again = judge(&mut home, at(300), 1).expect("there is time");
     assert!(!again.is_late_return);
     assert_eq!(again.in_time_for, Duration::from_millis(400));
@@ -79,11 +83,11 @@
     let mut home = told(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     let free = HomeOutlook {
-        free: 1.0,
+        spare_capacity: 1.0,
         ..outlook(0)
     };
-    home.note(at(1_200), &"second".into(), free.clone());
-    home.note(at(1_200), &"first".into(), free);
+    home.record(at(1_200), &"second".into(), free.clone());
+    home.record(at(1_200), &"first".into(), free);
     let again = judge(&mut home, at(1_200), 1).expect("there are places left");
     assert!(again.is_late_return);
     assert_eq!(again.in_time_for, Duration::ZERO);
@@ -93,15 +97,15 @@
 fn another_request_is_not_taken_for_one_that_was_refused() {
     let mut home = told(900);
     assert!(judge(&mut home, at(0), 1).is_err());
-    home.note(at(400), &"second".into(), outlook(0));
+    home.record(at(400), &"second".into(), outlook(0));
     let other = judge(&mut home, at(400), 2).expect("there is time");
     assert!(!other.is_late_return);
     // A refusal stands for one return only, and not for ever.
     let mut home = told(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     let late = at(9_000);
-    home.note(late, &"second".into(), outlook(0));
-    home.note(late, &"first".into(), outlook(0));
+    home.record(late, &"second".into(), outlook(0));
+    home.record(late, &"first".into(), outlook(0));
     assert!(
         !judge(&mut home, late, 1)
             .expect("there is time")
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use tc_policy::{
-    BatchPlanner, BatchUpstream, CallEnd, CallKey, HomeOutlook, JobKey, JudgedRequest, NewJob,
-    PiecesByDue, RepeatBudget, RepeatLimits, StageGraph, StageOutlooks,
+    BatchPlanner, BatchUpstream, CallEnd, CallKey, ChainQuery, DueHistogram, HomeOutlook, JobKey,
+    NewJob, RepeatBudget, RepeatLimits, StageGraph, StageOutlooks,
 };
 use tc_protocol::{
     MonoTime, ServiceName,
@@ -122,7 +122,7 @@
             .cloned()
             .collect();
         for result in freed {
-            self.planner.freed(&result);
+            self.planner.result_freed(&result);
         }
         over.into_iter()
             .map(|finished| (finished.job, finished.result.is_ok()))
@@ -161,7 +161,7 @@
         let now = MonoTime::from_millis(1_000 + tick);
         if tick % 50 == 0 {
             for (name, service) in names.iter().zip(&services) {
-                told.note(now, name, service.planner.outlook(now));
+                told.record(now, name, service.planner.outlook(now));
             }
         }
         due += match tick {
@@ -173,9 +173,9 @@
             due -= 1.0;
             tally.asked += 1;
             let graph = StageGraph::new(&stages, &[1, 4]);
-            let expected = told.expect(
+            let expected = told.estimate(
                 now,
-                &JudgedRequest {
+                &ChainQuery {
                     graph: &graph,
                     call_times: &[ms(200); 2],
                     until_aim: AIM,
@@ -231,7 +231,7 @@
         rank: 0,
         in_time_until: now.after(aim),
         deadline: came.after(LEAVES),
-        prefer: None,
+        preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
         following: match stage {
@@ -280,16 +280,16 @@
         for service in ["first", "second"] {
             let outlook = HomeOutlook {
                 waiting: u32::MAX,
-                in_time: PiecesByDue::from_counts(&[u32::MAX; 40]),
+                in_time: DueHistogram::from_counts(&[u32::MAX; 40]),
                 pieces_per_s: number,
-                free: number,
+                spare_capacity: number,
                 ..HomeOutlook::default()
             };
-            told.note(now, &service.into(), outlook);
+            told.record(now, &service.into(), outlook);
         }
-        let expected = told.expect(
+        let expected = told.estimate(
             now,
-            &JudgedRequest {
+            &ChainQuery {
                 graph: &graph,
                 call_times: &[ms(200); 2],
                 until_aim: AIM,
