--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{DueHistogram, HomeOutlook, IncomingPieces};
+use tc_policy::{DueHistogram, FollowingPieces, HomeOutlook};
 use tc_protocol::{
     Fingerprint, InstanceId, ServiceName,
     routing::{
@@ -248,7 +248,7 @@
 }
 
 pub(super) fn outlook_to_wire(outlook: &HomeOutlook) -> wire::HomeOutlook {
-    let coming = |(service, coming): (&ServiceName, &IncomingPieces)| wire::ComingPieces {
+    let coming = |(service, coming): (&ServiceName, &FollowingPieces)| wire::ComingPieces {
         service: service.to_string(),
         in_time: coming.in_time.counts().to_vec(),
         all: coming.total,
@@ -259,13 +259,13 @@
         waiting: outlook.waiting,
         pieces_per_s: outlook.pieces_per_s as f32,
         free: outlook.spare_capacity as f32,
-        coming: outlook.incoming.iter().map(coming).collect(),
+        coming: outlook.following.iter().map(coming).collect(),
     }
 }
 
 pub(super) fn outlook_from_wire(outlook: &wire::HomeOutlook) -> HomeOutlook {
     let coming = |coming: &wire::ComingPieces| {
-        let pieces = IncomingPieces {
+        let pieces = FollowingPieces {
             in_time: DueHistogram::from_counts(&coming.in_time),
             total: coming.all,
         };
@@ -277,7 +277,7 @@
         waiting: outlook.waiting,
         pieces_per_s: f64::from(outlook.pieces_per_s),
         spare_capacity: f64::from(outlook.free),
-        incoming: outlook.coming.iter().map(coming).collect(),
+        following: outlook.coming.iter().map(coming).collect(),
     }
 }
 
--- a/crates/tc-policy/src/batch/chain_admission.rs
+++ b/crates/tc-policy/src/batch/chain_admission.rs
@@ -1,10 +1,10 @@
-//! Whether a request's whole chain of stages is worth beginning, judged at the home of its first stage.
+//! Admission control for a request's whole chain of stages, at the home of its first stage.
 //!
-//! The home that a request comes to first knows its own queue exactly, every request that it let pass a moment ago included, and
-//! hears of the other homes many times a second. An instance that judges by what its own asks brought knows each home as it
-//! was a quarter of a second ago on average: seen among 78 instances in a burst as all of them letting requests pass for as
-//! long as the last word was good, and then refusing them while the homes had places: a third fewer in time at four times the
-//! usual load than at twice.
+//! That home knows its own queue exactly, including every request admitted a moment ago, and receives the outlooks of
+//! the other homes many times a second. An instance that decides from the answers to its own asks has information that
+//! is a quarter of a second old on average. With 78 instances in a burst, all of them admitted requests until their
+//! information expired and then refused requests while the homes had capacity: a third fewer requests were on time at
+//! four times the usual load than at twice.
 
 use std::time::Duration;
 
@@ -17,16 +17,16 @@
 };
 use crate::StageGraph;
 
-/// How a request that is worth beginning is to be begun.
+/// How an admitted request is scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmittedChain {
-    /// Time within which its first stage must be done for it to be in time.
+    /// Time within which the first stage must be done for the request to be on time.
     pub in_time_for: Duration,
-    /// Whether it comes again after a refusal and cannot be in time any more for its caller.
+    /// Whether the request is a retry after a refusal and can no longer be on time for its caller.
     pub is_late_return: bool,
 }
 
-/// What the home of a first stage knows of the homes of the stages that follow.
+/// Admission state at the home of a first stage: outlooks of the following homes and recent refusals.
 #[derive(Clone, Debug, Default)]
 pub struct ChainAdmission {
     outlooks: StageOutlooks,
@@ -34,16 +34,16 @@
 }
 
 impl ChainAdmission {
-    /// A home told how it stands.
+    /// Stores the latest outlook of a home.
     pub fn record(&mut self, now: MonoTime, service: &ServiceName, outlook: HomeOutlook) {
         self.outlooks.record(now, service, outlook);
     }
 
-    /// How a request whose first stage is `first` is to be begun; otherwise when it is to come back.
+    /// Admits a request whose first stage is `first`, or returns the time after which to retry.
     ///
-    /// A request that was refused and comes again counts from when it came first, as its caller does. Judged as a new one it
-    /// would take the place of one that can still be in time: seen in a burst of five seconds as every request refused once and
-    /// then answered late.
+    /// A retry after a refusal keeps the target time of the first attempt, as its caller does. Treated as a new
+    /// request, it would displace one that can still be on time: in a burst of five seconds, every request was refused
+    /// once and then answered late.
     pub fn admit(
         &mut self,
         now: MonoTime,
@@ -52,7 +52,7 @@
         first: usize,
         call_times: &[Duration],
     ) -> Result<AdmittedChain, Duration> {
-        let aim = self.refused.aim_of(now, chain.fingerprint);
+        let aim = self.refused.remove(now, chain.fingerprint);
         let aim = aim.unwrap_or_else(|| now.after(chain.until_aim));
         let until_aim = aim.since(now).min(chain.until_aim);
         let graph = StageGraph::new(&chain.stages, &chain.pieces);
@@ -64,7 +64,7 @@
         };
         let expected = self.outlooks.estimate(now, &request);
         if let Err(retry_after) = graph.worth_beginning(&expected, until_aim, chain.until_left) {
-            self.refused.note(now, chain.fingerprint, aim);
+            self.refused.record(now, chain.fingerprint, aim);
             return Err(retry_after);
         }
         let after = graph.time_after(first, &expected.in_time);
--- a/crates/tc-policy/src/batch/completion.rs
+++ b/crates/tc-policy/src/batch/completion.rs
@@ -1,4 +1,4 @@
-//! How calls and jobs end: results go to their jobs, failed pieces wait again, makers are judged by what they did.
+//! Handles the end of calls and jobs: stores results, requeues failed pieces and updates the upstreams.
 
 use std::time::Duration;
 
@@ -8,204 +8,214 @@
 };
 
 use super::{
-    job::{Inputs, JobKey},
+    job::{InputState, JobKey},
     planner::{BatchPlanner, Call, CallKey},
 };
 
-/// Failed calls after which a job is given up: its pieces may be what fails them.
-const MOST_FAILURES: u32 = 3;
-/// Weight of the newest call in the average: a dozen calls, half a second of one service, move it by most.
-const TYPICAL_WEIGHT: f64 = 0.1;
+/// Number of failed calls after which a job is refused, since its own pieces may cause the failures.
+const MAX_FAILURES: u32 = 3;
+/// Weight of the latest call in the moving average: a dozen calls, half a second of a service, change most of it.
+const CALL_TIME_WEIGHT: f64 = 0.1;
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEnd {
-    /// The upstream answered, one result a piece.
+    /// The upstream answered, with one result for each piece.
     Answered(Vec<PieceResult>),
-    /// The upstream said that it has not taken the call, or it was never sent.
+    /// The upstream reported that it did not run the call, or the call was never sent.
     NotRun,
-    /// The upstream has not taken the call and requested a backoff of this length.
+    /// The upstream did not run the call and requested a backoff of this length.
     RefusedWithBackoff(Duration),
     /// The call was not sent because a backoff of the upstream has this much time remaining.
     BackingOff(Duration),
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// It broke, was given up, or its answer cannot be read.
+    /// The call failed or timed out, or its answer is malformed.
     Failed,
 }
 
 /// A job that ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedJob {
-    /// Which one.
+    /// Key of the job.
     pub job: JobKey,
-    /// The results in the order of the pieces, or why there are none.
+    /// Results in the order of the pieces, or the reason for a refusal.
     pub result: Result<Vec<ResultHandle>, PiecesRefusal>,
 }
 
-/// What the end of a call brought.
+/// Changes that the driver must act on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlannerEffects {
     /// Jobs that ended.
     pub finished: Vec<FinishedJob>,
-    /// Results that nobody waits for; they are to be freed at their makers.
+    /// Results that are no longer needed; the driver must free them at their upstreams.
     pub discarded_results: Vec<ResultHandle>,
-    /// Inputs of finished jobs that nobody reads any more and that were not given up before.
+    /// Inputs of finished jobs that have no further readers and were not released before.
     pub released_inputs: Vec<ResultHandle>,
 }
 
 impl BatchPlanner {
-    /// Takes up how a call ended.
+    /// Processes the end of a call.
     pub fn end_call(&mut self, now: MonoTime, key: CallKey, end: CallEnd) -> PlannerEffects {
-        let mut settled = PlannerEffects::default();
+        let mut effects = PlannerEffects::default();
         let Some(call) = self.calls.remove(key) else {
-            return settled;
+            return effects;
         };
         self.last_refused = matches!(end, CallEnd::NotRun | CallEnd::RefusedWithBackoff(_));
-        self.note_maker(now, &call, &end);
+        self.update_upstream(now, &call, &end);
         match end {
             CallEnd::Answered(results) => {
                 for ((job, piece), result) in call.pieces.iter().zip(results) {
-                    self.piece_ended(now, &call.upstream, (*job, *piece), result, &mut settled);
+                    self.handle_piece_result(
+                        now,
+                        &call.upstream,
+                        (*job, *piece),
+                        result,
+                        &mut effects,
+                    );
                 }
             }
             CallEnd::NotRun
             | CallEnd::RefusedWithBackoff(_)
             | CallEnd::BackingOff(_)
             | CallEnd::Unreachable => {
-                let arrived = matches!(end, CallEnd::NotRun | CallEnd::RefusedWithBackoff(_));
-                self.send_again(now, &call, arrived, false, &mut settled);
+                let reached_upstream =
+                    matches!(end, CallEnd::NotRun | CallEnd::RefusedWithBackoff(_));
+                self.requeue_call(now, &call, reached_upstream, false, &mut effects);
             }
-            CallEnd::Failed => self.send_again(now, &call, true, true, &mut settled),
+            CallEnd::Failed => self.requeue_call(now, &call, true, true, &mut effects),
         }
-        settled
+        effects
     }
 
-    fn note_maker(&mut self, now: MonoTime, call: &Call, end: &CallEnd) {
-        let Some(maker) = self.makers.get_mut(&call.upstream) else {
+    fn update_upstream(&mut self, now: MonoTime, call: &Call, end: &CallEnd) {
+        let Some(upstream) = self.upstreams.get_mut(&call.upstream) else {
             return;
         };
         let took = now.since(call.started);
-        maker.calls = maker.calls.saturating_sub(1);
-        maker.reserved = maker
-            .reserved
-            .saturating_sub(call.kinds.iter().sum::<u64>());
+        upstream.calls = upstream.calls.saturating_sub(1);
+        upstream.reserved_bytes = upstream
+            .reserved_bytes
+            .saturating_sub(call.result_sizes.iter().sum::<u64>());
         match end {
             CallEnd::Answered(results) => {
                 if results.contains(&Err(PieceFailure::NoRoom)) {
-                    maker.refused(now);
+                    upstream.record_refusal(now);
                 }
-                self.typical_call_s += TYPICAL_WEIGHT * (took.as_secs_f64() - self.typical_call_s);
-                self.times.learn(&self.spec, &call.kinds, took, maker.speed);
-                maker.answered(took, call.expected.div_f64(maker.speed));
+                self.typical_call_s +=
+                    CALL_TIME_WEIGHT * (took.as_secs_f64() - self.typical_call_s);
+                self.piece_times
+                    .learn(&self.spec, &call.result_sizes, took, upstream.slowdown);
+                upstream.record_success(took, call.expected.div_f64(upstream.slowdown));
             }
-            CallEnd::NotRun => maker.refused(now),
+            CallEnd::NotRun => upstream.record_refusal(now),
             CallEnd::RefusedWithBackoff(backoff) | CallEnd::BackingOff(backoff) => {
-                maker.back_off(now, *backoff);
+                upstream.back_off(now, *backoff);
             }
             CallEnd::Unreachable | CallEnd::Failed => {
-                maker.failed(now, took, call.expected.div_f64(maker.speed));
+                upstream.record_failure(now, took, call.expected.div_f64(upstream.slowdown));
             }
         }
-        let is_gone = !maker.ready && maker.calls == 0;
-        if is_gone {
-            self.makers.remove(&call.upstream);
+        let is_removable = !upstream.ready && upstream.calls == 0;
+        if is_removable {
+            self.upstreams.remove(&call.upstream);
         }
     }
 
-    fn piece_ended(
+    fn handle_piece_result(
         &mut self,
         now: MonoTime,
-        maker: &UpstreamId,
+        upstream: &UpstreamId,
         (key, piece): (JobKey, u32),
         result: PieceResult,
-        settled: &mut PlannerEffects,
+        effects: &mut PlannerEffects,
     ) {
         let Some(job) = self.jobs.get_mut(key) else {
-            settled.discarded_results.extend(result.ok());
+            effects.discarded_results.extend(result.ok());
             return;
         };
         match result {
             Ok(handle) => {
-                let bytes = job.new.result_bytes;
+                let bytes = job.params.result_bytes;
                 job.results[piece as usize] = Some(handle.clone());
-                let until = now.after(self.spec.result_life);
-                self.results.keep(handle, maker, bytes, until);
-                self.finish_if_done(key, settled);
+                let expires_at = now.after(self.spec.result_life);
+                self.result_memory
+                    .insert(handle, upstream, bytes, expires_at);
+                self.finish_if_done(key, effects);
             }
-            Err(PieceFailure::Late) => self.refuse(key, PiecesRefusal::Late, settled),
+            Err(PieceFailure::Late) => self.refuse(key, PiecesRefusal::Late, effects),
             Err(PieceFailure::InputGone) => {
-                self.note_input_gone(key);
-                self.refuse(key, PiecesRefusal::InputGone, settled);
+                self.record_input_gone(key);
+                self.refuse(key, PiecesRefusal::InputGone, effects);
             }
-            Err(PieceFailure::NoRoom) => self.wait_again(now, key, piece, false, settled),
-            Err(PieceFailure::Failed) => self.wait_again(now, key, piece, true, settled),
+            Err(PieceFailure::NoRoom) => self.retry_piece(now, key, piece, false, effects),
+            Err(PieceFailure::Failed) => self.retry_piece(now, key, piece, true, effects),
         }
     }
 
-    fn finish_if_done(&mut self, key: JobKey, settled: &mut PlannerEffects) {
+    fn finish_if_done(&mut self, key: JobKey, effects: &mut PlannerEffects) {
         if !self.jobs[key].is_done() {
             return;
         }
         if let Some(job) = self.jobs.remove(key) {
-            settled.released_inputs.extend(job.inputs_left());
-            self.note_inputs_found(&job);
-            settled.finished.push(FinishedJob {
+            effects.released_inputs.extend(job.unreleased_inputs());
+            self.record_inputs_found(&job);
+            effects.finished.push(FinishedJob {
                 job: key,
                 result: Ok(job.results.into_iter().flatten().collect()),
             });
         }
     }
 
-    /// Puts the pieces of a call that brought nothing back into the queue.
-    fn send_again(
+    /// Requeues the pieces of a call that produced no results.
+    fn requeue_call(
         &mut self,
         now: MonoTime,
         call: &Call,
-        arrived: bool,
+        reached_upstream: bool,
         failed: bool,
-        settled: &mut PlannerEffects,
+        effects: &mut PlannerEffects,
     ) {
         for (key, piece) in &call.pieces {
             if !self.jobs.contains_key(*key) {
                 continue;
             }
-            if arrived {
-                self.wait_again(now, *key, *piece, failed, settled);
+            if reached_upstream {
+                self.retry_piece(now, *key, *piece, failed, effects);
             } else {
-                self.put_back(*key, *piece, settled);
+                self.requeue_piece(*key, *piece, effects);
             }
         }
     }
 
-    /// A piece that reached an upstream and was not made waits for another call, while the budget allows it.
-    fn wait_again(
+    /// Requeues a piece that reached an upstream and was not made, if the repeat budget allows it.
+    fn retry_piece(
         &mut self,
         now: MonoTime,
         key: JobKey,
         piece: u32,
         failed: bool,
-        settled: &mut PlannerEffects,
+        effects: &mut PlannerEffects,
     ) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
         job.failures += u32::from(failed);
-        if job.failures > MOST_FAILURES || !self.repeats.try_spend(now) {
-            self.refuse(key, PiecesRefusal::Failed, settled);
+        if job.failures > MAX_FAILURES || !self.repeats.try_spend(now) {
+            self.refuse(key, PiecesRefusal::Failed, effects);
             return;
         }
-        self.put_back(key, piece, settled);
+        self.requeue_piece(key, piece, effects);
     }
 
-    /// Puts a piece back into the queue, unless its inputs were given up: then the stages before must be made again.
-    fn put_back(&mut self, key: JobKey, piece: u32, settled: &mut PlannerEffects) {
+    /// Requeues a piece, unless its inputs were released: then the preceding stages must run again.
+    fn requeue_piece(&mut self, key: JobKey, piece: u32, effects: &mut PlannerEffects) {
         let job = &mut self.jobs[key];
-        if job.has_no_inputs() {
-            self.refuse(key, PiecesRefusal::InputGone, settled);
+        if job.inputs_released() {
+            self.refuse(key, PiecesRefusal::InputGone, effects);
             return;
         }
-        job.inputs = Inputs::Kept;
+        job.inputs = InputState::Held;
         job.waiting.push_front(piece);
     }
 
@@ -213,10 +223,10 @@
         &mut self,
         key: JobKey,
         refusal: PiecesRefusal,
-        settled: &mut PlannerEffects,
+        effects: &mut PlannerEffects,
     ) {
-        settled.discarded_results.extend(self.cancel(key));
-        settled.finished.push(FinishedJob {
+        effects.discarded_results.extend(self.cancel(key));
+        effects.finished.push(FinishedJob {
             job: key,
             result: Err(refusal),
         });
--- a/crates/tc-policy/src/batch/dispatch.rs
+++ b/crates/tc-policy/src/batch/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which call comes next: on which upstream, with which pieces.
+//! Selects the next call: its upstream and its pieces.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,148 +6,160 @@
 
 use super::{
     job::{Job, JobKey},
-    planner::{BatchCall, BatchPlanner, Call, EXPIRE_EVERY},
-    upstream::Maker,
+    planner::{BatchCall, BatchPlanner, Call, RESULT_EXPIRY_INTERVAL},
+    upstream::UpstreamState,
 };
 
-/// A call that takes this many times its expected time is given up.
-const GIVE_UP_FACTOR: f64 = 3.0;
-/// Added to that: a call may wait for another home's call at the upstream.
-const GIVE_UP_EXTRA: Duration = Duration::from_millis(500);
-/// Pieces in a call after one that was refused: it finds out whether upstreams take calls again. Each refused piece spends
-/// a repeat, and full calls to upstreams that are all full would use up the budget of seconds at once.
+/// Timeout of a call, as a multiple of its expected duration.
+const TIMEOUT_FACTOR: f64 = 3.0;
+/// Added to the timeout, since a call may wait at the upstream for a call from another home.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
+/// Maximum number of pieces in a call after a refused one; it probes whether upstreams accept calls again. Each refused
+/// piece spends a repeat, so full calls to full upstreams would use up several seconds of the repeat budget at once.
 const PROBE_PIECES: usize = 1;
-/// Part of an upstream's room that is planned with: sizes of results are told as an average only, and a result that
-/// was given up takes room until its upstream hears of it.
-const ROOM_PART: f64 = 0.95;
+/// Fraction of an upstream's result memory that is used for planning. Result sizes are only known as averages, and a
+/// released result occupies memory until its upstream is notified.
+const USABLE_RESULT_MEMORY: f64 = 0.95;
 
-/// Bytes of the smallest result that waits to be made, by where it may be made; none where nothing waits.
+/// Size of the smallest waiting result, by the domain in which it may be made; `None` if nothing waits.
 #[derive(Default)]
-struct LeastRoom<'a> {
+struct SmallestResults<'a> {
     anywhere: Option<u64>,
     by_domain: HashMap<&'a FailureDomain, Option<u64>>,
 }
 
-impl LeastRoom<'_> {
+impl SmallestResults<'_> {
     fn in_domain(&self, domain: &FailureDomain) -> Option<u64> {
-        let here = self.by_domain.get(domain).copied().flatten();
-        let both = [here, self.anywhere].into_iter().flatten();
-        both.min()
+        let local = self.by_domain.get(domain).copied().flatten();
+        let candidates = [local, self.anywhere].into_iter().flatten();
+        candidates.min()
     }
 }
 
 impl BatchPlanner {
-    /// The next call to be made, if an upstream is free and something waits; asked again until there is none.
+    /// Returns the next call to make, if an upstream is free and pieces wait. The driver repeats this until it returns
+    /// `None`.
     pub fn next_call(&mut self, now: MonoTime) -> Option<BatchCall> {
         self.expire_results(now);
         let mut free: Vec<(UpstreamId, f64)> = self
-            .makers
+            .upstreams
             .iter()
-            .filter(|(_, maker)| maker.is_free(now, self.spec.slots))
-            .map(|(id, maker)| (id.clone(), maker.speed))
+            .filter(|(_, upstream)| upstream.is_free(now, self.spec.slots))
+            .map(|(id, upstream)| (id.clone(), upstream.slowdown))
             .collect();
         if free.is_empty() {
             return None;
         }
-        let least = self.least_room(now);
+        let smallest = self.smallest_results(now);
         free.retain(|(id, _)| {
-            let least = self.makers.get(id).and_then(|m| least.in_domain(&m.domain));
-            least.is_some_and(|bytes| bytes <= self.room_at(id))
+            let smallest = self
+                .upstreams
+                .get(id)
+                .and_then(|m| smallest.in_domain(&m.domain));
+            smallest.is_some_and(|bytes| bytes <= self.free_result_bytes(id))
         });
         free.sort_by(|a, b| a.1.total_cmp(&b.1));
-        free.into_iter().find_map(|(id, _)| self.call_on(now, &id))
+        free.into_iter()
+            .find_map(|(id, _)| self.build_call(now, &id))
     }
 
-    /// The least room that any job which waits needs of an upstream.
+    /// Finds the smallest result of all waiting jobs, by domain.
     ///
-    /// Where room binds, most upstreams are free and have none, each time that anything happens. Ordering all jobs for each of
-    /// them only to find that out took a home of 100 upstreams 12 ms an ask with 1,000 jobs waiting; so it is found out first.
-    fn least_room(&self, now: MonoTime) -> LeastRoom<'_> {
-        let mut least = LeastRoom::default();
+    /// When result memory is the bottleneck, most upstreams are free but have no memory left on every event. Sorting
+    /// all jobs for each of them just to find that out took 12 ms per ask at a home with 100 upstreams and 1,000
+    /// waiting jobs, so this check comes first.
+    fn smallest_results(&self, now: MonoTime) -> SmallestResults<'_> {
+        let mut smallest = SmallestResults::default();
         for job in self.jobs.values() {
-            if job.waiting.is_empty() || job.new.deadline <= now {
+            if job.waiting.is_empty() || job.params.deadline <= now {
                 continue;
             }
-            let bytes = job.new.result_bytes;
-            let of = match job.waits_for(now) {
-                None => &mut least.anywhere,
-                Some(domain) => least.by_domain.entry(domain).or_default(),
+            let bytes = job.params.result_bytes;
+            let smallest_bytes = match job.required_domain(now) {
+                None => &mut smallest.anywhere,
+                Some(domain) => smallest.by_domain.entry(domain).or_default(),
             };
-            *of = Some(of.map_or(bytes, |known| known.min(bytes)));
+            *smallest_bytes = Some(smallest_bytes.map_or(bytes, |known| known.min(bytes)));
         }
-        least
+        smallest
     }
 
-    /// Room for results that is left at an upstream.
-    fn room_at(&self, id: &UpstreamId) -> u64 {
-        let usable = (self.spec.room_bytes as f64 * ROOM_PART) as u64;
-        let reserved = self.makers.get(id).map_or(0, |maker| maker.reserved);
-        usable.saturating_sub(reserved + self.results.bytes_at(id))
+    /// Bytes of result memory available at an upstream.
+    fn free_result_bytes(&self, id: &UpstreamId) -> u64 {
+        let usable = (self.spec.room_bytes as f64 * USABLE_RESULT_MEMORY) as u64;
+        let reserved_bytes = self
+            .upstreams
+            .get(id)
+            .map_or(0, |upstream| upstream.reserved_bytes);
+        usable.saturating_sub(reserved_bytes + self.result_memory.bytes_at(id))
     }
 
-    /// When something may be possible that is not now, if that is known.
+    /// Returns the next time at which the state may change without an event, if known.
     #[must_use]
     pub fn next_wake(&self, now: MonoTime) -> Option<MonoTime> {
         let paused = self
-            .makers
+            .upstreams
             .values()
-            .filter(|maker| maker.ready && maker.not_before > now)
-            .map(|maker| maker.not_before);
-        let limited = self
-            .makers
+            .filter(|upstream| upstream.ready && upstream.not_before > now)
+            .map(|upstream| upstream.not_before);
+        let rate_limit = self
+            .upstreams
             .values()
-            .filter(|maker| maker.ready && !self.jobs.is_empty())
-            .map(|maker| maker.wait_for_limit(now))
+            .filter(|upstream| upstream.ready && !self.jobs.is_empty())
+            .map(|upstream| upstream.rate_limit_wait(now))
             .filter(|wait| !wait.is_zero())
             .map(|wait| now.after(wait));
-        let deadlines = self.jobs.values().map(|job| job.new.deadline);
-        let stays = self
+        let deadlines = self.jobs.values().map(|job| job.params.deadline);
+        let domain_waits = self
             .jobs
             .values()
-            .filter(|job| !job.waiting.is_empty() && job.stays_until > now)
-            .map(|job| job.stays_until);
-        let room = (!self.jobs.is_empty()).then_some(now.after(EXPIRE_EVERY));
-        let read = self.next_read();
+            .filter(|job| !job.waiting.is_empty() && job.domain_wait_until > now)
+            .map(|job| job.domain_wait_until);
+        let result_expiry = (!self.jobs.is_empty()).then_some(now.after(RESULT_EXPIRY_INTERVAL));
+        let input_release = self.next_input_release();
         paused
-            .chain(limited)
+            .chain(rate_limit)
             .chain(deadlines)
-            .chain(stays)
-            .chain(room)
-            .chain(read)
+            .chain(domain_waits)
+            .chain(result_expiry)
+            .chain(input_release)
             .min()
     }
 
-    fn call_on(&mut self, now: MonoTime, id: &UpstreamId) -> Option<BatchCall> {
-        let maker = self.makers.get(id)?;
-        if self.is_better_left_idle(now, maker) {
+    fn build_call(&mut self, now: MonoTime, id: &UpstreamId) -> Option<BatchCall> {
+        let upstream = self.upstreams.get(id)?;
+        if self.should_stay_idle(now, upstream) {
             return None;
         }
-        let pieces = self.choose(now, id, maker);
+        let pieces = self.select_pieces(now, id, upstream);
         if pieces.is_empty() {
             return None;
         }
-        let kinds: Vec<u64> = pieces
+        let result_sizes: Vec<u64> = pieces
             .iter()
-            .map(|(job, _)| self.jobs[*job].new.result_bytes)
+            .map(|(job, _)| self.jobs[*job].params.result_bytes)
             .collect();
-        let expected = self.times.expect(&self.spec, &kinds).mul_f64(maker.speed);
-        let domain = maker.domain.clone();
-        let orders = self.take(now, &pieces, &domain);
+        let expected = self
+            .piece_times
+            .expected_call(&self.spec, &result_sizes)
+            .mul_f64(upstream.slowdown);
+        let domain = upstream.domain.clone();
+        let orders = self.take_pieces(now, &pieces, &domain);
         let mut jobs: Vec<JobKey> = pieces.iter().map(|(job, _)| *job).collect();
         jobs.dedup();
-        self.note_reading(now, &jobs);
-        if let Some(maker) = self.makers.get_mut(id) {
-            maker.calls += 1;
-            if let Some(paced) = &mut maker.limited {
+        self.schedule_input_release(now, &jobs);
+        if let Some(upstream) = self.upstreams.get_mut(id) {
+            upstream.calls += 1;
+            if let Some(paced) = &mut upstream.rate_limit {
                 paced.record(now);
             }
-            maker.reserved += kinds.iter().sum::<u64>();
-            maker.busy_until = now.after(expected);
+            upstream.reserved_bytes += result_sizes.iter().sum::<u64>();
+            upstream.busy_until = now.after(expected);
         }
         let key = self.calls.insert(Call {
             upstream: id.clone(),
             pieces,
-            kinds,
+            result_sizes,
             started: now,
             expected,
         });
@@ -155,20 +167,22 @@
             key,
             upstream: id.clone(),
             pieces: orders,
-            timeout: expected.mul_f64(GIVE_UP_FACTOR) + GIVE_UP_EXTRA,
+            timeout: expected.mul_f64(TIMEOUT_FACTOR) + TIMEOUT_MARGIN,
         })
     }
 
-    /// Whether what waits is done sooner by faster upstreams alone.
+    /// Whether the waiting work finishes sooner on faster upstreams alone.
     ///
-    /// Work given to a slow upstream only because it is free is late there, although the others would have come to it
-    /// in time.
-    fn is_better_left_idle(&self, now: MonoTime, maker: &Maker) -> bool {
-        let own = self.spec.call_time.mul_f64(maker.speed);
-        let faster: Vec<&Maker> = self
-            .makers
+    /// Work given to a slow upstream just because it is free ends late, although faster upstreams would have done it on
+    /// time.
+    fn should_stay_idle(&self, now: MonoTime, upstream: &UpstreamState) -> bool {
+        let own_call = self.spec.call_time.mul_f64(upstream.slowdown);
+        let faster: Vec<&UpstreamState> = self
+            .upstreams
             .values()
-            .filter(|other| other.ready && other.failures == 0 && other.speed * 1.5 < maker.speed)
+            .filter(|other| {
+                other.ready && other.failures == 0 && other.slowdown * 1.5 < upstream.slowdown
+            })
             .collect();
         let Some(soonest) = faster
             .iter()
@@ -178,61 +192,72 @@
                 } else {
                     other.busy_until.since(now)
                 };
-                let start = start.max(other.wait_for_limit(now));
-                start + self.spec.call_time.mul_f64(other.speed)
+                let start = start.max(other.rate_limit_wait(now));
+                start + self.spec.call_time.mul_f64(other.slowdown)
             })
             .min()
         else {
             return false;
         };
-        let speed: f64 = faster
+        let faster_throughput: f64 = faster
             .iter()
             .map(|other| other.throughput(self.typical_call_s))
             .sum();
-        let all = self.expected_wait().as_secs_f64() * self.total_speed() / speed;
-        own > soonest + Duration::from_secs_f64(all)
+        let backlog =
+            self.expected_wait().as_secs_f64() * self.total_throughput() / faster_throughput;
+        own_call > soonest + Duration::from_secs_f64(backlog)
     }
 
-    pub(super) fn total_speed(&self) -> f64 {
-        let ready = self.makers.values().filter(|m| m.ready && m.failures == 0);
-        ready.map(|m| m.throughput(self.typical_call_s)).sum()
+    pub(super) fn total_throughput(&self) -> f64 {
+        let ready = self
+            .upstreams
+            .values()
+            .filter(|upstream| upstream.ready && upstream.failures == 0);
+        ready
+            .map(|upstream| upstream.throughput(self.typical_call_s))
+            .sum()
     }
 
-    /// Pieces for a call on this upstream, best first; those of one job together.
+    /// Selects the pieces for a call on this upstream, most urgent first and grouped by job.
     ///
-    /// A request waits for the last of a stage's pieces. With calls filled to the last place, the job at the end of each one
-    /// is split: it takes two calls, a third of a second more, and the results of its first part keep their room all the
-    /// while. With four jobs in a call, that is every fourth request.
-    fn choose(&self, now: MonoTime, id: &UpstreamId, maker: &Maker) -> Vec<(JobKey, u32)> {
-        let ends = now.after(self.typical_call().mul_f64(maker.speed));
+    /// A request waits for the last piece of a stage. If calls were always filled completely, the last job of each call
+    /// would be split: it would take two calls, a third of a second longer, and its first results would occupy memory
+    /// meanwhile. With four jobs per call, this affects every fourth request.
+    fn select_pieces(
+        &self,
+        now: MonoTime,
+        id: &UpstreamId,
+        upstream: &UpstreamState,
+    ) -> Vec<(JobKey, u32)> {
+        let call_end = now.after(self.typical_call().mul_f64(upstream.slowdown));
         let mut jobs: Vec<(JobKey, &Job)> = self
             .jobs
             .iter()
-            .filter(|(_, job)| !job.waiting.is_empty() && job.new.deadline > now)
-            .filter(|(_, job)| job.may_go_to(now, &maker.domain))
+            .filter(|(_, job)| !job.waiting.is_empty() && job.params.deadline > now)
+            .filter(|(_, job)| job.can_run_in(now, &upstream.domain))
             .collect();
-        jobs.sort_by_key(|(_, job)| job.place_in(ends, &maker.domain));
-        let mut room = self.room_at(id);
-        let most = if self.last_refused {
+        jobs.sort_by_key(|(_, job)| job.position_in(call_end, &upstream.domain));
+        let mut free_bytes = self.free_result_bytes(id);
+        let max_pieces = if self.last_refused {
             PROBE_PIECES
         } else {
             self.spec.max_pieces
         };
-        let mut chosen = Vec::with_capacity(most);
+        let mut chosen = Vec::with_capacity(max_pieces);
         for (key, job) in jobs {
-            let fit = job.pieces_that_fit(most - chosen.len(), room);
-            let is_split = fit < job.waiting.len();
-            // A job that another call would have to finish is left to that call, unless nothing goes before it.
-            if fit == 0 || (is_split && !chosen.is_empty()) {
+            let count = job.pieces_that_fit(max_pieces - chosen.len(), free_bytes);
+            let is_split = count < job.waiting.len();
+            // A job that does not fit whole is left for another call, unless it is the first of this one.
+            if count == 0 || (is_split && !chosen.is_empty()) {
                 continue;
             }
-            room -= job.new.result_bytes * fit as u64;
-            chosen.extend(job.waiting.iter().take(fit).map(|piece| (key, *piece)));
+            free_bytes -= job.params.result_bytes * count as u64;
+            chosen.extend(job.waiting.iter().take(count).map(|piece| (key, *piece)));
         }
         chosen
     }
 
-    fn take(
+    fn take_pieces(
         &mut self,
         now: MonoTime,
         pieces: &[(JobKey, u32)],
@@ -242,13 +267,13 @@
         for (key, piece) in pieces {
             let job = &mut self.jobs[*key];
             job.waiting.retain(|waiting| waiting != piece);
-            job.placed_in(now, domain, self.spec.call_time);
+            job.set_preferred_domain(now, domain, self.spec.call_time);
             orders.push(PieceOrder {
-                request: job.new.request.clone(),
-                stage: job.new.stage,
+                request: job.params.request.clone(),
+                stage: job.params.stage,
                 piece: *piece,
-                remaining: job.new.deadline.since(now),
-                input: job.new.input.clone(),
+                remaining: job.params.deadline.since(now),
+                input: job.params.input.clone(),
             });
         }
         orders
--- a/crates/tc-policy/src/batch/due_histogram.rs
+++ b/crates/tc-policy/src/batch/due_histogram.rs
@@ -1,13 +1,13 @@
-//! Pieces counted by when they are due.
+//! Histogram of pieces by due time.
 
 use std::time::Duration;
 
-/// Width of a bucket: what two ranks of requests are apart by, and about half a call.
-const STEP: Duration = Duration::from_millis(250);
-/// Buckets; what is due later than four seconds counts in the last one.
+/// Bucket width: the offset between two ranks, and about half a call.
+const BUCKET_WIDTH: Duration = Duration::from_millis(250);
+/// Number of buckets; everything due in four seconds or later is counted in the last one.
 const BUCKETS: usize = 16;
 
-/// Pieces by the time until they are due, coarse enough to ride on every answer of a home.
+/// Number of pieces by the time until they are due, small enough to send with every answer of a home.
 ///
 /// ```
 /// use std::time::Duration;
@@ -31,42 +31,42 @@
         *count = count.saturating_add(pieces);
     }
 
-    /// Pieces due before `due`; within a bucket they count as spread evenly.
+    /// Estimated number of pieces due before `due`, assuming an even distribution within a bucket.
     #[must_use]
     pub fn due_before(&self, due: Duration) -> f64 {
         let last = bucket(due);
         let whole: f64 = self.counts[..last].iter().copied().map(f64::from).sum();
-        let into = due.as_secs_f64() / STEP.as_secs_f64() - last as f64;
-        whole + f64::from(self.counts[last]) * into.min(1.0)
+        let fraction = due.as_secs_f64() / BUCKET_WIDTH.as_secs_f64() - last as f64;
+        whole + f64::from(self.counts[last]) * fraction.min(1.0)
     }
 
-    /// All of them.
+    /// Total number of pieces.
     #[must_use]
     pub fn total(&self) -> u32 {
         let add = |sum: u32, count: &u32| sum.saturating_add(*count);
         self.counts.iter().fold(0, add)
     }
 
-    /// The buckets, earliest first, without empty ones at the end; for a message.
+    /// Bucket counts for a message, earliest first, without trailing empty buckets.
     #[must_use]
     pub fn counts(&self) -> &[u32] {
         let used = self.counts.iter().rposition(|count| *count > 0);
         &self.counts[..used.map_or(0, |last| last + 1)]
     }
 
-    /// The inverse of [`DueHistogram::counts`]; buckets beyond the last count in it.
+    /// Inverse of [`DueHistogram::counts`]; surplus buckets are added to the last one.
     #[must_use]
     pub fn from_counts(counts: &[u32]) -> Self {
         let mut pieces = Self::default();
-        for (number, count) in counts.iter().enumerate() {
-            let kept = &mut pieces.counts[number.min(BUCKETS - 1)];
-            *kept = kept.saturating_add(*count);
+        for (index, count) in counts.iter().enumerate() {
+            let entry = &mut pieces.counts[index.min(BUCKETS - 1)];
+            *entry = entry.saturating_add(*count);
         }
         pieces
     }
 }
 
 fn bucket(due: Duration) -> usize {
-    let number = due.as_millis() / STEP.as_millis();
-    (number as usize).min(BUCKETS - 1)
+    let index = due.as_millis() / BUCKET_WIDTH.as_millis();
+    (index as usize).min(BUCKETS - 1)
 }
--- a/crates/tc-policy/src/batch/inputs.rs
+++ b/crates/tc-policy/src/batch/inputs.rs
@@ -1,9 +1,9 @@
-//! Inputs of jobs, given up as soon as the upstreams that make the pieces have fetched them.
+//! Releases the inputs of jobs as soon as the upstreams that make the pieces have fetched them.
 //!
-//! An upstream fetches a piece's inputs when the call's turn comes, and works for a third of a second after that. Kept until
-//! the call has ended, the inputs take room at their makers for nothing all the while. Where room binds, as with 35 results
-//! of 60 KB at a maker, calls of the stage before then stay half empty though a queue waits, and each of those results is
-//! kept for a second of which the reader needs a few milliseconds.
+//! An upstream fetches the inputs of a piece when it begins the call and then works for a third of a second. Inputs that
+//! are held until the call ends occupy memory at their upstreams for no purpose. When memory is the bottleneck, as with
+//! 35 results of 60 KB per upstream, calls of the preceding stage stay half empty despite a queue, and each result is
+//! held for a second although its reader needs it for a few milliseconds.
 
 use std::time::Duration;
 
@@ -13,122 +13,128 @@
 };
 
 use super::{
-    job::{Inputs, Job, JobKey},
+    job::{InputState, Job, JobKey},
     planner::BatchPlanner,
 };
 
-/// Time besides the transfer until a call's upstream has its inputs: a new connection, the call's way there and, now and
-/// then, the end of another home's call before it.
-const BEFORE_FETCH: Duration = Duration::from_millis(40);
-/// Times that the bytes pass a link, at worst: one at their maker and one at their reader, each shared with another call.
-const LINKS: f64 = 4.0;
-/// By how much the time is lengthened each time that inputs were given up too early.
-const LENGTHEN: f64 = 2.0;
-/// By how much it is shortened with each job that found its inputs. With the step above, one job in seventy may find them
-/// gone before the time grows; after a restart of all instances it has come down again within some hundred jobs.
-const SHORTEN: f64 = 0.99;
-/// Bounds of what both do together, so that a bad second does not outlast the load that it came from.
+/// Time besides the transfer until an upstream has the inputs of a call: a new connection, the request latency and,
+/// occasionally, the end of a call from another home.
+const FETCH_OVERHEAD: Duration = Duration::from_millis(40);
+/// Worst-case multiple of the plain transfer time: the bytes pass one link at their source and one at their reader,
+/// each shared with another call.
+const LINK_TRANSFERS: f64 = 4.0;
+/// Factor applied to the hold time each time inputs were released too early.
+const LENGTHEN_FACTOR: f64 = 2.0;
+/// Factor applied with each job that found its inputs. With `LENGTHEN_FACTOR`, one job in seventy may lose its inputs
+/// before the hold time grows; after a restart of all instances it returns to normal within a few hundred jobs.
+const SHORTEN_FACTOR: f64 = 0.99;
+/// Bounds of the resulting factor, so that the effect of a brief overload does not outlast it.
 const FACTOR_BOUNDS: (f64, f64) = (1.0, 16.0);
-/// Longest time, as a multiple of a typical call: from there on inputs are kept until the call has ended.
-const MOST_CALLS: f64 = 2.0;
+/// Maximum hold time, as a multiple of a typical call; beyond it, inputs are held until the call ends.
+const MAX_HOLD_CALLS: f64 = 2.0;
 
-/// How long inputs are kept after the last call that reads them has begun.
+/// Estimates how long inputs are held after the last call that reads them has started.
 #[derive(Debug)]
-pub(super) struct FetchTime {
+pub(super) struct InputHoldTime {
     factor: f64,
 }
 
-impl Default for FetchTime {
+impl Default for InputHoldTime {
     fn default() -> Self {
         Self { factor: 1.0 }
     }
 }
 
-impl FetchTime {
-    /// Time for a call whose pieces read so many bytes.
-    fn of(&self, bytes: u64, bytes_per_s: f64) -> Duration {
-        let transfer = bytes as f64 * LINKS / bytes_per_s.max(1.0);
-        (BEFORE_FETCH + Duration::from_secs_f64(transfer)).mul_f64(self.factor)
+impl InputHoldTime {
+    /// Hold time for a call whose pieces read `bytes` in total.
+    fn hold_time(&self, bytes: u64, bytes_per_s: f64) -> Duration {
+        let transfer = bytes as f64 * LINK_TRANSFERS / bytes_per_s.max(1.0);
+        (FETCH_OVERHEAD + Duration::from_secs_f64(transfer)).mul_f64(self.factor)
     }
 
-    /// Inputs were gone when their reader fetched them.
-    fn was_too_short(&mut self) {
-        self.move_by(LENGTHEN);
+    /// Lengthens the hold time after a reader did not find its inputs.
+    fn lengthen(&mut self) {
+        self.scale(LENGTHEN_FACTOR);
     }
 
-    /// A job found its inputs.
-    fn was_enough(&mut self) {
-        self.move_by(SHORTEN);
+    /// Shortens the hold time after a job found its inputs.
+    fn shorten(&mut self) {
+        self.scale(SHORTEN_FACTOR);
     }
 
-    fn move_by(&mut self, step: f64) {
-        self.factor = (self.factor * step).clamp(FACTOR_BOUNDS.0, FACTOR_BOUNDS.1);
+    fn scale(&mut self, factor: f64) {
+        self.factor = (self.factor * factor).clamp(FACTOR_BOUNDS.0, FACTOR_BOUNDS.1);
     }
 }
 
 impl BatchPlanner {
-    /// Notes that these jobs have pieces in a call that begins now.
-    pub(super) fn note_reading(&mut self, now: MonoTime, jobs: &[JobKey]) {
-        let bytes = jobs.iter().map(|key| self.jobs[*key].new.held_bytes).sum();
-        let fetch = self.fetch_time.of(bytes, self.spec.link_bytes_per_s);
-        if fetch > self.typical_call().mul_f64(MOST_CALLS) {
+    /// Schedules the release of inputs of these jobs, whose pieces are in a call that starts now.
+    pub(super) fn schedule_input_release(&mut self, now: MonoTime, jobs: &[JobKey]) {
+        let bytes = jobs
+            .iter()
+            .map(|key| self.jobs[*key].params.held_bytes)
+            .sum();
+        let hold_time = self
+            .input_hold_time
+            .hold_time(bytes, self.spec.link_bytes_per_s);
+        if hold_time > self.typical_call().mul_f64(MAX_HOLD_CALLS) {
             return;
         }
         for key in jobs {
             let job = &mut self.jobs[*key];
-            let reads_last = job.new.is_last_reader && job.waiting.is_empty();
-            if reads_last && job.inputs != Inputs::GivenUp {
-                job.inputs = Inputs::ReadBy(now.after(fetch));
+            let is_last_read = job.params.is_last_reader && job.waiting.is_empty();
+            if is_last_read && job.inputs != InputState::Released {
+                job.inputs = InputState::ReleaseAt(now.after(hold_time));
             }
         }
     }
 
-    /// Inputs that every reader has by now; each is told once.
+    /// Returns the inputs that every reader should have fetched by now; each is returned once.
     pub fn take_read_inputs(&mut self, now: MonoTime) -> Vec<ResultHandle> {
         let mut read = Vec::new();
         for job in self.jobs.values_mut() {
-            if matches!(job.inputs, Inputs::ReadBy(at) if at <= now) {
-                job.inputs = Inputs::GivenUp;
+            if matches!(job.inputs, InputState::ReleaseAt(at) if at <= now) {
+                job.inputs = InputState::Released;
                 read.extend(job.input_results());
             }
         }
         read
     }
 
-    /// When [`BatchPlanner::take_read_inputs`] has something to tell, as far as known.
-    pub(super) fn next_read(&self) -> Option<MonoTime> {
+    /// Earliest time at which [`BatchPlanner::take_read_inputs`] has something to return, as far as known.
+    pub(super) fn next_input_release(&self) -> Option<MonoTime> {
         let times = self.jobs.values().filter_map(|job| match job.inputs {
-            Inputs::ReadBy(at) => Some(at),
-            Inputs::Kept | Inputs::GivenUp => None,
+            InputState::ReleaseAt(at) => Some(at),
+            InputState::Held | InputState::Released => None,
         });
         times.min()
     }
 
-    /// A job that reads results was made to its end.
-    pub(super) fn note_inputs_found(&mut self, job: &Job) {
-        if job.new.is_last_reader {
-            self.fetch_time.was_enough();
+    /// Records that a job found its inputs and was completed.
+    pub(super) fn record_inputs_found(&mut self, job: &Job) {
+        if job.params.is_last_reader {
+            self.input_hold_time.shorten();
         }
     }
 
-    /// An upstream found an input of this job gone.
-    pub(super) fn note_input_gone(&mut self, key: JobKey) {
-        let given_up = self.jobs.get(key).is_some_and(Job::has_no_inputs);
-        if given_up {
-            self.fetch_time.was_too_short();
+    /// Records that an input of this job was missing at its upstream.
+    pub(super) fn record_input_gone(&mut self, key: JobKey) {
+        let released = self.jobs.get(key).is_some_and(Job::inputs_released);
+        if released {
+            self.input_hold_time.lengthen();
         }
     }
 }
 
 impl Job {
-    /// Whether its inputs were given up, so that no piece of it can be made again.
-    pub(super) fn has_no_inputs(&self) -> bool {
-        self.inputs == Inputs::GivenUp
+    /// Whether the inputs were released, so that no piece of the job can be made again.
+    pub(super) fn inputs_released(&self) -> bool {
+        self.inputs == InputState::Released
     }
 
-    /// The results it reads that were not given up yet, if it is their last reader.
-    pub(super) fn inputs_left(&self) -> Vec<ResultHandle> {
-        if self.new.is_last_reader && !self.has_no_inputs() {
+    /// Returns the inputs still to be released, if this job is their last reader.
+    pub(super) fn unreleased_inputs(&self) -> Vec<ResultHandle> {
+        if self.params.is_last_reader && !self.inputs_released() {
             self.input_results()
         } else {
             Vec::new()
@@ -136,7 +142,7 @@
     }
 
     fn input_results(&self) -> Vec<ResultHandle> {
-        match &self.new.input {
+        match &self.params.input {
             PieceInput::Request(_) => Vec::new(),
             PieceInput::Results(results) => results.to_vec(),
         }
--- a/crates/tc-policy/src/batch/job.rs
+++ b/crates/tc-policy/src/batch/job.rs
@@ -1,4 +1,4 @@
-//! One stage of one request, waiting for its pieces.
+//! Jobs: one stage of one request, queued until its pieces are made.
 
 use std::collections::VecDeque;
 
@@ -10,217 +10,229 @@
 };
 
 slotmap::new_key_type! {
-    /// A stage of a request at its home.
+    /// Identifies a job of a [`BatchPlanner`](super::BatchPlanner).
     pub struct JobKey;
 }
 
-/// How much later a job of the next lower rank may be due and still go first, in the order of jobs.
+/// Offset added to the due time of a job for each rank below the most urgent.
 ///
-/// About half a call of the services met so far (200 to 370 ms): a more urgent request overtakes what would start one
-/// call before it, and no rank waits behind a stream of more urgent ones for ever.
-pub(super) const RANK_STEP: Duration = Duration::from_millis(250);
-/// How much earlier a job counts as due once some of its pieces are made: more than what lies between any two jobs of
-/// one service, so that started jobs are finished first.
-const START_STEP: Duration = Duration::from_secs(5);
-/// By how much a job yields on an upstream outside the failure domain where its results are wanted: more than a call, so
-/// that an upstream which becomes free first takes what is wanted beside it.
-const AWAY_STEP: Duration = Duration::from_millis(500);
-/// Results of a job from this size on are worth keeping in one failure domain; smaller ones cost less than a wait.
+/// About half a call of typical services (200 to 370 ms): a more urgent request overtakes jobs that would start up to
+/// one call before it, and no rank starves behind a stream of more urgent requests.
+pub(super) const RANK_OFFSET: Duration = Duration::from_millis(250);
+/// Subtracted from the due time of a job that has started. It exceeds the spread of due times within a service, so
+/// started jobs are finished first.
+const STARTED_ADVANCE: Duration = Duration::from_secs(5);
+/// Added to the due time of a job on upstreams outside its preferred domain. It is longer than a call, so an upstream
+/// that becomes free first serves the jobs that prefer its own domain.
+const REMOTE_PENALTY: Duration = Duration::from_millis(500);
+/// Minimum size of a job's results for which the failure domain matters; moving less than this between domains costs
+/// less than waiting.
 const LARGE_RESULTS_BYTES: u64 = 256 << 10;
-/// Longest time for which a job waits for an upstream in the domain where it is wanted, though another is free, in fixed
-/// times of a call: within a whole call each upstream there has become free once. A third of a call left four in ten of
-/// the bytes between domains, a whole one two in ten; twice that makes more requests late than it saves.
-const WAIT_FOR_DOMAIN_CALLS: f64 = 1.25;
-/// Part of the time to spare that such a wait may use.
-const WAIT_PART: f64 = 0.5;
-/// Time to spare that is kept for waits still to come: a queue and a longer call at each of two stages.
-const KEPT_SPARE: Duration = Duration::from_millis(300);
-
-/// A stage of a request as it comes to its home.
+/// Maximum time that a job waits for an upstream in its preferred domain while others are free, as a multiple of the
+/// fixed time of a call. Within a whole call, each upstream in the domain has become free once. With a third of a call,
+/// 40% of the bytes crossed domains; with a whole call, 20%. Doubling it makes more requests late than it saves.
+const MAX_DOMAIN_WAIT_CALLS: f64 = 1.25;
+/// Fraction of a job's slack that it may spend waiting for its preferred domain.
+const DOMAIN_WAIT_FRACTION: f64 = 0.5;
+/// Slack reserved for later delays: queueing and a longer call at each of two stages.
+const RESERVED_SLACK: Duration = Duration::from_millis(300);
+
+/// A stage of a request as submitted to [`BatchPlanner::push`](super::BatchPlanner::push).
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewJob {
-    /// The request it is for, as its caller named it.
+    /// Request ID given by the caller.
     pub request: std::sync::Arc<str>,
-    /// The stage's index in the route.
+    /// Index of the stage in the route.
     pub stage: u32,
-    /// How many pieces it has; at least one.
+    /// Number of pieces; at least one.
     pub pieces: u32,
-    /// What they are made from.
+    /// Input of all pieces.
     pub input: PieceInput,
-    /// About the size of one result, in bytes.
+    /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// Rank, 0 first.
+    /// Priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// When it must be done for the request to be answered in time.
+    /// Latest time at which the job can finish for the request to be answered on time.
     pub in_time_until: MonoTime,
-    /// When nobody waits any more.
+    /// Time after which the caller no longer waits for an answer.
     pub deadline: MonoTime,
-    /// Where its results are wanted.
+    /// Failure domain in which the results will be read, if known.
     pub preferred_domain: Option<FailureDomain>,
-    /// Bytes of inputs that are kept at their makers until its pieces have them.
+    /// Bytes of inputs that their upstreams hold until the pieces of this job have fetched them.
     pub held_bytes: u64,
-    /// Whether its inputs are given up as soon as its pieces have them.
+    /// Whether this job is the last reader of its inputs, so that they are released as soon as its pieces have fetched
+    /// them.
     pub is_last_reader: bool,
-    /// Pieces of the stages that read its results, by their service.
+    /// Number of pieces of the stages that read its results, by service.
     pub following: Vec<(ServiceName, u32)>,
 }
 
-/// Place of a job in the queue; the lowest goes first.
+/// Sort key of a job in the queue; the lowest value goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
-    /// What is late goes after all that can be in time.
+pub(super) struct QueuePosition {
+    /// Late jobs go after all jobs that can still be on time.
     pub(super) is_late: bool,
-    /// When it should be done, moved by rank and distance.
+    /// Due time, adjusted by rank and failure domain.
     pub(super) due: MonoTime,
 }
 
 #[derive(Debug)]
 pub(super) struct Job {
-    pub(super) new: NewJob,
-    /// Pieces not in any call.
+    pub(super) params: NewJob,
+    /// Pieces that are neither made nor in a call.
     pub(super) waiting: VecDeque<u32>,
-    /// One a piece.
+    /// One entry for each piece.
     pub(super) results: Vec<Option<ResultHandle>>,
-    /// Calls that failed with pieces of it.
+    /// Number of failed calls that included a piece of the job.
     pub(super) failures: u32,
-    /// Until then only upstreams in the preferred domain get it.
-    pub(super) stays_until: MonoTime,
-    /// Whether it was expected to be late when it came; see [`Job::place`].
+    /// Until this time, only upstreams in the preferred domain may run the job.
+    pub(super) domain_wait_until: MonoTime,
+    /// Whether the job was expected to be late when it arrived; see [`Job::position`].
     pub(super) expected_late: bool,
-    /// Whether its inputs are still kept for it.
-    pub(super) inputs: Inputs,
+    /// State of the job's inputs.
+    pub(super) inputs: InputState,
 }
 
-/// What becomes of a job's inputs.
+/// State of a job's inputs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Inputs {
-    /// They are kept for pieces that are to be made.
-    Kept,
-    /// Every piece is in a call; they are given up at this time.
-    ReadBy(MonoTime),
-    /// They were given up.
-    GivenUp,
+pub(super) enum InputState {
+    /// Held for pieces that are still to be made.
+    Held,
+    /// Every piece is in a call; the inputs are released at this time.
+    ReleaseAt(MonoTime),
+    /// The inputs were released.
+    Released,
 }
 
 impl Job {
-    pub(super) fn new(new: NewJob) -> Self {
+    pub(super) fn new(params: NewJob) -> Self {
         Self {
-            waiting: (0..new.pieces).collect(),
-            results: vec![None; new.pieces as usize],
+            waiting: (0..params.pieces).collect(),
+            results: vec![None; params.pieces as usize],
             failures: 0,
-            stays_until: MonoTime::default(),
+            domain_wait_until: MonoTime::default(),
             expected_late: false,
-            inputs: Inputs::Kept,
-            new,
+            inputs: InputState::Held,
+            params,
         }
     }
 
-    /// Whether none of its pieces was made or is in a call.
-    pub(super) fn is_untouched(&self) -> bool {
+    /// Whether no piece is made or in a call.
+    pub(super) fn is_unstarted(&self) -> bool {
         !self.is_started()
     }
 
-    /// Whether some of its pieces are made or in a call.
+    /// Whether some pieces are made or in a call.
     fn is_started(&self) -> bool {
         self.waiting.len() < self.results.len()
     }
 
-    /// How many of the waiting pieces fit into so many places and so much room for results.
-    pub(super) fn pieces_that_fit(&self, places: usize, room: u64) -> usize {
-        let by_room = room.checked_div(self.new.result_bytes);
-        let by_room = by_room.map_or(places, |pieces| pieces as usize);
-        self.waiting.len().min(places).min(by_room)
+    /// Returns how many waiting pieces fit into a call with `places` free places and `free_bytes` of result memory.
+    pub(super) fn pieces_that_fit(&self, places: usize, free_bytes: u64) -> usize {
+        let by_memory = free_bytes.checked_div(self.params.result_bytes);
+        let by_memory = by_memory.map_or(places, |pieces| pieces as usize);
+        self.waiting.len().min(places).min(by_memory)
     }
 
     pub(super) fn is_done(&self) -> bool {
         self.results.iter().all(Option::is_some)
     }
 
-    /// Place for a call that would end at `ends` on an upstream in `domain`.
-    pub(super) fn place_in(&self, ends: MonoTime, domain: &FailureDomain) -> Place {
-        let place = self.place(ends);
-        let is_away = self
-            .new
+    /// Queue position on an upstream in `domain`, for a call that would end at `call_end`.
+    pub(super) fn position_in(&self, call_end: MonoTime, domain: &FailureDomain) -> QueuePosition {
+        let position = self.position(call_end);
+        let is_remote = self
+            .params
             .preferred_domain
             .as_ref()
             .is_some_and(|d| d != domain);
-        let away = if is_away { AWAY_STEP } else { Duration::ZERO };
-        Place {
-            due: place.due.after(away),
-            ..place
+        let penalty = if is_remote {
+            REMOTE_PENALTY
+        } else {
+            Duration::ZERO
+        };
+        QueuePosition {
+            due: position.due.after(penalty),
+            ..position
         }
     }
 
-    /// Place in the queue wherever it is made, for a call that would end at `ends`.
+    /// Queue position regardless of the upstream, for a call that would end at `call_end`.
     ///
-    /// What can be in time goes before what cannot: a late answer is worth a fraction, and work on it would make the next
-    /// ones late too, seen as a whole burst answered just after its aim. For the same reason what was expected to be late
-    /// when it came never joins the others: by time alone each job would be done at the last moment, and one longer call
-    /// later all of them late.
-    pub(super) fn place(&self, ends: MonoTime) -> Place {
+    /// Jobs that can be on time go before jobs that cannot: a late answer is worth only a fraction, and working on it
+    /// makes the next ones late too, so that a whole burst is answered just after its target. For the same reason a job
+    /// that was expected to be late on arrival stays late: sorted by due time alone, each job would be done at the last
+    /// moment, and a single slow call would then make all of them late.
+    pub(super) fn position(&self, call_end: MonoTime) -> QueuePosition {
         if self.is_started() {
-            // What is made of it takes room until the rest is made too.
-            return Place {
+            // The results made so far occupy memory until the remaining pieces are made.
+            return QueuePosition {
                 is_late: false,
-                due: self.new.in_time_until.before(START_STEP),
+                due: self.params.in_time_until.before(STARTED_ADVANCE),
             };
         }
-        // One whose inputs take much room is not left for last: the stage before could not go on meanwhile.
-        let is_late = (self.expected_late || self.new.in_time_until < ends)
-            && self.new.held_bytes < LARGE_RESULTS_BYTES;
+        // Jobs with large inputs are not left for last: their inputs would block the stage before.
+        let is_late = (self.expected_late || self.params.in_time_until < call_end)
+            && self.params.held_bytes < LARGE_RESULTS_BYTES;
         let due = if is_late {
-            self.new.deadline
+            self.params.deadline
         } else {
-            self.new.in_time_until
+            self.params.in_time_until
         };
-        Place {
+        QueuePosition {
             is_late,
-            due: due.after(RANK_STEP * u32::from(self.new.rank)),
+            due: due.after(RANK_OFFSET * u32::from(self.params.rank)),
         }
     }
 
-    /// The first piece of a stage with large results decides where the others are wanted, unless that is known.
-    pub(super) fn placed_in(&mut self, now: MonoTime, domain: &FailureDomain, call_time: Duration) {
-        if self.new.preferred_domain.is_none() && self.bytes_to_be_read() >= LARGE_RESULTS_BYTES {
-            self.new.preferred_domain = Some(domain.clone());
-            self.stay(now, call_time);
+    /// Sets the preferred domain to that of the first piece if the results are large and no domain is preferred yet.
+    pub(super) fn set_preferred_domain(
+        &mut self,
+        now: MonoTime,
+        domain: &FailureDomain,
+        call_time: Duration,
+    ) {
+        if self.params.preferred_domain.is_none() && self.total_read_bytes() >= LARGE_RESULTS_BYTES
+        {
+            self.params.preferred_domain = Some(domain.clone());
+            self.hold_for_domain(now, call_time);
         }
     }
 
-    /// Bytes that all readers of its results fetch together: each piece of a following stage reads all of them.
+    /// Bytes that all readers of the results fetch together: each piece of a following stage reads all results.
     ///
-    /// Four results of 60 KB that six pieces read are 1.4 MB on the way, more than two results of 500 KB that one engine
-    /// reads.
-    fn bytes_to_be_read(&self) -> u64 {
-        let results = self.new.result_bytes * u64::from(self.new.pieces);
-        let readers: u32 = self.new.following.iter().map(|(_, pieces)| pieces).sum();
+    /// Four results of 60 KB that six pieces read are 1.4 MB of transfers, more than two results of 500 KB that one
+    /// engine reads.
+    fn total_read_bytes(&self) -> u64 {
+        let results = self.params.result_bytes * u64::from(self.params.pieces);
+        let readers: u32 = self.params.following.iter().map(|(_, pieces)| pieces).sum();
         results.saturating_mul(u64::from(readers.max(1)))
     }
 
-    /// Holds the job for the preferred domain while it has time to spare.
+    /// Reserves the job for its preferred domain while it has slack.
     ///
-    /// Bytes between domains cost as much as a late answer: ten pieces that each read 360 KB move 3.6 MB.
-    pub(super) fn stay(&mut self, now: MonoTime, call_time: Duration) {
-        if self.new.preferred_domain.is_none() {
+    /// Transfers between domains cost as much as a late answer: ten pieces that each read 360 KB move 3.6 MB.
+    pub(super) fn hold_for_domain(&mut self, now: MonoTime, call_time: Duration) {
+        if self.params.preferred_domain.is_none() {
             return;
         }
-        let spare = self
-            .new
+        let slack = self
+            .params
             .in_time_until
             .since(now)
-            .saturating_sub(call_time + KEPT_SPARE);
-        let longest = call_time.mul_f64(WAIT_FOR_DOMAIN_CALLS);
-        self.stays_until = now.after(spare.mul_f64(WAIT_PART).min(longest));
+            .saturating_sub(call_time + RESERVED_SLACK);
+        let max_wait = call_time.mul_f64(MAX_DOMAIN_WAIT_CALLS);
+        self.domain_wait_until = now.after(slack.mul_f64(DOMAIN_WAIT_FRACTION).min(max_wait));
     }
 
-    /// The only domain whose upstreams may get it now, if it waits for one.
-    pub(super) fn waits_for(&self, now: MonoTime) -> Option<&FailureDomain> {
-        let prefer = self.new.preferred_domain.as_ref();
-        prefer.filter(|_| now < self.stays_until)
+    /// Returns the only domain in which the job may run now, if it is waiting for one.
+    pub(super) fn required_domain(&self, now: MonoTime) -> Option<&FailureDomain> {
+        let preferred = self.params.preferred_domain.as_ref();
+        preferred.filter(|_| now < self.domain_wait_until)
     }
 
-    /// Whether an upstream in `domain` may get it.
-    pub(super) fn may_go_to(&self, now: MonoTime, domain: &FailureDomain) -> bool {
-        self.waits_for(now).is_none_or(|only| only == domain)
+    /// Whether an upstream in `domain` may run the job now.
+    pub(super) fn can_run_in(&self, now: MonoTime, domain: &FailureDomain) -> bool {
+        self.required_domain(now).is_none_or(|only| only == domain)
     }
 }
--- a/crates/tc-policy/src/batch/mod.rs
+++ b/crates/tc-policy/src/batch/mod.rs
@@ -1,9 +1,10 @@
-//! The home of a batch service: which pieces go into which upstream's next call.
+//! Batch scheduling at the home of a service: decides which pieces go into the next call of which upstream.
 //!
-//! Upstreams of a batch service pay a fixed time for each call whatever is in it, and work on one or few calls at a
-//! time. One home that sees the pieces of all instances' requests can fill calls that no instance could fill alone.
+//! Each call to an upstream of a batch service has a fixed cost, and an upstream runs only one or a few calls at a
+//! time. A single home that receives the pieces of all instances' requests can fill calls that no instance could fill
+//! alone.
 //!
-//! [`BatchPlanner`] only decides; whoever drives it makes the calls it names and tells it how they ended.
+//! [`BatchPlanner`] only decides. Its driver makes the calls that it returns and reports how they ended.
 
 mod chain_admission;
 mod completion;
@@ -25,7 +26,7 @@
 pub use completion::{CallEnd, FinishedJob, PlannerEffects};
 pub use due_histogram::DueHistogram;
 pub use job::{JobKey, NewJob};
-pub use outlook::{HomeOutlook, IncomingPieces};
+pub use outlook::{FollowingPieces, HomeOutlook};
 pub use outlooks::{ChainQuery, ExpectedStageTimes, StageOutlooks};
 pub use planner::{BatchCall, BatchPlanner, CallKey};
 pub use upstream::BatchUpstream;
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -1,69 +1,69 @@
-//! What an entry knows of the stages' homes, and what it expects of a request's stages by it.
+//! Load reports of the stages' homes as known to one instance, and estimates of stage times derived from them.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use tc_protocol::{MonoTime, ServiceName};
 
 use super::{
-    job::RANK_STEP,
-    outlook::{HomeOutlook, IncomingPieces},
+    job::RANK_OFFSET,
+    outlook::{FollowingPieces, HomeOutlook},
 };
 use crate::StageGraph;
 
-/// How long a home's word counts: a backlog changes by its own length in this time.
-const LIFE: Duration = Duration::from_millis(500);
-/// Time of a stage whose home told nothing lately, as a multiple of a call's fixed time: the call with some pieces, and
-/// half of another that it waits for.
-const UNKNOWN_STAGE: f64 = 1.6;
+/// Maximum age of an outlook that is still used; within this time a backlog can change by its own length.
+const MAX_AGE: Duration = Duration::from_millis(500);
+/// Time of a stage without a recent outlook, as a multiple of a call's fixed time: a call with some pieces, and half of
+/// another one spent waiting.
+const UNKNOWN_STAGE_FACTOR: f64 = 1.6;
 
-/// Part of the work that a service could do until a request comes to it which is counted on to shorten its queue. The rest
-/// goes to requests that come meanwhile and are due earlier, and to calls that are not full. With half of it, a seventh of
-/// what can be in time is refused in a burst of twice the usual load; with all of it, four times as many are late in one of
-/// 2.6 times.
-const MADE_MEANWHILE: f64 = 0.7;
+/// Fraction of the work that a service can do before a request arrives which is expected to shorten the queue ahead of
+/// it. The rest goes to requests that arrive in between and are due earlier, and to calls that are not full. With 0.5,
+/// a seventh of the requests that could be on time are refused in a burst of twice the usual load; with 1.0, four times
+/// as many are late in a burst of 2.6 times.
+const DRAIN_FRACTION: f64 = 0.7;
 
-/// Longest wait that is told apart from others, in seconds: no request waits for so long.
-const LONGEST_WAIT_S: f64 = 3_600.0;
+/// Upper bound of an estimated wait, in seconds; no request waits this long.
+const MAX_WAIT_S: f64 = 3_600.0;
 
-/// The last word of each home.
+/// The latest outlook of each home.
 ///
-/// A chain of stages is as good as its most loaded one. Without this a request would pass its first stages, take
-/// capacity and room there, and be refused at the last: work thrown away just when there is too much of it. A home sees
-/// a burst only once it has passed the stage before, half a second later; so the homes before tell what is on its way.
+/// The most loaded stage limits the whole chain. Without outlooks, a request would pass its first stages, use their
+/// capacity and memory, and be refused at the last stage, wasting work under overload. A home sees a burst only after
+/// the stage before it, half a second later, so each home also reports the pieces on their way to the following stages.
 #[derive(Clone, Debug, Default)]
 pub struct StageOutlooks {
-    told: BTreeMap<ServiceName, (MonoTime, HomeOutlook)>,
+    latest: BTreeMap<ServiceName, (MonoTime, HomeOutlook)>,
 }
 
-/// A request whose stages are judged.
+/// A request whose stage times are to be estimated.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainQuery<'a> {
-    /// Its stages.
+    /// Stages of the request.
     pub graph: &'a StageGraph<'a>,
-    /// Fixed time of a call of each stage.
+    /// Fixed time of a call, for each stage.
     pub call_times: &'a [Duration],
-    /// Time until its last stage must be made for it to be answered in time.
+    /// Time until the last stage must be done for the request to be answered on time.
     pub until_aim: Duration,
-    /// Its rank, 0 first.
+    /// Priority rank; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// Expected times of a request's stages, their waits included.
+/// Expected times of a request's stages, including queueing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpectedStageTimes {
-    /// If the request goes with what can be in time.
+    /// Times if the request is scheduled among the on-time work.
     pub in_time: Vec<Duration>,
-    /// If it goes with what cannot.
+    /// Times if the request is scheduled among the late work.
     pub late: Vec<Duration>,
 }
 
 impl StageOutlooks {
-    /// A home told how it stands.
+    /// Stores the latest outlook of a home.
     pub fn record(&mut self, now: MonoTime, service: &ServiceName, outlook: HomeOutlook) {
-        self.told.insert(service.clone(), (now, outlook));
+        self.latest.insert(service.clone(), (now, outlook));
     }
 
-    /// What a request that begins now, or goes on now, is to expect.
+    /// Estimates the stage times of a request that starts or continues now.
     #[must_use]
     pub fn estimate(&self, now: MonoTime, request: &ChainQuery<'_>) -> ExpectedStageTimes {
         let stages = request.graph.stages().len();
@@ -71,102 +71,122 @@
             in_time: vec![Duration::ZERO; stages],
             late: vec![Duration::ZERO; stages],
         };
-        let own: Vec<Duration> = (0..stages)
-            .map(|stage| self.own(now, request, stage))
+        let base_latencies: Vec<Duration> = (0..stages)
+            .map(|stage| self.base_latency(now, request, stage))
             .collect();
-        // Each stage follows earlier ones only.
+        // A stage depends only on stages with a lower index.
         for stage in 0..stages {
             if request.graph.is_over(stage) {
                 continue;
             }
-            let told = self.told_of(now, request.graph, stage);
-            let travel = |times: &[Duration]| request.graph.time_before(stage, times);
-            let (in_time, late) = match told {
-                Some(told) => (
-                    self.wait_in_time(now, request, stage, told, &own, travel(&expected.in_time)),
-                    self.wait_late(now, request, stage, told, travel(&expected.late)),
+            let outlook = self.outlook_of(now, request.graph, stage);
+            let until_arrival = |times: &[Duration]| request.graph.time_before(stage, times);
+            let (in_time, late) = match outlook {
+                Some(outlook) => (
+                    self.in_time_wait(
+                        now,
+                        request,
+                        stage,
+                        outlook,
+                        &base_latencies,
+                        until_arrival(&expected.in_time),
+                    ),
+                    self.late_wait(now, request, stage, outlook, until_arrival(&expected.late)),
                 ),
                 None => Default::default(),
             };
-            expected.in_time[stage] = own[stage] + in_time;
-            expected.late[stage] = own[stage] + late;
+            expected.in_time[stage] = base_latencies[stage] + in_time;
+            expected.late[stage] = base_latencies[stage] + late;
         }
         expected
     }
 
-    fn told_of(&self, now: MonoTime, graph: &StageGraph<'_>, stage: usize) -> Option<&HomeOutlook> {
-        let (at, outlook) = self.told.get(&graph.stages()[stage].service)?;
-        (now.since(*at) < LIFE).then_some(outlook)
+    fn outlook_of(
+        &self,
+        now: MonoTime,
+        graph: &StageGraph<'_>,
+        stage: usize,
+    ) -> Option<&HomeOutlook> {
+        let (at, outlook) = self.latest.get(&graph.stages()[stage].service)?;
+        (now.since(*at) < MAX_AGE).then_some(outlook)
     }
 
-    fn own(&self, now: MonoTime, request: &ChainQuery<'_>, stage: usize) -> Duration {
-        let told = self.told_of(now, request.graph, stage);
-        told.map_or(request.call_times[stage].mul_f64(UNKNOWN_STAGE), |told| {
-            told.base_latency
-        })
+    fn base_latency(&self, now: MonoTime, request: &ChainQuery<'_>, stage: usize) -> Duration {
+        let outlook = self.outlook_of(now, request.graph, stage);
+        outlook.map_or(
+            request.call_times[stage].mul_f64(UNKNOWN_STAGE_FACTOR),
+            |outlook| outlook.base_latency,
+        )
     }
 
-    /// Pieces on their way to a stage from the homes of the stages before it.
-    fn coming<'a>(
+    /// Pieces on their way to a stage from the homes of the preceding stages.
+    fn incoming<'a>(
         &'a self,
         now: MonoTime,
         graph: &'a StageGraph<'a>,
         stage: usize,
-    ) -> impl Iterator<Item = (usize, &'a IncomingPieces)> + 'a {
+    ) -> impl Iterator<Item = (usize, &'a FollowingPieces)> + 'a {
         let service = &graph.stages()[stage].service;
         let before = graph.stages()[stage].after.iter().copied();
         before.filter_map(move |before| {
-            let told = self.told_of(now, graph, before)?;
-            Some((before, told.incoming.get(service)?))
+            let outlook = self.outlook_of(now, graph, before)?;
+            Some((before, outlook.following.get(service)?))
         })
     }
 
-    /// Wait behind what is due earlier: what waits there now and what comes, less what is made until the request is there.
-    fn wait_in_time(
+    /// Wait behind pieces that are due earlier: those queued now and those on their way, less what is made before the
+    /// request arrives.
+    fn in_time_wait(
         &self,
         now: MonoTime,
         request: &ChainQuery<'_>,
         stage: usize,
-        told: &HomeOutlook,
-        own: &[Duration],
-        travel: Duration,
+        outlook: &HomeOutlook,
+        base_latencies: &[Duration],
+        until_arrival: Duration,
     ) -> Duration {
         let graph = request.graph;
-        let shift = RANK_STEP * u32::from(request.rank);
+        let rank_offset = RANK_OFFSET * u32::from(request.rank);
         let due = |stage: usize| {
-            let after = graph.time_after(stage, own);
-            request.until_aim.saturating_sub(after) + shift
+            let after = graph.time_after(stage, base_latencies);
+            request.until_aim.saturating_sub(after) + rank_offset
         };
-        let coming: f64 = self
-            .coming(now, graph, stage)
-            .map(|(before, coming)| coming.in_time.due_before(due(before)))
+        let incoming: f64 = self
+            .incoming(now, graph, stage)
+            .map(|(before, incoming)| incoming.in_time.due_before(due(before)))
             .sum();
-        let ahead = told.in_time.due_before(due(stage)) + coming;
-        time_for(ahead, told.pieces_per_s, travel)
+        let ahead = outlook.in_time.due_before(due(stage)) + incoming;
+        remaining_wait(ahead, outlook.pieces_per_s, until_arrival)
     }
 
-    /// Wait behind all else, made in what the rest leaves free.
-    fn wait_late(
+    /// Wait behind all other pieces, using the capacity that on-time work leaves over.
+    fn late_wait(
         &self,
         now: MonoTime,
         request: &ChainQuery<'_>,
         stage: usize,
-        told: &HomeOutlook,
-        travel: Duration,
+        outlook: &HomeOutlook,
+        until_arrival: Duration,
     ) -> Duration {
-        let coming = self.coming(now, request.graph, stage);
-        let coming: f64 = coming.map(|(_, coming)| f64::from(coming.total)).sum();
-        let ahead = f64::from(told.waiting) + coming;
-        time_for(ahead, told.pieces_per_s * told.spare_capacity, travel)
+        let incoming = self.incoming(now, request.graph, stage);
+        let incoming: f64 = incoming
+            .map(|(_, incoming)| f64::from(incoming.total))
+            .sum();
+        let ahead = f64::from(outlook.waiting) + incoming;
+        remaining_wait(
+            ahead,
+            outlook.pieces_per_s * outlook.spare_capacity,
+            until_arrival,
+        )
     }
 }
 
-/// How long so many pieces still take once `travel` has passed.
-fn time_for(pieces: f64, per_s: f64, travel: Duration) -> Duration {
+/// Time that `pieces` still take once `until_arrival` has passed.
+fn remaining_wait(pieces: f64, per_s: f64, until_arrival: Duration) -> Duration {
     if per_s <= 0.0 {
         return Duration::ZERO;
     }
-    // What another instance told may be no number at all.
-    let seconds = (pieces / per_s).min(LONGEST_WAIT_S);
-    Duration::from_secs_f64(seconds).saturating_sub(travel.mul_f64(MADE_MEANWHILE))
+    // A value from another instance may be NaN; `min` then returns the bound.
+    let seconds = (pieces / per_s).min(MAX_WAIT_S);
+    Duration::from_secs_f64(seconds).saturating_sub(until_arrival.mul_f64(DRAIN_FRACTION))
 }
--- a/crates/tc-policy/src/batch/piece_times.rs
+++ b/crates/tc-policy/src/batch/piece_times.rs
@@ -1,49 +1,59 @@
-//! How long a call with given pieces takes, learnt from calls.
+//! Estimates call durations from the calls observed so far.
 
 use std::{collections::HashMap, time::Duration};
 
 use tc_protocol::routing::BatchSpec;
 
-/// Step by which an error changes the estimates; a dozen calls move them by most of a lasting error.
-const STEP: f64 = 0.2;
-/// Estimates stay within these multiples of the configured time of a piece.
+/// Fraction of an error by which the estimates are corrected; a dozen calls correct most of a persistent error.
+const LEARNING_RATE: f64 = 0.2;
+/// Bounds of the estimates, as multiples of the configured time of a piece.
 const BOUNDS: (f64, f64) = (0.1, 4.0);
 
-/// Times of pieces by kind. Pieces of one service differ by stage, and results of one stage have one size, so the
-/// size tells the kind.
+/// Estimated time of a piece by the size of its result. Piece times within a service differ by stage, and the results
+/// of a stage have the same size, so the size identifies the stage.
 #[derive(Debug, Default)]
 pub(super) struct PieceTimes {
-    /// Seconds by size of result.
-    by_kind: HashMap<u64, f64>,
+    /// Seconds by result size in bytes.
+    by_result_size: HashMap<u64, f64>,
 }
 
 impl PieceTimes {
-    /// Expected time of a call with pieces of these kinds, at ordinary speed.
-    pub(super) fn expect(&self, spec: &BatchSpec, kinds: &[u64]) -> Duration {
-        let pieces: f64 = kinds.iter().map(|kind| self.of(spec, *kind)).sum();
+    /// Expected duration of a call with pieces of these result sizes, at nominal speed.
+    pub(super) fn expected_call(&self, spec: &BatchSpec, result_sizes: &[u64]) -> Duration {
+        let pieces: f64 = result_sizes
+            .iter()
+            .map(|result_size| self.piece_seconds(spec, *result_size))
+            .sum();
         spec.call_time + Duration::from_secs_f64(pieces)
     }
 
-    /// Learns from a call that took so long on an upstream of this speed.
-    pub(super) fn learn(&mut self, spec: &BatchSpec, kinds: &[u64], took: Duration, speed: f64) {
-        let expected = self.expect(spec, kinds).as_secs_f64();
-        let error = took.as_secs_f64() / speed - expected;
+    /// Updates the estimates from a call that took `took` on an upstream with this slowdown.
+    pub(super) fn learn(
+        &mut self,
+        spec: &BatchSpec,
+        result_sizes: &[u64],
+        took: Duration,
+        slowdown: f64,
+    ) {
+        let expected = self.expected_call(spec, result_sizes).as_secs_f64();
+        let error = took.as_secs_f64() / slowdown - expected;
         let mut counts: HashMap<u64, f64> = HashMap::new();
-        for kind in kinds {
-            *counts.entry(*kind).or_default() += 1.0;
+        for result_size in result_sizes {
+            *counts.entry(*result_size).or_default() += 1.0;
         }
         let squares: f64 = counts.values().map(|n| n * n).sum();
         let configured = spec.piece_time.as_secs_f64();
-        for (kind, count) in counts {
-            let moved = self.of(spec, kind) + STEP * error * count / squares;
-            let bounded = moved.clamp(configured * BOUNDS.0, configured * BOUNDS.1);
-            self.by_kind.insert(kind, bounded);
+        for (result_size, count) in counts {
+            let updated =
+                self.piece_seconds(spec, result_size) + LEARNING_RATE * error * count / squares;
+            let bounded = updated.clamp(configured * BOUNDS.0, configured * BOUNDS.1);
+            self.by_result_size.insert(result_size, bounded);
         }
     }
 
-    /// Seconds of one piece.
-    pub(super) fn of(&self, spec: &BatchSpec, kind: u64) -> f64 {
-        let known = self.by_kind.get(&kind).copied();
+    /// Estimated time of one piece, in seconds.
+    pub(super) fn piece_seconds(&self, spec: &BatchSpec, result_size: u64) -> f64 {
+        let known = self.by_result_size.get(&result_size).copied();
         known.unwrap_or(spec.piece_time.as_secs_f64())
     }
 }
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -1,4 +1,4 @@
-//! The state machine of a batch service's home.
+//! State machine of the home of a batch service.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,40 +11,40 @@
 use super::{
     completion::PlannerEffects,
     demand::Demand,
-    inputs::FetchTime,
-    job::{Job, JobKey, NewJob, Place},
+    inputs::InputHoldTime,
+    job::{Job, JobKey, NewJob, QueuePosition},
     piece_times::PieceTimes,
-    queue_time::NEXT_CALL,
-    result_memory::Results,
-    upstream::{BatchUpstream, Maker},
+    queue_time::NEXT_CALL_FACTOR,
+    result_memory::ResultMemory,
+    upstream::{BatchUpstream, UpstreamState},
 };
 use crate::{PacedSends, RepeatBudget};
 
 slotmap::new_key_type! {
-    /// A call to an upstream that has not ended.
+    /// Identifies a call in progress.
     pub struct CallKey;
 }
 
-/// Part of a job's remaining time that its expected wait may use up; beyond it the job is refused at once, as it
-/// would most likely be held to its deadline for nothing.
-const MOST_WAIT: f64 = 0.5;
-/// The same for a job that waits already: it is kept for longer, as a refusal now is later than one at its arrival.
-const MOST_WAIT_QUEUED: f64 = 0.9;
-/// What a call is taken to last before any has ended, as a multiple of its fixed time.
-const FIRST_TYPICAL: f64 = 1.3;
-/// How often results that ran out are looked for.
-pub(super) const EXPIRE_EVERY: Duration = Duration::from_millis(250);
+/// Maximum expected wait of a new job, as a fraction of its remaining time. Beyond it the job is refused at once, since
+/// it would most likely be held until its deadline in vain.
+const MAX_WAIT_FRACTION: f64 = 0.5;
+/// The same for a job that is already queued. The bound is higher, since a refusal now comes later than one on arrival.
+const MAX_QUEUED_WAIT_FRACTION: f64 = 0.9;
+/// Initial estimate of a call's duration, as a multiple of its fixed time, until the first call has ended.
+const INITIAL_CALL_FACTOR: f64 = 1.3;
+/// Interval between two checks for expired results.
+pub(super) const RESULT_EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A call to be made.
+/// A call for the driver to make.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchCall {
-    /// What to end it with.
+    /// Key to pass to [`BatchPlanner::end_call`].
     pub key: CallKey,
-    /// Who is to be called.
+    /// Upstream to call.
     pub upstream: UpstreamId,
-    /// The pieces, in the order in which they are to be sent.
+    /// Pieces in the order in which they must be sent.
     pub pieces: Vec<PieceOrder>,
-    /// When to give it up.
+    /// Time after which the driver must abandon the call.
     pub timeout: Duration,
 }
 
@@ -52,100 +52,100 @@
 pub(super) struct Call {
     pub(super) upstream: UpstreamId,
     pub(super) pieces: Vec<(JobKey, u32)>,
-    /// Kinds of the pieces, by size of result.
-    pub(super) kinds: Vec<u64>,
+    /// Result size of each piece, in bytes.
+    pub(super) result_sizes: Vec<u64>,
     pub(super) started: MonoTime,
     pub(super) expected: Duration,
 }
 
-/// Decides for one service. See the module.
+/// Schedules the jobs of one service.
 #[derive(Debug)]
 pub struct BatchPlanner {
     pub(super) spec: BatchSpec,
     pub(super) jobs: SlotMap<JobKey, Job>,
     pub(super) calls: SlotMap<CallKey, Call>,
-    pub(super) makers: BTreeMap<UpstreamId, Maker>,
-    pub(super) results: Results,
-    pub(super) fetch_time: FetchTime,
-    pub(super) times: PieceTimes,
+    pub(super) upstreams: BTreeMap<UpstreamId, UpstreamState>,
+    pub(super) result_memory: ResultMemory,
+    pub(super) input_hold_time: InputHoldTime,
+    pub(super) piece_times: PieceTimes,
     pub(super) repeats: RepeatBudget,
-    /// Running average of the time of a call, in seconds.
+    /// Moving average of the duration of a call, in seconds.
     pub(super) typical_call_s: f64,
-    /// Work that comes in time to be done in time.
+    /// Arrival rate of work that can be done on time.
     pub(super) demand: Demand,
-    /// Whether the last call that ended was refused as the upstream was full.
+    /// Whether the last call to end was refused because the upstream was full.
     pub(super) last_refused: bool,
     pub(super) next_expiry: MonoTime,
 }
 
 impl BatchPlanner {
-    /// A planner that knows no upstream yet. `repeats` bounds how often pieces are sent again.
+    /// Creates a planner without upstreams. `repeats` limits how often pieces are sent again.
     #[must_use]
     pub fn new(spec: BatchSpec, repeats: RepeatBudget) -> Self {
         Self {
             spec,
             jobs: SlotMap::with_key(),
             calls: SlotMap::with_key(),
-            makers: BTreeMap::new(),
-            results: Results::default(),
-            fetch_time: FetchTime::default(),
-            times: PieceTimes::default(),
+            upstreams: BTreeMap::new(),
+            result_memory: ResultMemory::default(),
+            input_hold_time: InputHoldTime::default(),
+            piece_times: PieceTimes::default(),
             repeats,
             demand: Demand::default(),
             last_refused: false,
-            typical_call_s: spec.call_time.as_secs_f64() * FIRST_TYPICAL,
+            typical_call_s: spec.call_time.as_secs_f64() * INITIAL_CALL_FACTOR,
             next_expiry: MonoTime::default(),
         }
     }
 
-    /// Takes up a changed description of the service.
+    /// Replaces the configuration of the service.
     pub fn set_spec(&mut self, spec: BatchSpec) {
         self.spec = spec;
     }
 
-    /// Takes up the list of upstreams that may get new work.
+    /// Replaces the list of upstreams that may get new work.
     ///
-    /// One that is not on it gets no further call; calls in progress go on.
+    /// Upstreams that are no longer listed get no further calls; calls in progress continue.
     pub fn set_upstreams(&mut self, upstreams: &[BatchUpstream]) {
-        for maker in self.makers.values_mut() {
-            maker.ready = false;
+        for upstream in self.upstreams.values_mut() {
+            upstream.ready = false;
         }
         for upstream in upstreams {
-            let maker = self
-                .makers
+            let state = self
+                .upstreams
                 .entry(upstream.id.clone())
-                .or_insert_with(|| Maker::new(upstream.domain.clone()));
-            maker.ready = true;
+                .or_insert_with(|| UpstreamState::new(upstream.domain.clone()));
+            state.ready = true;
         }
-        self.makers
-            .retain(|_, maker| maker.ready || maker.calls > 0);
+        self.upstreams
+            .retain(|_, upstream| upstream.ready || upstream.calls > 0);
     }
 
-    /// Takes up the rate limits that upstreams announce.
+    /// Updates the rate limits that upstreams announce.
     pub fn set_limits(
         &mut self,
         now: MonoTime,
         limit_of: impl Fn(&UpstreamId) -> Option<RateLimit>,
     ) {
-        for (id, maker) in &mut self.makers {
-            PacedSends::take_up(&mut maker.limited, now, limit_of(id));
+        for (id, upstream) in &mut self.upstreams {
+            PacedSends::take_up(&mut upstream.rate_limit, now, limit_of(id));
         }
     }
 
     /// Whether any upstream may get work.
     #[must_use]
     pub fn has_upstreams(&self) -> bool {
-        self.makers.values().any(|maker| maker.ready)
+        self.upstreams.values().any(|upstream| upstream.ready)
     }
 
-    /// Jobs and pieces that wait.
+    /// Number of open jobs and of waiting pieces.
     #[must_use]
     pub fn backlog(&self) -> (usize, usize) {
         let pieces = self.jobs.values().map(|job| job.waiting.len()).sum();
         (self.jobs.len(), pieces)
     }
 
-    /// Takes up a job, or refuses it at once when it would most likely wait in vain.
+    /// Adds a job, or refuses it at once if it would probably miss its deadline.
     pub fn push(&mut self, now: MonoTime, new: NewJob) -> Result<JobKey, PiecesRefusal> {
         if !self.has_upstreams() {
             return Err(PiecesRefusal::NoUpstream);
@@ -154,38 +154,38 @@
             return Err(PiecesRefusal::Late);
         }
         let mut job = Job::new(new);
-        let done_after = self.wait_of(now, &job) + self.typical_call().mul_f64(NEXT_CALL);
-        job.expected_late = job.new.in_time_until < now.after(done_after);
-        // Again, as a job that is expected to be late has another place.
-        let wait = self.wait_of(now, &job);
-        if !self.is_worth_waiting(now, &job, wait, MOST_WAIT) {
+        let done_after = self.queue_wait(now, &job) + self.typical_call().mul_f64(NEXT_CALL_FACTOR);
+        job.expected_late = job.params.in_time_until < now.after(done_after);
+        // Computed again because a job that is expected to be late has another queue position.
+        let wait = self.queue_wait(now, &job);
+        if !self.can_meet_deadline(now, &job, wait, MAX_WAIT_FRACTION) {
             return Err(self.overloaded(now));
         }
         self.repeats.note_request(now);
         if !job.expected_late {
-            self.demand.add(now, self.work_of(&job));
+            self.demand.add(now, self.remaining_work(&job));
         }
-        if self.makes_in(job.new.preferred_domain.as_ref()) {
-            job.stay(now, self.spec.call_time);
+        if self.has_healthy_upstream_in(job.params.preferred_domain.as_ref()) {
+            job.hold_for_domain(now, self.spec.call_time);
         }
         Ok(self.jobs.insert(job))
     }
 
-    /// A refusal with the time until what waits now is worked off: then a request that comes has the queue to itself.
+    /// Refusal with the time until the current backlog is done; a retry at that time has the queue to itself.
     fn overloaded(&self, now: MonoTime) -> PiecesRefusal {
         PiecesRefusal::Overloaded {
             retry_after: self.expected_wait() + self.shortest_backoff(now),
         }
     }
 
-    /// Whether any upstream that may get work is in the domain.
-    fn makes_in(&self, domain: Option<&FailureDomain>) -> bool {
-        self.makers
-            .values()
-            .any(|maker| maker.ready && maker.failures == 0 && Some(&maker.domain) == domain)
+    /// Whether any upstream in the domain may get work and is not failing.
+    fn has_healthy_upstream_in(&self, domain: Option<&FailureDomain>) -> bool {
+        self.upstreams.values().any(|upstream| {
+            upstream.ready && upstream.failures == 0 && Some(&upstream.domain) == domain
+        })
     }
 
-    /// Drops a job that nobody waits for any more; its results that were made already are to be freed.
+    /// Removes a job that is no longer needed and returns the results to free.
     pub fn cancel(&mut self, job: JobKey) -> Vec<ResultHandle> {
         let Some(job) = self.jobs.remove(job) else {
             return Vec::new();
@@ -193,67 +193,70 @@
         job.results.into_iter().flatten().collect()
     }
 
-    /// Refuses jobs whose time is over, and those that will most likely not be done in their time any more.
+    /// Refuses jobs that are past their deadline or will probably miss it.
     ///
-    /// The latter are refused before their time is over, as more urgent ones went before them: their callers can still
-    /// turn elsewhere, and the room that they hold is free for others.
+    /// The latter, which more urgent jobs have overtaken, are refused before their deadline so that their callers can
+    /// still turn elsewhere and the memory that they hold is freed.
     pub fn expire(&mut self, now: MonoTime) -> PlannerEffects {
-        let mut settled = PlannerEffects::default();
-        let ends = self.typical_end(now);
-        let mut queue: Vec<(Place, JobKey)> = self
+        let mut effects = PlannerEffects::default();
+        let call_end = self.typical_end(now);
+        let mut queue: Vec<(QueuePosition, JobKey)> = self
             .jobs
             .iter()
-            .filter(|(_, job)| !job.waiting.is_empty() || job.new.deadline <= now)
-            .map(|(key, job)| (job.place(ends), key))
+            .filter(|(_, job)| !job.waiting.is_empty() || job.params.deadline <= now)
+            .map(|(key, job)| (job.position(call_end), key))
             .collect();
         queue.sort_unstable();
-        let mut before = 0.0;
-        for (place, key) in queue {
+        let mut work_ahead = 0.0;
+        for (position, key) in queue {
             let job = &self.jobs[key];
-            let work = self.work_of(job);
-            if job.new.deadline <= now {
-                self.refuse(key, PiecesRefusal::Late, &mut settled);
+            let work = self.remaining_work(job);
+            if job.params.deadline <= now {
+                self.refuse(key, PiecesRefusal::Late, &mut effects);
                 continue;
             }
-            let wait = self.time_behind(now, place, before);
-            if job.is_untouched() && !self.is_worth_waiting(now, job, wait, MOST_WAIT_QUEUED) {
+            let wait = self.wait_behind(now, position, work_ahead);
+            if job.is_unstarted()
+                && !self.can_meet_deadline(now, job, wait, MAX_QUEUED_WAIT_FRACTION)
+            {
                 let refusal = self.overloaded(now);
-                self.refuse(key, refusal, &mut settled);
+                self.refuse(key, refusal, &mut effects);
                 continue;
             }
-            before += work;
+            work_ahead += work;
         }
-        settled
+        effects
     }
 
-    /// Sends away every job that was not begun: another home has the service now.
+    /// Refuses every job that has not started, after another home has taken over the service.
     ///
-    /// Two homes that both work off a backlog send each upstream twice the calls it can make; each call then waits there
-    /// for the other home's, seen as calls of twice their time until the old home is done, seconds later.
+    /// If two homes worked off a backlog at the same time, each upstream would get twice the calls that it can run.
+    /// Each call then waits at the upstream for one of the other home, so that calls take twice their usual time until the
+    /// old home is done, seconds later.
     pub fn hand_over(&mut self) -> PlannerEffects {
-        let mut settled = PlannerEffects::default();
-        let untouched: Vec<JobKey> = self
+        let mut effects = PlannerEffects::default();
+        let unstarted: Vec<JobKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.is_untouched())
+            .filter(|(_, job)| job.is_unstarted())
             .map(|(key, _)| key)
             .collect();
-        for key in untouched {
-            self.refuse(key, PiecesRefusal::Moved, &mut settled);
+        for key in unstarted {
+            self.refuse(key, PiecesRefusal::Moved, &mut effects);
         }
-        settled
+        effects
     }
 
-    /// A result is no longer needed, or was freed.
+    /// Records that a result was freed or is no longer needed.
     pub fn result_freed(&mut self, handle: &ResultHandle) {
-        self.results.give_up(handle);
+        self.result_memory.remove(handle);
     }
 
     pub(super) fn expire_results(&mut self, now: MonoTime) {
         if now < self.next_expiry {
             return;
         }
-        self.next_expiry = now.after(EXPIRE_EVERY);
-        self.results.expire(now);
+        self.next_expiry = now.after(RESULT_EXPIRY_INTERVAL);
+        self.result_memory.expire(now);
     }
 }
--- a/crates/tc-policy/src/batch/queue_time.rs
+++ b/crates/tc-policy/src/batch/queue_time.rs
@@ -1,39 +1,40 @@
-//! How long jobs will wait: what admission and refusals go by.
+//! Estimates of queueing time, used for admission, refusals and outlooks.
 
 use std::time::Duration;
 
 use tc_protocol::MonoTime;
 
 use super::{
-    job::{Job, Place},
+    job::{Job, QueuePosition},
     planner::BatchPlanner,
 };
 
-/// Part of the upstreams' time that is left for late work at least, for an estimate that stays finite.
-const LEAST_FREE: f64 = 0.02;
+/// Lower bound of the fraction of upstream time available to late work; keeps estimates finite.
+const MIN_SPARE_CAPACITY: f64 = 0.02;
 
-/// A job that waits for nobody is done after its own call and a part of the one that its upstream is at.
-pub(super) const NEXT_CALL: f64 = 1.2;
+/// Time of a job with an empty queue, as a multiple of a typical call: its own call and part of the call already
+/// running on its upstream.
+pub(super) const NEXT_CALL_FACTOR: f64 = 1.2;
 
 impl BatchPlanner {
-    /// Expected time until everything that waits has been taken into a call.
+    /// Expected time until every waiting piece is in a call.
     #[must_use]
     pub fn expected_wait(&self) -> Duration {
-        self.time_of(self.jobs.values().map(|job| self.work_of(job)).sum())
+        self.processing_time(self.jobs.values().map(|job| self.remaining_work(job)).sum())
     }
 
-    /// Seconds of one ordinary upstream that what waits of a job takes.
-    pub(super) fn work_of(&self, job: &Job) -> f64 {
-        job.waiting.len() as f64 * self.share_of_call(job.new.result_bytes)
+    /// Upstream time needed for the waiting pieces of a job, in seconds at nominal speed.
+    pub(super) fn remaining_work(&self, job: &Job) -> f64 {
+        job.waiting.len() as f64 * self.piece_share(job.params.result_bytes)
     }
 
-    /// How long all upstreams together take for so many seconds of work.
-    pub(super) fn time_of(&self, work: f64) -> Duration {
-        let speed = self.speed();
-        if speed > 0.0 {
-            Duration::from_secs_f64(work / speed)
+    /// Time in which all upstreams together do `work` seconds of upstream time.
+    pub(super) fn processing_time(&self, work: f64) -> Duration {
+        let capacity = self.capacity();
+        if capacity > 0.0 {
+            Duration::from_secs_f64(work / capacity)
         } else if work > 0.0 {
-            // All fail at the moment; one more call tells.
+            // All upstreams are failing; the next call shows whether one has recovered.
             self.spec.call_time
         } else {
             Duration::ZERO
@@ -44,71 +45,76 @@
         Duration::from_secs_f64(self.typical_call_s)
     }
 
-    /// When a call that is begun now would end.
+    /// Expected end of a call that starts now.
     pub(super) fn typical_end(&self, now: MonoTime) -> MonoTime {
         now.after(self.typical_call())
     }
 
-    /// Expected time until a job is taken into a call, behind those that go before it.
-    pub(super) fn wait_of(&self, now: MonoTime, job: &Job) -> Duration {
-        let ends = self.typical_end(now);
-        let place = job.place(ends);
-        let before = self
+    /// Expected time until a job is in a call, behind the jobs that go before it.
+    pub(super) fn queue_wait(&self, now: MonoTime, job: &Job) -> Duration {
+        let call_end = self.typical_end(now);
+        let position = job.position(call_end);
+        let ahead = self
             .jobs
             .values()
-            .filter(|other| other.place(ends) <= place);
-        let work = before.map(|other| self.work_of(other)).sum();
-        self.time_behind(now, place, work)
+            .filter(|other| other.position(call_end) <= position);
+        let work = ahead.map(|other| self.remaining_work(other)).sum();
+        self.wait_behind(now, position, work)
     }
 
-    /// How long a job in this place waits for so many seconds of work before it.
-    pub(super) fn time_behind(&self, now: MonoTime, place: Place, work: f64) -> Duration {
-        let behind_work = if place.is_late {
-            self.time_of_late(now, work)
+    /// Wait of a job at `position` with `work` seconds of upstream time queued before it.
+    pub(super) fn wait_behind(
+        &self,
+        now: MonoTime,
+        position: QueuePosition,
+        work: f64,
+    ) -> Duration {
+        let wait = if position.is_late {
+            self.late_processing_time(now, work)
         } else {
-            self.time_of(work)
+            self.processing_time(work)
         };
-        behind_work + self.shortest_backoff(now)
+        wait + self.shortest_backoff(now)
     }
 
     /// Time until the first backoff of a ready upstream expires; zero if any ready upstream has none.
     pub(super) fn shortest_backoff(&self, now: MonoTime) -> Duration {
-        let ready = self.makers.values().filter(|maker| maker.ready);
-        let backoffs = ready.map(|maker| maker.backoff_until.since(now));
+        let ready = self.upstreams.values().filter(|upstream| upstream.ready);
+        let backoffs = ready.map(|upstream| upstream.backoff_until.since(now));
         backoffs.min().unwrap_or_default()
     }
 
-    /// How long so many seconds of work take that is done only when nothing else is to be done.
-    fn time_of_late(&self, now: MonoTime, work: f64) -> Duration {
-        self.time_of(work).div_f64(self.free_for_late(now))
+    /// Time for `work` seconds of upstream time that runs only when no on-time work is queued.
+    fn late_processing_time(&self, now: MonoTime, work: f64) -> Duration {
+        self.processing_time(work).div_f64(self.spare_capacity(now))
     }
 
-    /// Part of the upstreams' time that work which comes to be done in time leaves.
-    pub(super) fn free_for_late(&self, now: MonoTime) -> f64 {
-        let free = 1.0 - self.demand.per_second(now) / self.speed().max(f64::MIN_POSITIVE);
-        free.max(LEAST_FREE)
+    /// Fraction of upstream time left over by the incoming on-time work.
+    pub(super) fn spare_capacity(&self, now: MonoTime) -> f64 {
+        let fraction = 1.0 - self.demand.per_second(now) / self.capacity().max(f64::MIN_POSITIVE);
+        fraction.max(MIN_SPARE_CAPACITY)
     }
 
-    /// Seconds of one ordinary upstream's time that all together give in a second.
-    pub(super) fn speed(&self) -> f64 {
-        self.total_speed() * f64::from(self.spec.slots)
+    /// Total capacity: seconds of nominal upstream time that all slots provide per second.
+    pub(super) fn capacity(&self) -> f64 {
+        self.total_throughput() * f64::from(self.spec.slots)
     }
 
-    /// Seconds that one piece takes of a full call.
-    pub(super) fn share_of_call(&self, kind: u64) -> f64 {
-        let call = self.spec.call_time.as_secs_f64() / self.spec.max_pieces.max(1) as f64;
-        call + self.times.of(&self.spec, kind)
+    /// Upstream time of one piece in a full call, in seconds, including its share of the fixed time.
+    pub(super) fn piece_share(&self, result_size: u64) -> f64 {
+        let fixed = self.spec.call_time.as_secs_f64() / self.spec.max_pieces.max(1) as f64;
+        fixed + self.piece_times.piece_seconds(&self.spec, result_size)
     }
 
-    /// Whether a job will most likely be done before nobody waits for it any more.
-    pub(super) fn is_worth_waiting(
+    /// Whether a job with this expected wait will probably finish within `max_fraction` of the time until its deadline.
+    pub(super) fn can_meet_deadline(
         &self,
         now: MonoTime,
         job: &Job,
         wait: Duration,
-        part: f64,
+        max_fraction: f64,
     ) -> bool {
-        let most = job.new.deadline.since(now).mul_f64(part);
-        wait.is_zero() || wait + self.spec.call_time <= most
+        let max_wait = job.params.deadline.since(now).mul_f64(max_fraction);
+        wait.is_zero() || wait + self.spec.call_time <= max_wait
     }
 }
--- a/crates/tc-policy/src/batch/result_memory.rs
+++ b/crates/tc-policy/src/batch/result_memory.rs
@@ -1,74 +1,75 @@
-//! Room for results: what is kept at which upstream, and until when.
+//! Accounting of result memory: which results each upstream holds, and until when.
 
 use std::collections::HashMap;
 
 use tc_protocol::{MonoTime, UpstreamId, routing::ResultHandle};
 
 #[derive(Debug)]
-struct Kept {
-    maker: UpstreamId,
+struct StoredResult {
+    upstream: UpstreamId,
     bytes: u64,
-    until: MonoTime,
+    expires_at: MonoTime,
 }
 
-/// Results that were made and not given up.
+/// Results that were made and not yet released.
 ///
-/// They are counted apart from the upstreams that may get work: one whose entry lapses for a moment holds what it made,
-/// and would otherwise come back with all of its room free, seen as pieces that it refuses for want of room.
+/// They are counted separately from the upstreams that may get work: an upstream whose registration lapses for a moment
+/// still holds its results. If they were dropped with it, its memory would count as free on its return, and it would
+/// refuse pieces for lack of memory.
 #[derive(Debug, Default)]
-pub(super) struct Results {
-    kept: HashMap<ResultHandle, Kept>,
+pub(super) struct ResultMemory {
+    stored: HashMap<ResultHandle, StoredResult>,
     bytes_at: HashMap<UpstreamId, u64>,
 }
 
-impl Results {
-    pub(super) fn keep(
+impl ResultMemory {
+    pub(super) fn insert(
         &mut self,
         handle: ResultHandle,
-        maker: &UpstreamId,
+        upstream: &UpstreamId,
         bytes: u64,
-        until: MonoTime,
+        expires_at: MonoTime,
     ) {
-        let kept = Kept {
-            maker: maker.clone(),
+        let stored = StoredResult {
+            upstream: upstream.clone(),
             bytes,
-            until,
+            expires_at,
         };
-        *self.bytes_at.entry(maker.clone()).or_default() += bytes;
-        if let Some(before) = self.kept.insert(handle, kept) {
-            self.take_off(&before);
+        *self.bytes_at.entry(upstream.clone()).or_default() += bytes;
+        if let Some(replaced) = self.stored.insert(handle, stored) {
+            self.subtract(&replaced);
         }
     }
 
-    /// The result is no longer kept.
-    pub(super) fn give_up(&mut self, handle: &ResultHandle) {
-        if let Some(kept) = self.kept.remove(handle) {
-            self.take_off(&kept);
+    /// Removes a result that its upstream no longer holds.
+    pub(super) fn remove(&mut self, handle: &ResultHandle) {
+        if let Some(stored) = self.stored.remove(handle) {
+            self.subtract(&stored);
         }
     }
 
-    /// Forgets results that their makers have dropped by themselves.
+    /// Removes results that have expired at their upstreams.
     pub(super) fn expire(&mut self, now: MonoTime) {
-        let ended: Vec<Kept> = self
-            .kept
-            .extract_if(|_, kept| kept.until <= now)
-            .map(|(_, kept)| kept)
+        let expired: Vec<StoredResult> = self
+            .stored
+            .extract_if(|_, stored| stored.expires_at <= now)
+            .map(|(_, stored)| stored)
             .collect();
-        for kept in &ended {
-            self.take_off(kept);
+        for stored in &expired {
+            self.subtract(stored);
         }
     }
 
-    /// Bytes of all results kept at an upstream.
-    pub(super) fn bytes_at(&self, maker: &UpstreamId) -> u64 {
-        self.bytes_at.get(maker).copied().unwrap_or_default()
+    /// Total bytes of the results held by an upstream.
+    pub(super) fn bytes_at(&self, upstream: &UpstreamId) -> u64 {
+        self.bytes_at.get(upstream).copied().unwrap_or_default()
     }
 
-    fn take_off(&mut self, kept: &Kept) {
-        if let Some(bytes) = self.bytes_at.get_mut(&kept.maker) {
-            *bytes = bytes.saturating_sub(kept.bytes);
+    fn subtract(&mut self, stored: &StoredResult) {
+        if let Some(bytes) = self.bytes_at.get_mut(&stored.upstream) {
+            *bytes = bytes.saturating_sub(stored.bytes);
             if *bytes == 0 {
-                self.bytes_at.remove(&kept.maker);
+                self.bytes_at.remove(&stored.upstream);
             }
         }
     }
--- a/crates/tc-policy/src/batch/upstream.rs
+++ b/crates/tc-policy/src/batch/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream of a batch service as its home knows it.
+//! State of one upstream of a batch service at its home.
 
 use std::time::Duration;
 
@@ -6,62 +6,62 @@
 
 use crate::PacedSends;
 
-/// Pause after an upstream refused a call because it was full: about half a call, as calls of another home, or of this
-/// one's life before a restart, must end first. Each refused call spends as many repeats as it has pieces, so a shorter
-/// pause uses up the budget before the upstream is free.
+/// Pause after an upstream refused a call because it was full: about half a call, since calls from another home, or
+/// from this one before a restart, must end first. Each refused call spends as many repeats as it has pieces, so a
+/// shorter pause would use up the budget before the upstream is free.
 const FULL_PAUSE: Duration = Duration::from_millis(150);
-/// First pause after a call failed; doubles with each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause: an upstream that is back is used again within this time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
-/// Weight of the newest call in the speed. Three calls move it by two thirds: a call takes a third of a second, and
-/// an upstream turns slow for seconds.
-const SPEED_WEIGHT: f64 = 0.3;
-/// Bounds of the speed, so that one odd time cannot keep an upstream out of use.
-const SPEED_BOUNDS: (f64, f64) = (0.5, 10.0);
+/// Pause after the first failed call; doubles with each consecutive failure.
+const INITIAL_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum pause; a recovered upstream is used again within this time.
+const MAX_PAUSE: Duration = Duration::from_secs(3);
+/// Weight of the latest call in the slowdown average. Three calls change it by two thirds: a call takes a third of a
+/// second, and an upstream stays slow for seconds.
+const SLOWDOWN_WEIGHT: f64 = 0.3;
+/// Bounds of the slowdown, so that a single outlier cannot take an upstream out of use.
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.5, 10.0);
 
-/// An upstream as registered.
+/// A registered upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchUpstream {
-    /// Identifies this life of its process.
+    /// Identifies the upstream process; it changes on restart.
     pub id: UpstreamId,
-    /// Where it runs.
+    /// Failure domain in which the upstream runs.
     pub domain: FailureDomain,
 }
 
 #[derive(Debug)]
-pub(super) struct Maker {
+pub(super) struct UpstreamState {
     pub(super) domain: FailureDomain,
     /// Whether it is registered and not leaving.
     pub(super) ready: bool,
     pub(super) calls: u32,
-    /// Bytes of results that its calls in progress will leave there.
-    pub(super) reserved: u64,
-    /// Time its calls take against what is expected; 2 is half as fast.
-    pub(super) speed: f64,
+    /// Bytes that the results of its calls in progress will occupy.
+    pub(super) reserved_bytes: u64,
+    /// Ratio of actual to expected call time; 2 is half as fast.
+    pub(super) slowdown: f64,
     pub(super) failures: u32,
     pub(super) not_before: MonoTime,
     /// End of the backoff that the upstream requested; failures do not shorten it.
     pub(super) backoff_until: MonoTime,
-    /// When the call in progress is expected to end.
+    /// Expected end of the call in progress.
     pub(super) busy_until: MonoTime,
     /// Set while the upstream announces a rate limit.
-    pub(super) limited: Option<PacedSends>,
+    pub(super) rate_limit: Option<PacedSends>,
 }
 
-impl Maker {
+impl UpstreamState {
     pub(super) fn new(domain: FailureDomain) -> Self {
         Self {
             domain,
             ready: true,
             calls: 0,
-            reserved: 0,
-            speed: 1.0,
+            reserved_bytes: 0,
+            slowdown: 1.0,
             failures: 0,
             not_before: MonoTime::default(),
             backoff_until: MonoTime::default(),
             busy_until: MonoTime::default(),
-            limited: None,
+            rate_limit: None,
         }
     }
 
@@ -69,29 +69,31 @@
         self.ready
             && self.calls < slots
             && now >= self.not_before
-            && self.wait_for_limit(now).is_zero()
+            && self.rate_limit_wait(now).is_zero()
     }
 
-    /// Returns the time until a call keeps to the announced rate limit.
-    pub(super) fn wait_for_limit(&self, now: MonoTime) -> Duration {
-        self.limited.map_or(Duration::ZERO, |paced| paced.wait(now))
+    /// Returns the time until the announced rate limit allows a call.
+    pub(super) fn rate_limit_wait(&self, now: MonoTime) -> Duration {
+        self.rate_limit
+            .map_or(Duration::ZERO, |paced| paced.wait(now))
     }
 
-    /// Returns the seconds of an ordinary upstream's time that this one gives in a second.
+    /// Returns the seconds of nominal upstream time that this upstream provides per second.
     pub(super) fn throughput(&self, typical_call_s: f64) -> f64 {
-        let own = 1.0 / self.speed;
-        self.limited
-            .map_or(own, |paced| own.min(paced.per_s() * typical_call_s))
+        let unlimited = 1.0 / self.slowdown;
+        self.rate_limit.map_or(unlimited, |paced| {
+            unlimited.min(paced.per_s() * typical_call_s)
+        })
     }
 
-    pub(super) fn answered(&mut self, took: Duration, expected: Duration) {
+    pub(super) fn record_success(&mut self, took: Duration, expected: Duration) {
         self.failures = 0;
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(0.001);
-        self.note_speed(ratio);
+        self.update_slowdown(ratio);
     }
 
-    /// It is full, of calls or of results that others keep there.
-    pub(super) fn refused(&mut self, now: MonoTime) {
+    /// Records a call refused because the upstream has no free slot or no result memory.
+    pub(super) fn record_refusal(&mut self, now: MonoTime) {
         self.not_before = self.not_before.max(now.after(FULL_PAUSE));
     }
 
@@ -101,20 +103,21 @@
         self.not_before = self.not_before.max(self.backoff_until);
     }
 
-    /// A call broke or was given up: a pause that grows with each failure in a row, and what its time tells.
-    pub(super) fn failed(&mut self, now: MonoTime, took: Duration, expected: Duration) {
-        let pause = FIRST_PAUSE * 2u32.pow(self.failures.min(8));
+    /// Records a failed or timed-out call: starts a pause that grows with consecutive failures, and updates the
+    /// slowdown if the call was slow.
+    pub(super) fn record_failure(&mut self, now: MonoTime, took: Duration, expected: Duration) {
+        let pause = INITIAL_PAUSE * 2u32.pow(self.failures.min(8));
         self.failures += 1;
-        self.not_before = now.after(pause.min(LONGEST_PAUSE)).max(self.backoff_until);
-        // A call that was given up took at least this long.
+        self.not_before = now.after(pause.min(MAX_PAUSE)).max(self.backoff_until);
+        // For a call that timed out, this ratio is a lower bound.
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(0.001);
-        if ratio > self.speed {
-            self.note_speed(ratio);
+        if ratio > self.slowdown {
+            self.update_slowdown(ratio);
         }
     }
 
-    fn note_speed(&mut self, ratio: f64) {
-        let speed = self.speed + SPEED_WEIGHT * (ratio - self.speed);
-        self.speed = speed.clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
+    fn update_slowdown(&mut self, ratio: f64) {
+        let slowdown = self.slowdown + SLOWDOWN_WEIGHT * (ratio - self.slowdown);
+        self.slowdown = slowdown.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
     }
 }
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -26,8 +26,8 @@
 pub use backoffs::Backoffs;
 pub use batch::{
     AdmittedChain, BatchCall, BatchPlanner, BatchUpstream, CallEnd, CallKey, ChainAdmission,
-    ChainQuery, DueHistogram, ExpectedStageTimes, FinishedJob, HomeOutlook, IncomingPieces, JobKey,
-    NewJob, PlannerEffects, StageOutlooks,
+    ChainQuery, DueHistogram, ExpectedStageTimes, FinishedJob, FollowingPieces, HomeOutlook,
+    JobKey, NewJob, PlannerEffects, StageOutlooks,
 };
 pub use budget::Budget;
 pub use choice::{Candidate, Choice, choose};
--- a/crates/tc-policy/tests/batch/handing.rs
+++ b/crates/tc-policy/tests/batch/handing.rs
@@ -51,7 +51,7 @@
     assert_eq!(outlook.in_time.total(), 6, "what is late waits apart");
     let soon = outlook.in_time.due_before(Duration::from_millis(500));
     assert!((soon - 3.0).abs() < 1e-9, "{soon}");
-    let coming = &outlook.incoming[&ServiceName::from("behind")];
+    let coming = &outlook.following[&ServiceName::from("behind")];
     assert_eq!((coming.in_time.total(), coming.total), (8, 12));
     let sent = DueHistogram::from_counts(outlook.in_time.counts());
     assert_eq!(sent, outlook.in_time);
