--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -1,7 +1,7 @@
-//! What one ask costs the home of a batch service, by the number of its upstreams and of the jobs that wait.
+//! Cost of one ask at the home of a batch service, by the number of its upstreams and waiting jobs.
 //!
-//! `cargo bench -p tc-policy --bench batch_home`. Two states of overload: every upstream at work, and every upstream free but
-//! without room for results, which is where a home looks at all of them in vain each time that anything happens.
+//! `cargo bench -p tc-policy --bench batch_home`. Covers two overload states: all upstreams busy, and all upstreams
+//! free but without result memory. In the latter, the home checks every upstream in vain on each event.
 
 #![allow(
     missing_docs,
@@ -55,8 +55,8 @@
     }
 }
 
-/// A planner all of whose upstreams have one full call each, or have its results and no room left.
-fn planner(upstreams: usize, jobs: usize, at_work: bool) -> BatchPlanner {
+/// Creates a planner whose upstreams all have one full call in progress, or whose result memory is full.
+fn planner(upstreams: usize, jobs: usize, busy: bool) -> BatchPlanner {
     let repeats = RepeatBudget::new(RepeatLimits {
         ratio: 0.2,
         extra: 20.0,
@@ -70,34 +70,38 @@
     let upstreams: Vec<BatchUpstream> = (0..upstreams).map(upstream).collect();
     planner.set_upstreams(&upstreams);
     for number in 0..upstreams.len() {
-        planner.push(now(), job(number, 14)).expect("it is taken");
+        planner
+            .push(now(), job(number, 14))
+            .expect("the job is accepted");
         let call = planner.next_call(now()).expect("an upstream is free");
-        if at_work {
+        if busy {
             continue;
         }
         let result = |i: usize| Ok(ResultHandle(format!("{number}/{i}").into()));
-        let made = CallEnd::Answered((0..call.pieces.len()).map(result).collect());
-        planner.end_call(now(), call.key, made);
+        let end = CallEnd::Answered((0..call.pieces.len()).map(result).collect());
+        planner.end_call(now(), call.key, end);
     }
     for number in 0..jobs {
-        planner.push(now(), job(number, 2)).expect("it is taken");
+        planner
+            .push(now(), job(number, 2))
+            .expect("the job is accepted");
     }
     planner
 }
 
 fn one_ask(c: &mut Criterion) {
-    for (state, at_work) in [("at_work", true), ("without_room", false)] {
+    for (state, busy) in [("at_work", true), ("without_room", false)] {
         let mut group = c.benchmark_group(format!("one_ask/{state}"));
         group.sample_size(20);
         group.measurement_time(Duration::from_millis(700));
         group.warm_up_time(Duration::from_millis(200));
         for upstreams in UPSTREAMS {
             for jobs in JOBS {
-                let mut planner = planner(upstreams, jobs, at_work);
+                let mut planner = planner(upstreams, jobs, busy);
                 let id = BenchmarkId::new(format!("{upstreams}_upstreams"), jobs);
                 group.bench_function(id, |b| {
                     b.iter(|| {
-                        let key = planner.push(now(), job(0, 2)).expect("it is taken");
+                        let key = planner.push(now(), job(0, 2)).expect("the job is accepted");
                         assert!(planner.next_call(now()).is_none());
                         black_box(planner.outlook(now()));
                         planner.cancel(key);
--- a/crates/tc-policy/tests/batch/common.rs
+++ b/crates/tc-policy/tests/batch/common.rs
@@ -1,4 +1,4 @@
-//! A planner and jobs for the tests of batch planning.
+//! Fixtures shared by the batch planning tests.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
     routing::{BatchSpec, PieceInput, ResultHandle},
 };
 
-/// Call 200 ms, 12 ms a piece, 14 pieces, 32 MB: a service whose upstreams pay much for a call and little for a piece.
+/// A service with expensive calls and cheap pieces: 200 ms per call, 12 ms per piece, 14 pieces per call, 32 MB of
+/// result memory.
 pub(crate) fn spec() -> BatchSpec {
     BatchSpec {
         slots: 1,
@@ -24,7 +25,7 @@
     }
 }
 
-pub(crate) fn repeats(extra: f64) -> RepeatBudget {
+pub(crate) fn repeat_budget(extra: f64) -> RepeatBudget {
     RepeatBudget::new(RepeatLimits {
         ratio: 0.2,
         extra,
@@ -33,7 +34,7 @@
 }
 
 pub(crate) fn planner(domains: &[&str]) -> BatchPlanner {
-    let mut planner = BatchPlanner::new(spec(), repeats(20.0));
+    let mut planner = BatchPlanner::new(spec(), repeat_budget(20.0));
     planner.set_upstreams(&upstreams(domains));
     planner
 }
@@ -69,7 +70,7 @@
     }
 }
 
-pub(crate) fn names(call: &BatchCall) -> Vec<String> {
+pub(crate) fn piece_names(call: &BatchCall) -> Vec<String> {
     let named = call
         .pieces
         .iter()
@@ -77,7 +78,7 @@
     named.collect()
 }
 
-pub(crate) fn made(call: &BatchCall) -> CallEnd {
+pub(crate) fn success(call: &BatchCall) -> CallEnd {
     let results = call.pieces.iter();
     CallEnd::Answered(
         results
@@ -96,5 +97,5 @@
 }
 
 pub(crate) fn push(planner: &mut BatchPlanner, now: MonoTime, new: NewJob) -> JobKey {
-    planner.push(now, new).expect("the job is taken")
+    planner.push(now, new).expect("the job is accepted")
 }
--- a/crates/tc-policy/tests/batch/inputs.rs
+++ b/crates/tc-policy/tests/batch/inputs.rs
@@ -1,13 +1,13 @@
-//! Inputs are given up as soon as the pieces that read them have them.
+//! Early release of inputs once the pieces that read them have fetched them.
 
 use std::time::Duration;
 
 use tc_policy::{BatchCall, BatchPlanner, CallEnd, NewJob};
 use tc_protocol::routing::{PieceFailure, PieceInput, PiecesRefusal, ResultHandle};
 
-use crate::common::{at, handle, job, made, push, repeats, spec, upstreams};
+use crate::common::{at, handle, job, push, repeat_budget, spec, success, upstreams};
 
-/// A stage of so many pieces that reads four results of 60 KB and is the last to do so.
+/// A stage that is the last reader of four results of 60 KB.
 fn reader(name: &str, pieces: u32) -> NewJob {
     NewJob {
         input: PieceInput::Results(inputs().into()),
@@ -21,48 +21,52 @@
     ["a", "b", "c", "d"].map(handle).to_vec()
 }
 
-/// Symptom: in a burst the calls of a stage stay half empty though a hundred of its pieces wait, and the burst is refused.
-/// Sequence: its results of 60 KB fill its upstreams' room of 2.1 MB; each is kept from the start of its own call to the
-/// end of the reader's call, a second in all.
-/// Cause: inputs were given up only when the stage that reads them was done, a third of a second after they were fetched.
+/// Guards against calls of a stage that stay half empty in a burst although a hundred of its pieces wait, so that the
+/// burst is refused. Results of 60 KB fill the 2.1 MB of their upstreams when each is held from the start of its own
+/// call to the end of the reader's call, a second in all. Inputs were released only when the reading stage was done, a
+/// third of a second after they were fetched.
 #[test]
-fn inputs_are_given_up_while_the_call_that_read_them_goes_on() {
+fn inputs_are_released_during_the_call_that_reads_them() {
     let mut planner = planner();
     push(&mut planner, at(0), reader("x", 6));
     let call = planner.next_call(at(0)).expect("a call");
     assert_eq!(
         planner.take_read_inputs(at(10)),
         [],
-        "they may be on their way"
+        "the inputs may still be in transit"
     );
-    let wake = planner.next_wake(at(0)).expect("something comes");
+    let wake = planner.next_wake(at(0)).expect("a wake-up time");
     assert!(wake > at(10) && wake < at(100), "{wake:?}");
     assert_eq!(planner.take_read_inputs(wake), inputs());
-    assert_eq!(planner.take_read_inputs(at(200)), [], "told once");
-    let settled = planner.end_call(at(270), call.key, made(&call));
-    assert_eq!(settled.released_inputs, [], "nor again at the end");
-    assert!(settled.finished[0].result.is_ok());
+    assert_eq!(planner.take_read_inputs(at(200)), [], "returned only once");
+    let effects = planner.end_call(at(270), call.key, success(&call));
+    assert_eq!(effects.released_inputs, [], "not released again at the end");
+    assert!(effects.finished[0].result.is_ok());
 }
 
 #[test]
-fn a_call_that_ends_before_that_gives_them_up_at_its_end() {
+fn inputs_are_released_at_the_end_of_a_short_call() {
     let mut planner = planner();
     push(&mut planner, at(0), reader("x", 2));
     let call = planner.next_call(at(0)).expect("a call");
-    let settled = planner.end_call(at(5), call.key, made(&call));
-    assert_eq!(settled.released_inputs, inputs());
+    let effects = planner.end_call(at(5), call.key, success(&call));
+    assert_eq!(effects.released_inputs, inputs());
 }
 
 #[test]
-fn inputs_are_kept_for_pieces_that_wait() {
+fn inputs_are_held_for_waiting_pieces() {
     let mut planner = planner();
     push(&mut planner, at(0), reader("long", 20));
-    planner.next_call(at(0)).expect("a call of fourteen");
-    assert_eq!(planner.take_read_inputs(at(200)), [], "six still wait");
+    planner.next_call(at(0)).expect("a call of fourteen pieces");
+    assert_eq!(
+        planner.take_read_inputs(at(200)),
+        [],
+        "six pieces still wait"
+    );
 }
 
 #[test]
-fn inputs_are_kept_for_other_readers() {
+fn inputs_are_held_for_other_readers() {
     let mut planner = planner();
     let shared = NewJob {
         is_last_reader: false,
@@ -71,11 +75,11 @@
     push(&mut planner, at(0), shared);
     let call = planner.next_call(at(0)).expect("a call");
     assert_eq!(planner.take_read_inputs(at(200)), []);
-    let settled = planner.end_call(at(230), call.key, made(&call));
+    let effects = planner.end_call(at(230), call.key, success(&call));
     assert_eq!(
-        settled.released_inputs,
+        effects.released_inputs,
         [],
-        "the request itself gives them up"
+        "the request itself releases them"
     );
 }
 
@@ -83,23 +87,23 @@
     crate::common::planner(&["a"])
 }
 
-/// Symptom: a request hangs on a stage that can never be made. Sequence: a piece fails after the inputs were given up.
-/// Cause: the piece waits for another call, whose upstream finds the inputs gone.
+/// Guards against a request that hangs on a stage that can never be made: a piece fails after its inputs were released,
+/// waits for another call, and that call's upstream does not find the inputs.
 #[test]
-fn a_piece_that_fails_after_that_sends_the_request_back_to_the_stages_before() {
+fn a_piece_that_fails_after_input_release_refuses_the_job() {
     let mut planner = planner();
     push(&mut planner, at(0), reader("x", 2));
     let call = planner.next_call(at(0)).expect("a call");
     assert_eq!(planner.take_read_inputs(at(150)).len(), 4);
     let end = CallEnd::Answered(vec![Ok(handle("1")), Err(PieceFailure::Failed)]);
-    let settled = planner.end_call(at(230), call.key, end);
-    assert_eq!(settled.finished[0].result, Err(PiecesRefusal::InputGone));
-    assert_eq!(settled.discarded_results, [handle("1")]);
+    let effects = planner.end_call(at(230), call.key, end);
+    assert_eq!(effects.finished[0].result, Err(PiecesRefusal::InputGone));
+    assert_eq!(effects.discarded_results, [handle("1")]);
 }
 
 #[test]
-fn a_piece_that_fails_before_that_is_made_again() {
-    let mut planner = BatchPlanner::new(spec(), repeats(20.0));
+fn a_piece_that_fails_before_input_release_is_retried() {
+    let mut planner = BatchPlanner::new(spec(), repeat_budget(20.0));
     planner.set_upstreams(&upstreams(&["a", "a"]));
     push(&mut planner, at(0), reader("x", 2));
     let call = planner.next_call(at(0)).expect("a call");
@@ -107,16 +111,17 @@
     assert_eq!(
         planner.take_read_inputs(at(11)),
         [],
-        "they are read once more"
+        "the inputs are read again"
     );
     let again = planner.next_call(at(12)).expect("a call");
     assert_eq!(planner.take_read_inputs(at(20)), []);
     assert_eq!(planner.take_read_inputs(at(120)), inputs());
-    planner.end_call(at(250), again.key, made(&again));
+    planner.end_call(at(250), again.key, success(&again));
 }
 
-/// Plays one job of one piece that ends after 900 ms; for how long its inputs were kept.
-fn kept_for(
+/// Runs one job of one piece in a call of 240 ms; returns after how many milliseconds its inputs were released, if
+/// before the end of the call.
+fn hold_time_ms(
     planner: &mut BatchPlanner,
     round: u64,
     end: &dyn Fn(&BatchCall) -> CallEnd,
@@ -129,46 +134,51 @@
     };
     push(planner, now, new);
     let call = planner.next_call(now).expect("a call");
-    let given_up = (0..240).find(|ms| {
+    let released_after = (0..240).find(|ms| {
         let now = now.after(Duration::from_millis(*ms));
         !planner.take_read_inputs(now).is_empty()
     });
     planner.end_call(now.after(Duration::from_millis(240)), call.key, end(&call));
-    given_up
+    released_after
 }
 
-fn gone(_: &BatchCall) -> CallEnd {
+fn input_gone(_: &BatchCall) -> CallEnd {
     CallEnd::Answered(vec![Err(PieceFailure::InputGone)])
 }
 
-/// Symptom: stages are made again and again. Sequence: upstreams fetch later than expected, as another home's calls are
-/// before ours; the inputs are gone by then. Cause: the time until they are given up does not follow what is seen.
+/// Guards against stages that are repeatedly made again. Upstreams fetch inputs later than expected because calls from
+/// another home go first, and the inputs are gone by then. The hold time must adapt to this.
 #[test]
-fn inputs_that_were_gone_too_early_are_kept_longer_from_then_on() {
+fn hold_time_grows_after_missing_inputs() {
     let mut planner = planner();
-    let kept: Vec<u64> = (0..3)
-        .map(|round| kept_for(&mut planner, round, &gone).expect("given up"))
+    let hold_time: Vec<u64> = (0..3)
+        .map(|round| {
+            hold_time_ms(&mut planner, round, &input_gone).expect("released during the call")
+        })
         .collect();
-    assert!(kept.is_sorted_by(|a, b| a * 3 / 2 < *b), "{kept:?}");
+    assert!(
+        hold_time.is_sorted_by(|a, b| a * 3 / 2 < *b),
+        "{hold_time:?}"
+    );
 }
 
-/// Symptom: twenty seconds after all instances were restarted, half of the answers are still late, and the calls of a stage
-/// stay half empty. Sequence: in the first seconds upstreams work on calls of the lives before and find many inputs gone.
-/// Cause: the time for which inputs are kept grew with each of them and never came down again.
+/// Guards against late answers and half-empty calls twenty seconds after a restart of all instances. In the first
+/// seconds, upstreams run calls of the previous processes and many inputs are gone. The hold time grew with each of
+/// them and did not shrink again.
 #[test]
-fn after_a_bad_second_inputs_are_given_up_early_again() {
+fn hold_time_shrinks_after_a_brief_overload() {
     let mut planner = planner();
     for round in 0..40 {
-        kept_for(&mut planner, round, &gone);
+        hold_time_ms(&mut planner, round, &input_gone);
     }
     assert_eq!(
-        kept_for(&mut planner, 40, &made),
+        hold_time_ms(&mut planner, 40, &success),
         None,
-        "kept to the end of the call"
+        "held until the end of the call"
     );
     for round in 41..400 {
-        kept_for(&mut planner, round, &made);
+        hold_time_ms(&mut planner, round, &success);
     }
-    let kept = kept_for(&mut planner, 400, &made).expect("given up early");
-    assert!(kept < 60, "{kept} ms");
+    let hold_time = hold_time_ms(&mut planner, 400, &success).expect("released during the call");
+    assert!(hold_time < 60, "{hold_time} ms");
 }
--- a/crates/tc-policy/tests/batch/limits.rs
+++ b/crates/tc-policy/tests/batch/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that upstreams of batch services announce.
+//! Rate limits and backoffs announced by upstreams of batch services.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
     routing::{PiecesRefusal, RateLimit},
 };
 
-use crate::common::{at, job, made, planner, push};
+use crate::common::{at, job, planner, push, success};
 
 const STEP_MS: u64 = 20;
 
-/// Plays jobs that never end; returns when which upstream was called.
-fn play(planner: &mut BatchPlanner, ms: u64) -> Vec<(MonoTime, UpstreamId)> {
-    let mut called = Vec::new();
+/// Keeps the planner supplied with jobs for `ms`; returns the time and upstream of each call.
+fn run(planner: &mut BatchPlanner, ms: u64) -> Vec<(MonoTime, UpstreamId)> {
+    let mut calls_made = Vec::new();
     let mut running = Vec::new();
     for step in 0..ms / STEP_MS {
         let now = at(step * STEP_MS);
         running.retain(|(ends, call): &(MonoTime, tc_policy::BatchCall)| {
             if *ends <= now {
-                planner.end_call(now, call.key, made(call));
+                planner.end_call(now, call.key, success(call));
             }
             *ends > now
         });
@@ -29,75 +29,88 @@
             let mut new = job(&format!("r{step}"), 6);
             new.in_time_until = now.after(Duration::from_secs(3));
             new.deadline = now.after(Duration::from_secs(4));
-            // Refused when there is too much to do.
+            // Jobs beyond capacity are refused.
             let _ = planner.push(now, new);
         }
         while let Some(call) = planner.next_call(now) {
-            called.push((now, call.upstream.clone()));
+            calls_made.push((now, call.upstream.clone()));
             running.push((now.after(Duration::from_millis(300)), call));
         }
     }
-    called
+    calls_made
 }
 
-fn limit_first(planner: &mut BatchPlanner, per_s: f64) {
+fn set_first_limit(planner: &mut BatchPlanner, per_s: f64) {
     let limit = RateLimit::new(per_s);
     planner.set_limits(at(0), |id| limit.filter(|_| id.as_str() == "u0"));
 }
 
-/// Guards against a home that looks at free upstreams alone.
+/// Guards against scheduling that considers only whether an upstream is free.
 #[test]
-fn limited_maker_gets_calls_at_its_rate() {
+fn rate_limited_upstream_gets_calls_at_its_rate() {
     let mut planner = planner(&["a", "a"]);
-    limit_first(&mut planner, 1.0);
-    let called = play(&mut planner, 20_000);
-    let of = |name: &str| called.iter().filter(|(_, id)| id.as_str() == name).count();
-    assert!((18..=21).contains(&of("u0")), "{} calls in 20 s", of("u0"));
-    assert!(of("u1") > 50, "the other maker works on: {}", of("u1"));
+    set_first_limit(&mut planner, 1.0);
+    let calls_made = run(&mut planner, 20_000);
+    let calls_to = |name: &str| {
+        calls_made
+            .iter()
+            .filter(|(_, id)| id.as_str() == name)
+            .count()
+    };
+    assert!(
+        (18..=21).contains(&calls_to("u0")),
+        "{} calls in 20 s",
+        calls_to("u0")
+    );
+    assert!(
+        calls_to("u1") > 50,
+        "the other upstream keeps working: {}",
+        calls_to("u1")
+    );
 }
 
-/// Guards against jobs that wait in vain for a maker that takes a call in two seconds.
+/// Guards against queueing jobs in vain for an upstream that is limited to one call in two seconds.
 #[test]
 fn jobs_beyond_the_limit_are_refused_at_once() {
-    let takes_two = |per_s: Option<f64>| {
+    let accepts_two_jobs = |per_s: Option<f64>| {
         let mut planner = planner(&["a"]);
         if let Some(per_s) = per_s {
-            limit_first(&mut planner, per_s);
+            set_first_limit(&mut planner, per_s);
         }
         push(&mut planner, at(0), job("r1", 14));
         planner.push(at(0), job("r2", 14)).is_ok()
     };
-    assert!(takes_two(None));
-    assert!(!takes_two(Some(0.5)));
+    assert!(accepts_two_jobs(None));
+    assert!(!accepts_two_jobs(Some(0.5)));
 }
 
-/// Guards against a home that sleeps on when the limit allows the next call.
+/// Guards against a home that stays asleep when the limit allows the next call.
 #[test]
 fn planner_wakes_when_the_limit_allows_a_call() {
     let mut planner = planner(&["a"]);
-    limit_first(&mut planner, 2.0);
+    set_first_limit(&mut planner, 2.0);
     push(&mut planner, at(0), job("r", 1));
     assert!(planner.next_call(at(0)).is_none());
-    let wake = planner.next_wake(at(0)).expect("something waits");
+    let wake = planner.next_wake(at(0)).expect("a wake-up time");
     assert!(wake <= at(500));
     assert!(planner.next_call(at(500)).is_some());
 }
 
-/// Guards against calls to a maker during the backoff that it requested.
+/// Guards against calls to an upstream during a backoff that it requested.
 #[test]
-fn maker_gets_no_call_during_backoff() {
+fn upstream_gets_no_call_during_backoff() {
     let mut planner = planner(&["a"]);
     push(&mut planner, at(0), job("r", 1));
-    let call = planner.next_call(at(0)).expect("the maker is free");
+    let call = planner.next_call(at(0)).expect("the upstream is free");
     let backoff = CallEnd::RefusedWithBackoff(Duration::from_secs(2));
     planner.end_call(at(10), call.key, backoff);
     assert!(planner.next_call(at(1_900)).is_none());
-    let wake = planner.next_wake(at(1_900)).expect("something waits");
+    let wake = planner.next_wake(at(1_900)).expect("a wake-up time");
     assert!(wake <= at(2_010));
     assert!(planner.next_call(at(2_010)).is_some());
 }
 
-/// Guards against queueing jobs that cannot run before their deadline because all makers are in backoff.
+/// Guards against queueing jobs that cannot run before their deadline because all upstreams are in backoff.
 #[test]
 fn jobs_are_refused_when_all_backoffs_exceed_their_deadline() {
     let mut planner = planner(&["a", "a"]);
--- a/crates/tc-policy/tests/batch/main.rs
+++ b/crates/tc-policy/tests/batch/main.rs
@@ -1,9 +1,9 @@
-//! Batch planning at the home of a service.
+//! Tests of batch planning at the home of a service.
 
 mod common;
-mod ends;
+mod completion;
 mod fuzz;
-mod handing;
+mod handover;
 mod inputs;
 mod limits;
 mod order;
--- a/crates/tc-policy/tests/batch/order.rs
+++ b/crates/tc-policy/tests/batch/order.rs
@@ -1,11 +1,11 @@
-//! What goes into which call, who waits, who is refused.
+//! Order of jobs, composition of calls, and refusals.
 
 use std::time::Duration;
 
 use tc_policy::{BatchCall, JobKey, NewJob};
 use tc_protocol::routing::PiecesRefusal;
 
-use crate::common::{at, handle, job, made, names, planner, push, upstreams};
+use crate::common::{at, handle, job, piece_names, planner, push, success, upstreams};
 
 #[test]
 fn pieces_of_many_requests_share_a_call() {
@@ -16,16 +16,16 @@
     assert_eq!(
         planner.next_call(at(0)),
         None,
-        "its upstream takes one call at a time"
+        "its upstream runs one call at a time"
     );
-    let settled = planner.end_call(at(280), call.key, made(&call));
-    let done: Vec<JobKey> = settled.finished.iter().map(|f| f.job).collect();
+    let effects = planner.end_call(at(280), call.key, success(&call));
+    let done: Vec<JobKey> = effects.finished.iter().map(|f| f.job).collect();
     assert_eq!(done, keys);
-    let first = settled.finished[0].result.as_ref().expect("made");
+    let first = effects.finished[0].result.as_ref().expect("results");
     assert_eq!(
         first[1],
         handle("u0-x-1"),
-        "results come in the order of the pieces"
+        "results are in the order of the pieces"
     );
 }
 
@@ -40,8 +40,8 @@
     assert_eq!((first.pieces.len(), second.pieces.len()), (14, 6));
 }
 
-/// Symptom: in a burst every fourth request waits for a second call of a stage, a third of a second more. Sequence: jobs of
-/// five and six pieces share calls of fourteen places. Cause: calls are filled to the last place, whatever is split by it.
+/// Guards against splitting jobs to fill calls. With jobs of five and six pieces in calls of fourteen, every fourth
+/// request of a burst waited for a second call of a stage, a third of a second longer.
 #[test]
 fn jobs_are_not_split_between_calls_to_fill_them() {
     let mut planner = planner(&["a", "a"]);
@@ -51,15 +51,18 @@
     let first = planner.next_call(at(0)).expect("a call");
     let second = planner.next_call(at(0)).expect("a call");
     assert_eq!(first.pieces.len(), 14, "`small` fits where `z` does not");
-    assert!(names(&first).iter().all(|name| !name.starts_with('z')));
+    assert!(
+        piece_names(&first)
+            .iter()
+            .all(|name| !name.starts_with('z'))
+    );
     assert_eq!(second.pieces.len(), 6);
 }
 
-/// Symptom: the stage before a stage makes half of what it could, and its upstreams refuse pieces for want of room.
-/// Sequence: results of 1.5 MB are made faster than they are read. Cause: calls planned without the room that results
-/// take until they are given up.
+/// Guards against calls planned without regard to result memory. When results of 1.5 MB are made faster than they are
+/// read, upstreams refuse pieces for lack of memory, and the stage does half of the work that it could.
 #[test]
-fn pieces_wait_for_room_until_results_are_given_up() {
+fn pieces_wait_for_result_memory() {
     let mut planner = planner(&["a"]);
     let large = |name: &str| NewJob {
         result_bytes: 1_500_000,
@@ -70,22 +73,28 @@
     push(&mut planner, at(0), large("z"));
     let first = planner.next_call(at(0)).expect("a call");
     assert_eq!(first.pieces.len(), 14, "two whole jobs");
-    planner.end_call(at(300), first.key, made(&first));
+    planner.end_call(at(300), first.key, success(&first));
     let second = planner
         .next_call(at(300))
-        .expect("room for six more results of 1.5 MB");
-    assert_eq!(second.pieces.len(), 6, "30.4 of 32 MB are planned with");
-    planner.end_call(at(600), second.key, made(&second));
-    assert_eq!(planner.next_call(at(600)), None, "there is no room left");
+        .expect("memory for six more results of 1.5 MB");
+    assert_eq!(second.pieces.len(), 6, "30.4 of 32 MB are usable");
+    planner.end_call(at(600), second.key, success(&second));
+    assert_eq!(planner.next_call(at(600)), None, "no result memory is left");
     for piece in 0..7 {
         planner.result_freed(&handle(&format!("u0-x-{piece}")));
     }
-    let third = planner.next_call(at(610)).expect("room again");
-    assert_eq!(names(&third), ["z/6"], "the piece that found no room");
+    let third = planner
+        .next_call(at(610))
+        .expect("result memory is available again");
+    assert_eq!(
+        piece_names(&third),
+        ["z/6"],
+        "the piece that did not fit before"
+    );
 }
 
 #[test]
-fn results_that_lapsed_take_no_room() {
+fn expired_results_free_their_memory() {
     let mut planner = planner(&["a"]);
     for name in ["x", "y"] {
         let large = NewJob {
@@ -96,18 +105,18 @@
         push(&mut planner, at(0), large);
     }
     let first = planner.next_call(at(0)).expect("a call");
-    planner.end_call(at(300), first.key, made(&first));
+    planner.end_call(at(300), first.key, success(&first));
     let second = planner.next_call(at(300)).expect("a call");
-    planner.end_call(at(600), second.key, made(&second));
+    planner.end_call(at(600), second.key, success(&second));
     assert_eq!(planner.next_call(at(600)), None);
     let later = planner
         .next_call(at(4_700))
-        .expect("the first results lapsed after four seconds");
+        .expect("the first results expired after four seconds");
     assert!(!later.pieces.is_empty());
 }
 
-/// Symptom: many requests hold some results each, and none gets all of its own. Sequence: large stages of a burst are
-/// made piece by piece in order of their aims. Cause: a started job has no precedence over the next one.
+/// Guards against many requests that each hold some results while none is complete: in a burst, large stages are made
+/// piece by piece in due order unless started jobs take precedence.
 #[test]
 fn started_jobs_are_finished_first() {
     let mut planner = planner(&["a"]);
@@ -129,10 +138,10 @@
             ..job("urgent", 14)
         },
     );
-    planner.end_call(at(300), first.key, made(&first));
+    planner.end_call(at(300), first.key, success(&first));
     let second = planner.next_call(at(300)).expect("a call");
     assert!(
-        names(&second)[..6]
+        piece_names(&second)[..6]
             .iter()
             .all(|name| name.starts_with("started/"))
     );
@@ -158,17 +167,20 @@
         },
     );
     let call = planner.next_call(at(0)).expect("a call");
-    assert!(names(&call).iter().all(|name| name.starts_with("first/")));
+    assert!(
+        piece_names(&call)
+            .iter()
+            .all(|name| name.starts_with("first/"))
+    );
 }
 
-/// Symptom: in a burst of 1.6 times what the upstreams can make, nearly all answers come just after their aim.
-/// Sequence: jobs are made in order of their aims; each is made at the last moment. Cause: jobs that are bound to be
-/// late share the queue with those that could be in time.
+/// Guards against answers just after their target time in a burst of 1.6 times the capacity. If jobs that will be late
+/// share the queue with jobs that can be on time, all are made at the last moment.
 ///
-/// The pattern is a burst of six seconds on five upstreams. The bound is what full calls allow of it (calls of 368 ms
-/// for 14 pieces on 5 upstreams make 190 pieces a second, 95 jobs of two) less a fifth for calls that are not full.
+/// The burst lasts six seconds on five upstreams. Calls of 368 ms for 14 pieces on 5 upstreams make 190 pieces a
+/// second, which is 95 jobs of two pieces; the bound allows a fifth less for calls that are not full.
 #[test]
-fn a_burst_beyond_capacity_keeps_most_of_the_capacity_in_time() {
+fn overload_keeps_most_of_the_capacity_on_time() {
     let (in_time, offered) = burst(150, 6_000);
     let capacity = 95 * 6;
     assert!(offered > capacity, "{offered} jobs");
@@ -178,7 +190,7 @@
     );
 }
 
-/// Runs a burst of jobs of two pieces; how many were in time, and how many came.
+/// Runs a burst of jobs of two pieces; returns how many were on time and how many were offered.
 fn burst(jobs_per_s: u64, length_ms: u64) -> (u64, u64) {
     let mut planner = planner(&["a", "a", "b", "c", "d"]);
     let mut running: Vec<(u64, BatchCall)> = Vec::new();
@@ -188,8 +200,8 @@
         let ended = running.iter().position(|(ends, _)| *ends == now);
         if let Some(i) = ended {
             let (_, call) = running.swap_remove(i);
-            let settled = planner.end_call(at(now), call.key, made(&call));
-            for finished in settled.finished {
+            let effects = planner.end_call(at(now), call.key, success(&call));
+            for finished in effects.finished {
                 let Ok(results) = finished.result else {
                     continue;
                 };
@@ -222,10 +234,10 @@
     (in_time, offered)
 }
 
-/// Symptom: requests are held for seconds and then refused. Sequence: more comes than can be made. Cause: a job that
-/// cannot be done before its caller leaves is taken into the queue.
+/// Guards against requests that are held for seconds and then refused: under overload, a job that cannot be done before
+/// its caller leaves must not be queued.
 #[test]
-fn a_job_without_a_chance_is_refused_at_once() {
+fn a_job_that_cannot_finish_is_refused_at_once() {
     let mut planner = planner(&["a"]);
     let mut refusal = None;
     for i in 0..40 {
@@ -240,7 +252,7 @@
     let Some(PiecesRefusal::Overloaded { retry_after }) = refusal else {
         panic!("nothing was refused: {refusal:?}");
     };
-    // It tells when the queue is worked off, whatever the refused job itself would have had to wait.
+    // The retry time is when the queue is done, regardless of the expected wait of the refused job.
     assert_eq!(retry_after, planner.expected_wait());
     assert!(retry_after > Duration::from_millis(300), "{retry_after:?}");
 }
@@ -257,8 +269,8 @@
     );
 }
 
-/// Symptom: answers are late though most upstreams are fast. Sequence: one of the upstreams turns five times slower;
-/// it is idle when a job comes. Cause: a free upstream gets work whatever its speed.
+/// Guards against late answers although most upstreams are fast: an upstream that became five times slower is idle when
+/// a job arrives, and must not get it only because it is free.
 #[test]
 fn a_slow_upstream_is_left_idle_while_faster_ones_are_done_sooner() {
     let mut planner = planner(&["a", "a"]);
@@ -293,7 +305,7 @@
             } else {
                 368
             };
-            planner.end_call(at(now + takes), call.key, made(&call));
+            planner.end_call(at(now + takes), call.key, success(&call));
         }
         now += 2_000;
     }
@@ -320,45 +332,49 @@
     assert_eq!(
         planner.next_call(at(now)),
         None,
-        "the slow one would be later than a second call of the fast one"
+        "a second call on the fast upstream would end before one on the slow upstream"
     );
 }
 
-/// Symptom: bytes between failure domains cost as much as late answers. Sequence: a stage's ten pieces each read all
-/// results of the stage before. Cause: any free upstream gets them, wherever the results lie.
+/// Guards against avoidable transfers between failure domains, which cost as much as late answers. The ten pieces of a
+/// stage each read all results of the stage before, so a job with slack must not go to just any free upstream.
 #[test]
-fn a_job_with_time_to_spare_waits_for_the_domain_of_its_inputs() {
+fn a_job_with_slack_waits_for_its_preferred_domain() {
     let mut planner = planner(&["far"]);
     let mut near = upstreams(&["far", "near"]);
     planner.set_upstreams(&near);
     let busy = push(&mut planner, at(0), job("busy", 28));
     let calls = [planner.next_call(at(0)), planner.next_call(at(0))].map(|c| c.expect("a call"));
-    let with_time = NewJob {
+    let with_slack = NewJob {
         preferred_domain: Some("near".into()),
         in_time_until: at(1_500),
         ..job("x", 2)
     };
-    push(&mut planner, at(10), with_time);
+    push(&mut planner, at(10), with_slack);
     let (far, near_call) = if calls[0].upstream.as_str() == "u0" {
         (&calls[0], &calls[1])
     } else {
         (&calls[1], &calls[0])
     };
-    planner.end_call(at(60), far.key, made(far));
-    assert_eq!(planner.next_call(at(60)), None, "it waits for the near one");
-    planner.end_call(at(90), near_call.key, made(near_call));
+    planner.end_call(at(60), far.key, success(far));
+    assert_eq!(
+        planner.next_call(at(60)),
+        None,
+        "the job waits for the near upstream"
+    );
+    planner.end_call(at(90), near_call.key, success(near_call));
     assert_eq!(
         planner.next_call(at(90)).expect("a call").upstream.as_str(),
         "u1"
     );
     planner.cancel(busy);
     near.pop();
-    let without_time = NewJob {
+    let without_slack = NewJob {
         preferred_domain: Some("near".into()),
         in_time_until: at(500),
         ..job("y", 2)
     };
-    push(&mut planner, at(95), without_time);
+    push(&mut planner, at(95), without_slack);
     assert_eq!(
         planner.next_call(at(95)).expect("a call").upstream.as_str(),
         "u0"
--- a/crates/tc-policy/tests/chain/homes.rs
+++ b/crates/tc-policy/tests/chain/homes.rs
@@ -1,4 +1,4 @@
-//! The homes of the services and their upstreams.
+//! Simulation of the services' homes and upstreams.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 
 use crate::{
     load::{SERVICES, piece_time, spec},
-    world::{CALL_OVERHEAD, Event, MEAN_SPEED, WAY, World},
+    simulation::{CALL_OVERHEAD, Event, MEAN_SLOWDOWN, NETWORK_LATENCY, Simulation},
 };
 
-/// Failure domains that upstreams are spread over.
+/// Number of failure domains over which upstreams are distributed.
 pub(crate) const DOMAINS: usize = 4;
-/// How much the slowest upstream differs from the fastest.
-const SPREAD: f64 = 0.3;
+/// Difference between the slowdowns of the slowest and the fastest upstream.
+const SLOWDOWN_SPREAD: f64 = 0.3;
 
-impl World {
-    pub(crate) fn homes_tell(&mut self, now: MonoTime) {
+impl Simulation {
+    pub(crate) fn exchange_outlooks(&mut self, now: MonoTime) {
         for (home, service) in self.homes.iter().zip(SERVICES) {
             let outlook = home.outlook(now);
-            for judge in &mut self.judges {
-                judge.record(now, &service.into(), outlook.clone());
+            for admission in &mut self.admissions {
+                admission.record(now, &service.into(), outlook.clone());
             }
         }
     }
 
-    pub(crate) fn tell(
+    pub(crate) fn reply(
         &mut self,
         now: MonoTime,
         service: usize,
@@ -36,9 +36,9 @@
         results: Result<Vec<ResultHandle>, Duration>,
     ) {
         let outlook = self.homes[service].outlook(now);
-        self.at(
-            now.after(WAY),
-            Event::StageMade {
+        self.schedule(
+            now.after(NETWORK_LATENCY),
+            Event::StageEnded {
                 request,
                 stage,
                 results,
@@ -47,7 +47,7 @@
         );
     }
 
-    pub(crate) fn drive(&mut self, now: MonoTime, service: usize) {
+    pub(crate) fn start_calls(&mut self, now: MonoTime, service: usize) {
         while let Some(call) = self.homes[service].next_call(now) {
             let pieces: Duration = call
                 .pieces
@@ -58,14 +58,14 @@
                     piece_time(service, kind.stages[piece.stage as usize].result_bytes)
                 })
                 .sum();
-            let noise = 0.95 + 0.1 * self.chance.part();
-            let speed = speed_of(call.upstream.as_str());
-            let took = (spec(service).call_time + pieces).mul_f64(noise * speed) + CALL_OVERHEAD;
-            self.at(now.after(took), Event::CallEnds { service, call });
+            let noise = 0.95 + 0.1 * self.random.unit();
+            let slowdown = slowdown_of(call.upstream.as_str());
+            let took = (spec(service).call_time + pieces).mul_f64(noise * slowdown) + CALL_OVERHEAD;
+            self.schedule(now.after(took), Event::CallEnded { service, call });
         }
     }
 
-    pub(crate) fn call_ends(&mut self, now: MonoTime, service: usize, call: &BatchCall) {
+    pub(crate) fn handle_call_end(&mut self, now: MonoTime, service: usize, call: &BatchCall) {
         let results = call.pieces.iter().map(|piece| {
             self.results += 1;
             let name = format!(
@@ -77,38 +77,46 @@
             Ok(ResultHandle(name.into()))
         });
         let end = CallEnd::Answered(results.collect());
-        let settled = self.homes[service].end_call(now, call.key, end);
-        self.settle(now, service, settled);
-        self.drive(now, service);
+        let effects = self.homes[service].end_call(now, call.key, end);
+        self.apply_effects(now, service, effects);
+        self.start_calls(now, service);
     }
 
-    pub(crate) fn look(&mut self, now: MonoTime) {
+    pub(crate) fn check_queues(&mut self, now: MonoTime) {
         for service in 0..SERVICES.len() {
-            let settled = self.homes[service].expire(now);
-            self.settle(now, service, settled);
+            let effects = self.homes[service].expire(now);
+            self.apply_effects(now, service, effects);
             let read = self.homes[service].take_read_inputs(now);
-            self.give_up(now, service, read);
-            self.drive(now, service);
+            self.release_inputs(now, service, read);
+            self.start_calls(now, service);
         }
     }
 
-    /// Inputs that a home has read were made by the service before it.
-    pub(crate) fn give_up(&mut self, now: MonoTime, service: usize, results: Vec<ResultHandle>) {
+    /// Schedules the release of inputs at the preceding service, which made them.
+    pub(crate) fn release_inputs(
+        &mut self,
+        now: MonoTime,
+        service: usize,
+        results: Vec<ResultHandle>,
+    ) {
         if let Some(before) = service.checked_sub(1)
             && !results.is_empty()
         {
-            self.at(now.after(WAY), Event::Freed(before, results));
+            self.schedule(
+                now.after(NETWORK_LATENCY),
+                Event::FreeResults(before, results),
+            );
         }
     }
 
-    pub(crate) fn settle(&mut self, now: MonoTime, service: usize, settled: PlannerEffects) {
-        for result in &settled.discarded_results {
+    pub(crate) fn apply_effects(&mut self, now: MonoTime, service: usize, effects: PlannerEffects) {
+        for result in &effects.discarded_results {
             self.homes[service].result_freed(result);
         }
-        self.give_up(now, service, settled.released_inputs);
-        for finished in settled.finished {
-            if let Some(of) = self.jobs[service].remove(finished.job) {
-                self.tell(now, service, of, finished.result.map_err(come_back));
+        self.release_inputs(now, service, effects.released_inputs);
+        for finished in effects.finished {
+            if let Some(stage) = self.jobs[service].remove(finished.job) {
+                self.reply(now, service, stage, finished.result.map_err(retry_delay));
             }
         }
     }
@@ -118,16 +126,16 @@
     format!("d{}", number % DOMAINS).as_str().into()
 }
 
-/// Times that an upstream takes of the usual ones: they differ, evenly spread around the mean.
-fn speed_of(upstream: &str) -> f64 {
+/// Slowdown of an upstream; slowdowns are evenly distributed around the mean.
+fn slowdown_of(upstream: &str) -> f64 {
     const STEPS: usize = 7;
     let number: usize = upstream.bytes().map(usize::from).sum();
     let step = (number % STEPS) as f64 / (STEPS - 1) as f64;
-    MEAN_SPEED + SPREAD * (step - 0.5)
+    MEAN_SLOWDOWN + SLOWDOWN_SPREAD * (step - 0.5)
 }
 
-/// Time after which a caller is told to come back.
-pub(crate) fn come_back(refusal: PiecesRefusal) -> Duration {
+/// Time after which a caller is told to retry.
+pub(crate) fn retry_delay(refusal: PiecesRefusal) -> Duration {
     match refusal {
         PiecesRefusal::Overloaded { retry_after } => retry_after,
         _ => Duration::from_millis(250),
--- a/crates/tc-policy/tests/chain/main.rs
+++ b/crates/tc-policy/tests/chain/main.rs
@@ -1,89 +1,98 @@
-//! Bursts on chains of stages, in simulated time: how much of what could be in time is.
+//! Simulates bursts on chains of stages and measures how much of the feasible work is on time.
 //!
-//! The pattern: half of all requests pass three services after each other, whose calls take a third of a second when they are
-//! full, and have a third of their aim to spare. For five seconds that kind comes several times as often, more than the narrowest
-//! service can make.
+//! Half of all requests pass through three services in sequence, whose full calls take a third of a second, and have
+//! slack of a third of their target latency. For five seconds, requests of that kind arrive several times as often,
+//! exceeding the capacity of the bottleneck service.
 
 mod homes;
 mod load;
 mod requests;
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
-use load::{MAKERS, kinds, spec};
-use world::{Tally, World};
+use load::{UPSTREAMS, kinds, spec};
+use simulation::{Simulation, Tally};
 
 const BURST: (Duration, Duration) = (Duration::from_secs(4), Duration::from_millis(9_200));
 const SEEDS: [u64; 2] = [1, 2];
-/// Part of what no policy can beat that is asked for.
-const ASKED_FOR: f64 = 0.9;
+/// Required fraction of the theoretical upper bound.
+const REQUIRED_FRACTION: f64 = 0.9;
 
-/// Plays a burst; what became of each kind's requests that came in it, over all seeds.
-fn burst(times: f64) -> Vec<Tally> {
+/// Simulates a burst; returns the tallies of the requests that arrived during it, by kind, summed over all seeds.
+fn burst(load_factor: f64) -> Vec<Tally> {
     let mut sums = vec![Tally::default(); kinds().len()];
     for seed in SEEDS {
-        let mut world = World::new(seed);
-        world.play(Duration::from_secs(11), BURST, times);
-        for (sum, tally) in sums.iter_mut().zip(&world.tallies) {
+        let mut simulation = Simulation::new(seed);
+        simulation.run(Duration::from_secs(11), BURST, load_factor);
+        for (sum, tally) in sums.iter_mut().zip(&simulation.tallies) {
             sum.add(tally);
         }
     }
     sums
 }
 
-/// Requests of the first kind that the narrowest service can make, in full calls and for nobody else, in the burst and in what
-/// their aim leaves after it beside the calls of a chain, the ways between and the request itself.
+/// Upper bound of on-time requests of the first kind: what the bottleneck service can make in full calls, for no other
+/// kind, during the burst and in the slack that the target latency leaves after the calls of a chain, the network
+/// latency and the request itself.
 fn fluid_bound() -> f64 {
-    let narrow = 1;
-    let narrowest = spec(narrow);
+    let bottleneck = 1;
+    let bottleneck_spec = spec(bottleneck);
     let kind = &kinds()[0];
-    let call = world::call_time(narrow, narrowest.max_pieces);
-    let per_s = (MAKERS[narrow] * narrowest.max_pieces) as f64 / call.as_secs_f64();
-    let chain: Duration = (0..MAKERS.len())
-        .map(|service| world::call_time(service, spec(service).max_pieces) + 2 * world::WAY)
+    let call = simulation::call_time(bottleneck, bottleneck_spec.max_pieces);
+    let per_s = (UPSTREAMS[bottleneck] * bottleneck_spec.max_pieces) as f64 / call.as_secs_f64();
+    let chain: Duration = (0..UPSTREAMS.len())
+        .map(|service| {
+            simulation::call_time(service, spec(service).max_pieces)
+                + 2 * simulation::NETWORK_LATENCY
+        })
         .sum();
-    let spare = kind.aim.saturating_sub(chain + world::PROMPT);
-    let length = (BURST.1.saturating_sub(BURST.0) + spare).as_secs_f64();
-    SEEDS.len() as f64 * per_s * length / kind.pieces[narrow].0
+    let slack = kind
+        .target_latency
+        .saturating_sub(chain + simulation::REQUEST_TIME);
+    let length = (BURST.1.saturating_sub(BURST.0) + slack).as_secs_f64();
+    SEEDS.len() as f64 * per_s * length / kind.pieces[bottleneck].0
 }
 
-/// Symptom: in a burst of 1.3 times what the services can make, half of what they could do in time is. Sequence: each of 78
-/// instances sees a few requests a second and judges by what the homes told it with its last answers; all let requests pass
-/// for as long as that was good, then refuse while the homes have places. Cause: whether a chain is worth beginning is judged
-/// where its queues are not known.
+/// Guards against bursts of 1.3 times the capacity in which half of the feasible work is on time. Each of 78 instances
+/// sees a few requests a second and decided from the outlooks sent with its last answers: all admitted requests until
+/// those expired, then refused requests while the homes had capacity. Chains must be admitted where their queues are
+/// known.
 #[test]
 fn work_in_time_does_not_fall_as_a_burst_grows() {
-    for times in [1.3, 2.0, 2.6, 3.0] {
-        let tally = burst(times)[0];
-        let possible = f64::from(tally.asked).min(fluid_bound());
-        let part = f64::from(tally.in_aim) / possible;
-        assert!(part >= ASKED_FOR, "{times} times: {part:.3}, {tally:?}");
+    for load_factor in [1.3, 2.0, 2.6, 3.0] {
+        let tally = burst(load_factor)[0];
+        let possible = f64::from(tally.offered).min(fluid_bound());
+        let fraction = f64::from(tally.in_time) / possible;
+        assert!(
+            fraction >= REQUIRED_FRACTION,
+            "load factor {load_factor}: {fraction:.3}, {tally:?}"
+        );
     }
 }
 
-/// Symptom: results of stages that nobody reads, just when there is too much to do. Sequence: requests pass the first stage and
-/// are refused at the second. Cause: each stage is judged by itself.
+/// Guards against wasted work under overload: requests pass the first stage and are refused at the second, so that
+/// nobody reads their results. This happens when each stage is admitted separately.
 #[test]
-fn what_is_refused_is_refused_before_anything_is_made_for_it() {
+fn refusals_precede_any_work() {
     let tally = burst(3.0)[0];
     assert!(tally.refused > 0);
     let wasted = f64::from(tally.wasted) / f64::from(tally.refused);
     assert!(wasted < 0.05, "{tally:?}");
 }
 
-/// Symptom: a burst of one kind is another kind's delay. Sequence: as above; the second kind shares only the first service, which
-/// has places. Cause: it waits behind what the burst queues there.
+/// Guards against a burst of one kind delaying another. The second kind shares only the first service, which has spare
+/// capacity, and must not wait behind what the burst queues there.
 #[test]
-fn a_kind_that_shares_only_a_service_with_places_is_not_touched_by_the_burst() {
+fn a_kind_that_shares_only_an_underloaded_service_is_unaffected() {
     let tally = burst(4.0)[1];
-    let part = f64::from(tally.in_aim) / f64::from(tally.asked);
-    assert!(part >= 0.99, "{tally:?}");
+    let fraction = f64::from(tally.in_time) / f64::from(tally.offered);
+    assert!(fraction >= 0.99, "{tally:?}");
 }
 
 #[test]
 fn without_a_burst_everything_is_in_time() {
     for tally in burst(1.0) {
-        assert_eq!(tally.in_aim, tally.asked);
+        assert_eq!(tally.in_time, tally.offered);
     }
 }
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on their way through their stages, as the instances that they came to see it.
+//! Simulation of requests and their stages, as seen by the instances that receive them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,35 +9,35 @@
 };
 
 use crate::{
-    homes::{DOMAINS, come_back, domain_of},
+    homes::{DOMAINS, domain_of, retry_delay},
     load::SERVICES,
-    world::{ENTRIES, Event, PROMPT, Request, WAY, World},
+    simulation::{Event, INSTANCES, NETWORK_LATENCY, REQUEST_TIME, Request, Simulation},
 };
 
-impl World {
-    pub(crate) fn arrives(&mut self, now: MonoTime, kind: usize, counts: bool) {
+impl Simulation {
+    pub(crate) fn handle_arrival(&mut self, now: MonoTime, kind: usize, is_counted: bool) {
         let means = self.kinds[kind].pieces.clone();
-        let pieces: Vec<u32> = means.into_iter().map(|m| self.chance.pieces(m)).collect();
+        let pieces: Vec<u32> = means.into_iter().map(|m| self.random.pieces(m)).collect();
         let stages = pieces.len();
-        let entry = self.chance.below(ENTRIES);
+        let instance = self.random.below(INSTANCES);
         self.requests.push(Request {
             kind,
-            entry,
-            at: now,
-            first_at: now,
+            instance,
+            arrived_at: now,
+            first_arrived_at: now,
             fingerprint: self.requests.len() as u64 + 1,
             is_late_return: false,
             done: pieces.iter().map(|p| *p == 0).collect(),
-            begun: vec![false; stages],
+            started: vec![false; stages],
             results: vec![Vec::new(); stages],
             pieces,
-            counts,
+            is_counted,
         });
         let request = self.requests.len() - 1;
-        if counts {
-            self.tallies[kind].asked += 1;
+        if is_counted {
+            self.tallies[kind].offered += 1;
         }
-        self.goes_on(now, request);
+        self.advance(now, request);
     }
 
     pub(crate) fn service_of(&self, request: usize, stage: usize) -> usize {
@@ -48,76 +48,76 @@
             .expect("a known service")
     }
 
-    /// Callers come again once, when they are told to, but within a third of the time that they have left.
-    pub(crate) fn refused(&mut self, now: MonoTime, request: usize, retry_after: Duration) {
+    /// Callers retry once, at the time they were told, but within a third of their remaining time.
+    pub(crate) fn handle_refusal(&mut self, now: MonoTime, request: usize, retry_after: Duration) {
         let req = &self.requests[request];
-        let is_first = req.at == req.first_at;
+        let is_first = req.arrived_at == req.first_arrived_at;
         if is_first {
             let left = self.kinds[req.kind]
-                .patience
-                .saturating_sub(now.since(req.at));
-            let when = now.after(retry_after.min(left / 3) + 2 * WAY);
-            self.at(when, Event::Returns { request });
-        } else if req.counts {
+                .time_limit
+                .saturating_sub(now.since(req.arrived_at));
+            let when = now.after(retry_after.min(left / 3) + 2 * NETWORK_LATENCY);
+            self.schedule(when, Event::Retry { request });
+        } else if req.is_counted {
             let has_made = req.results.iter().any(|results| !results.is_empty());
             let tally = &mut self.tallies[req.kind];
             tally.refused += 1;
             tally.wasted += u32::from(has_made);
         }
-        self.free_all(now, request);
+        self.free_all_results(now, request);
     }
 
-    pub(crate) fn returns(&mut self, now: MonoTime, request: usize) {
+    pub(crate) fn handle_retry(&mut self, now: MonoTime, request: usize) {
         let req = &self.requests[request];
-        let again = Request {
+        let retry = Request {
             kind: req.kind,
-            entry: self.chance.below(ENTRIES),
-            at: now,
-            first_at: req.first_at,
+            instance: self.random.below(INSTANCES),
+            arrived_at: now,
+            first_arrived_at: req.first_arrived_at,
             fingerprint: req.fingerprint,
             is_late_return: false,
             done: req.pieces.iter().map(|p| *p == 0).collect(),
-            begun: vec![false; req.pieces.len()],
+            started: vec![false; req.pieces.len()],
             results: vec![Vec::new(); req.pieces.len()],
             pieces: req.pieces.clone(),
-            counts: req.counts,
+            is_counted: req.is_counted,
         };
-        self.requests.push(again);
-        self.goes_on(now, self.requests.len() - 1);
+        self.requests.push(retry);
+        self.advance(now, self.requests.len() - 1);
     }
 
-    pub(crate) fn free_all(&mut self, now: MonoTime, request: usize) {
+    pub(crate) fn free_all_results(&mut self, now: MonoTime, request: usize) {
         for stage in 0..self.requests[request].pieces.len() {
-            self.free(now, request, stage);
+            self.free_stage_results(now, request, stage);
         }
     }
 
-    pub(crate) fn free(&mut self, now: MonoTime, request: usize, stage: usize) {
+    pub(crate) fn free_stage_results(&mut self, now: MonoTime, request: usize, stage: usize) {
         let results = std::mem::take(&mut self.requests[request].results[stage]);
         let service = self.service_of(request, stage);
-        self.at(
-            now.after(WAY + Duration::from_millis(5)),
-            Event::Freed(service, results),
+        self.schedule(
+            now.after(NETWORK_LATENCY + Duration::from_millis(5)),
+            Event::FreeResults(service, results),
         );
     }
 
-    /// Frees what nobody reads any more now that a stage is made.
-    pub(crate) fn free_read(&mut self, now: MonoTime, request: usize, made: usize) {
+    /// Frees the inputs of a finished stage.
+    pub(crate) fn free_inputs(&mut self, now: MonoTime, request: usize, made: usize) {
         let before = self.kinds[self.requests[request].kind].stages[made]
             .after
             .clone();
         for stage in before {
-            self.free(now, request, stage);
+            self.free_stage_results(now, request, stage);
         }
     }
 
-    /// Begins the stages that can be begun, or the request itself.
-    pub(crate) fn goes_on(&mut self, now: MonoTime, request: usize) {
+    /// Starts the stages that are ready, or the request itself once all stages are done.
+    pub(crate) fn advance(&mut self, now: MonoTime, request: usize) {
         let req = &self.requests[request];
         let kind = &self.kinds[req.kind];
         let mut graph = StageGraph::new(&kind.stages, &req.pieces);
         for stage in 0..req.pieces.len() {
-            if req.begun[stage] {
+            if req.started[stage] {
                 graph.begin(stage);
             }
             if req.done[stage] && req.pieces[stage] > 0 {
@@ -125,28 +125,36 @@
             }
         }
         let startable = graph.startable();
-        let is_made = req.done.iter().all(|done| *done);
+        let all_done = req.done.iter().all(|done| *done);
         for stage in startable {
-            self.requests[request].begun[stage] = true;
-            self.at(now.after(WAY), Event::Asks { request, stage });
+            self.requests[request].started[stage] = true;
+            self.schedule(
+                now.after(NETWORK_LATENCY),
+                Event::StageAsk { request, stage },
+            );
         }
-        if is_made {
-            self.at(now.after(PROMPT), Event::Answered(request));
+        if all_done {
+            self.schedule(now.after(REQUEST_TIME), Event::Answered(request));
         }
     }
 
-    pub(crate) fn asked(&mut self, now: MonoTime, request: usize, stage: usize) {
+    pub(crate) fn handle_ask(&mut self, now: MonoTime, request: usize, stage: usize) {
         let service = self.service_of(request, stage);
         let mut new = self.new_job(now, request, stage);
-        let is_first = self.requests[request].begun.iter().filter(|b| **b).count() == 1;
+        let is_first = self.requests[request]
+            .started
+            .iter()
+            .filter(|b| **b)
+            .count()
+            == 1;
         if is_first {
-            match self.judge(now, service, request, stage) {
-                Ok(begun) => {
-                    new.in_time_until = now.after(begun.in_time_for);
-                    self.requests[request].is_late_return = begun.is_late_return;
+            match self.admit(now, service, request, stage) {
+                Ok(admitted) => {
+                    new.in_time_until = now.after(admitted.in_time_for);
+                    self.requests[request].is_late_return = admitted.is_late_return;
                 }
                 Err(retry_after) => {
-                    self.tell(now, service, (request, stage), Err(retry_after));
+                    self.reply(now, service, (request, stage), Err(retry_after));
                     return;
                 }
             }
@@ -154,45 +162,49 @@
         match self.homes[service].push(now, new) {
             Ok(job) => {
                 self.jobs[service].insert(job, (request, stage));
-                self.drive(now, service);
+                self.start_calls(now, service);
             }
-            Err(refusal) => self.tell(now, service, (request, stage), Err(come_back(refusal))),
+            Err(refusal) => self.reply(now, service, (request, stage), Err(retry_delay(refusal))),
         }
     }
 
-    pub(crate) fn judge(
+    pub(crate) fn admit(
         &mut self,
         now: MonoTime,
         service: usize,
         request: usize,
         stage: usize,
     ) -> Result<AdmittedChain, Duration> {
-        let own = self.homes[service].outlook(now);
-        self.judges[service].record(now, &SERVICES[service].into(), own);
+        let outlook = self.homes[service].outlook(now);
+        self.admissions[service].record(now, &SERVICES[service].into(), outlook);
         let req = &self.requests[request];
         let kind = &self.kinds[req.kind];
         let chain = ChainAsk {
             fingerprint: Fingerprint(req.fingerprint),
             stages: kind.stages.clone(),
             pieces: req.pieces.clone(),
-            until_aim: kind.aim.saturating_sub(now.since(req.at) + PROMPT),
-            until_left: kind.patience.saturating_sub(now.since(req.at)),
+            until_aim: kind
+                .target_latency
+                .saturating_sub(now.since(req.arrived_at) + REQUEST_TIME),
+            until_left: kind.time_limit.saturating_sub(now.since(req.arrived_at)),
         };
         let call_times = vec![Duration::from_millis(200); kind.stages.len()];
-        self.judges[service].admit(now, &chain, kind.rank, stage, &call_times)
+        self.admissions[service].admit(now, &chain, kind.rank, stage, &call_times)
     }
 
     pub(crate) fn new_job(&self, now: MonoTime, request: usize, stage: usize) -> NewJob {
         let req = &self.requests[request];
         let kind = &self.kinds[req.kind];
         let mut graph = StageGraph::new(&kind.stages, &req.pieces);
-        for made in 0..req.pieces.len() {
-            if req.done[made] && req.pieces[made] > 0 {
-                graph.done(made);
+        for done in 0..req.pieces.len() {
+            if req.done[done] && req.pieces[done] > 0 {
+                graph.done(done);
             }
         }
-        let until_aim = kind.aim.saturating_sub(now.since(req.at) + PROMPT);
-        let expected = self.entries[req.entry].estimate(
+        let until_aim = kind
+            .target_latency
+            .saturating_sub(now.since(req.arrived_at) + REQUEST_TIME);
+        let expected = self.outlooks[req.instance].estimate(
             now,
             &ChainQuery {
                 graph: &graph,
@@ -223,7 +235,9 @@
             result_bytes: spec.result_bytes,
             rank: kind.rank,
             in_time_until: now.after(in_time_for),
-            deadline: req.at.after(kind.patience.saturating_sub(PROMPT)),
+            deadline: req
+                .arrived_at
+                .after(kind.time_limit.saturating_sub(REQUEST_TIME)),
             preferred_domain,
             held_bytes,
             is_last_reader: graph.is_last_reader(stage),
@@ -231,7 +245,7 @@
         }
     }
 
-    pub(crate) fn note_outlook(
+    pub(crate) fn record_outlook(
         &mut self,
         now: MonoTime,
         (request, stage): (usize, usize),
@@ -239,10 +253,10 @@
     ) {
         let req = &self.requests[request];
         let service = &self.kinds[req.kind].stages[stage].service;
-        self.entries[req.entry].record(now, service, outlook);
+        self.outlooks[req.instance].record(now, service, outlook);
     }
 
-    pub(crate) fn stage_made(
+    pub(crate) fn handle_stage_done(
         &mut self,
         now: MonoTime,
         request: usize,
@@ -251,29 +265,29 @@
     ) {
         self.requests[request].results[stage] = results;
         self.requests[request].done[stage] = true;
-        self.free_read(now, request, stage);
-        self.goes_on(now, request);
+        self.free_inputs(now, request, stage);
+        self.advance(now, request);
     }
 
-    pub(crate) fn answered(&mut self, now: MonoTime, request: usize) {
-        self.free_all(now, request);
+    pub(crate) fn handle_answer(&mut self, now: MonoTime, request: usize) {
+        self.free_all_results(now, request);
         let req = &self.requests[request];
-        if !req.counts {
+        if !req.is_counted {
             return;
         }
         let tally = &mut self.tallies[req.kind];
-        if now.since(req.first_at) <= self.kinds[req.kind].aim {
-            tally.in_aim += 1;
+        if now.since(req.first_arrived_at) <= self.kinds[req.kind].target_latency {
+            tally.in_time += 1;
         } else {
             tally.late += 1;
         }
     }
 }
 
-/// Bytes from which on it matters where they are read.
+/// Minimum number of bytes read for which the failure domain matters.
 const LARGE_BYTES: u64 = 256 << 10;
 
-/// Where most inputs lie, if what is read of them is large.
+/// Returns the domain that holds most inputs, if the bytes read are large.
 fn preferred(inputs: &[ResultHandle], bytes_read: u64) -> Option<FailureDomain> {
     if bytes_read < LARGE_BYTES {
         return None;
@@ -284,6 +298,6 @@
         let number: usize = maker.split('-').nth(1)?.parse().ok()?;
         *counts.entry(number % DOMAINS).or_default() += 1;
     }
-    let most = counts.into_iter().max_by_key(|(_, count)| *count);
-    most.map(|(domain, _)| domain_of(domain))
+    let max = counts.into_iter().max_by_key(|(_, count)| *count);
+    max.map(|(domain, _)| domain_of(domain))
 }
