--- a/crates/tc-policy/tests/batch/limits.rs
+++ b/crates/tc-policy/tests/batch/limits.rs
@@ -40,7 +40,7 @@
     calls_made
 }
 
-fn set_first_limit(planner: &mut BatchPlanner, per_s: f64) {
+fn limit_first_upstream(planner: &mut BatchPlanner, per_s: f64) {
     let limit = RateLimit::new(per_s);
     planner.set_limits(at(0), |id| limit.filter(|_| id.as_str() == "u0"));
 }
@@ -49,7 +49,7 @@
 #[test]
 fn rate_limited_upstream_gets_calls_at_its_rate() {
     let mut planner = planner(&["a", "a"]);
-    set_first_limit(&mut planner, 1.0);
+    limit_first_upstream(&mut planner, 1.0);
     let calls_made = run(&mut planner, 20_000);
     let calls_to = |name: &str| {
         calls_made
@@ -75,7 +75,7 @@
     let accepts_two_jobs = |per_s: Option<f64>| {
         let mut planner = planner(&["a"]);
         if let Some(per_s) = per_s {
-            set_first_limit(&mut planner, per_s);
+            limit_first_upstream(&mut planner, per_s);
         }
         push(&mut planner, at(0), job("r1", 14));
         planner.push(at(0), job("r2", 14)).is_ok()
@@ -88,7 +88,7 @@
 #[test]
 fn planner_wakes_when_the_limit_allows_a_call() {
     let mut planner = planner(&["a"]);
-    set_first_limit(&mut planner, 2.0);
+    limit_first_upstream(&mut planner, 2.0);
     push(&mut planner, at(0), job("r", 1));
     assert!(planner.next_call(at(0)).is_none());
     let wake = planner.next_wake(at(0)).expect("a wake-up time");
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -102,8 +102,8 @@
     }
 
     /// Frees the inputs of a finished stage.
-    pub(crate) fn free_inputs(&mut self, now: MonoTime, request: usize, made: usize) {
-        let before = self.kinds[self.requests[request].kind].stages[made]
+    pub(crate) fn free_inputs(&mut self, now: MonoTime, request: usize, finished: usize) {
+        let before = self.kinds[self.requests[request].kind].stages[finished]
             .after
             .clone();
         for stage in before {
