--- a/crates/tc-caller/src/policy_state.rs
+++ b/crates/tc-caller/src/policy_state.rs
@@ -7,7 +7,7 @@
 };
 
 use arc_swap::ArcSwap;
-use tc_policy::{Budget, Estimators, SizeClass, StageEstimate};
+use tc_policy::{Estimators, ExtraCallBudget, SizeClass, StageEstimate};
 use tc_protocol::{MonoTime, Policy, ServiceName};
 
 use crate::limits::BUDGET_BURST;
@@ -26,8 +26,8 @@
     estimators: Arc<Mutex<Estimators>>,
     /// Times to a stream's first item.
     first_items: Arc<Mutex<Estimators>>,
-    hedges: Mutex<Budget>,
-    retries: Mutex<Budget>,
+    hedges: Mutex<ExtraCallBudget>,
+    retries: Mutex<ExtraCallBudget>,
     hedge_ratio: f64,
     retry_ratio: f64,
 }
@@ -69,8 +69,8 @@
             name,
             estimators: Arc::default(),
             first_items: Arc::default(),
-            hedges: Mutex::new(Budget::new(policy.hedge_ratio, BUDGET_BURST)),
-            retries: Mutex::new(Budget::new(policy.retry_ratio, BUDGET_BURST)),
+            hedges: Mutex::new(ExtraCallBudget::new(policy.hedge_ratio, BUDGET_BURST)),
+            retries: Mutex::new(ExtraCallBudget::new(policy.retry_ratio, BUDGET_BURST)),
             hedge_ratio: policy.hedge_ratio,
             retry_ratio: policy.retry_ratio,
         }
@@ -104,8 +104,8 @@
     }
 
     pub(crate) fn note_call(&self) {
-        lock(&self.hedges).note_call();
-        lock(&self.retries).note_call();
+        lock(&self.hedges).record_call();
+        lock(&self.retries).record_call();
     }
 
     pub(crate) fn spend_hedge(&self) -> bool {
--- a/crates/tc-caller/src/run/throttle.rs
+++ b/crates/tc-caller/src/run/throttle.rs
@@ -47,9 +47,9 @@
         let missed = result.as_ref().is_err_and(|failure| is_miss(failure.kind));
         self.with(cx, |throttle| {
             if missed {
-                throttle.missed(now);
+                throttle.record_missed(now);
             } else {
-                throttle.got_room(now);
+                throttle.record_accepted(now);
             }
         });
     }
--- a/crates/tc-fleet/src/entry/target.rs
+++ b/crates/tc-fleet/src/entry/target.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::atomic::Ordering::Relaxed, time::Duration};
 
-use tc_policy::{Candidate, Choice, choose};
+use tc_policy::{UpstreamCandidate, UpstreamChoice, choose_upstream};
 use tc_protocol::{Ask, FleetView, InstanceId, MonoTime, UpstreamState};
 
 use super::ask::{AskDesk, Progress, REDIRECTS};
@@ -19,7 +19,7 @@
         let view = self.args.view.load();
         let upstreams = view.upstreams.get(&ask.service)?;
         let now = MonoTime::now();
-        let usable: Vec<Candidate<'_>> = upstreams
+        let usable: Vec<UpstreamCandidate<'_>> = upstreams
             .iter()
             .filter(|state| Self::is_usable(state, progress))
             .map(|state| self.candidate(now, &view, state))
@@ -29,11 +29,13 @@
             .iter()
             .position(|c| Some(&c.state.upstream.id) == preferred.as_ref());
         let choice = match index {
-            Some(index) if !ask.avoid.contains(&usable[index].state.upstream.id) => Choice {
-                index,
-                why: "redirected by a home",
-            },
-            _ => choose(&usable, ask, &mut rand::rng())?,
+            Some(index) if !ask.avoid.contains(&usable[index].state.upstream.id) => {
+                UpstreamChoice {
+                    index,
+                    why: "redirected by a home",
+                }
+            }
+            _ => choose_upstream(&usable, ask, &mut rand::rng())?,
         };
         let state = usable[choice.index].state.clone();
         let home = state.home.clone()?;
@@ -60,10 +62,10 @@
         now: MonoTime,
         view: &FleetView,
         state: &'a UpstreamState,
-    ) -> Candidate<'a> {
+    ) -> UpstreamCandidate<'a> {
         let cell = self.args.summaries.cell(&state.upstream.id);
         let heard = cell.as_ref().and_then(|cell| cell.load(now));
-        Candidate {
+        UpstreamCandidate {
             state,
             summary: heard.map(|(summary, _, _)| summary).or(state.summary),
             leaving: state.leaving || heard.is_some_and(|(_, leaving, _)| leaving),
--- a/crates/tc-fleet/src/mesh/suspects.rs
+++ b/crates/tc-fleet/src/mesh/suspects.rs
@@ -28,7 +28,7 @@
     let policy = SuspectPolicy {
         crashes_to_quarantine: CRASHES_TO_QUARANTINE,
         crashes_to_trial: CRASHES_TO_TRIAL,
-        quarantine_life: Some(QUARANTINE_LIFE),
+        quarantine_duration: Some(QUARANTINE_LIFE),
     };
     SuspectTable::new(me.clone(), policy, tell_home(me, published, peers), None)
 }
--- a/crates/tc-fleet/src/start.rs
+++ b/crates/tc-fleet/src/start.rs
@@ -81,7 +81,7 @@
     SuspectPolicy {
         crashes_to_quarantine: Policy::default().crashes_to_quarantine,
         crashes_to_trial: 1,
-        quarantine_life: None,
+        quarantine_duration: None,
     }
 }
 
--- a/crates/tc-fleet/src/suspects/home.rs
+++ b/crates/tc-fleet/src/suspects/home.rs
@@ -82,12 +82,12 @@
             state.died(now, report);
         }
         for cleared in &report.cleared {
-            state.suspects.cleared(now, Fingerprint(*cleared));
+            state.suspects.clear(now, Fingerprint(*cleared));
         }
         if report.trial_ended != 0 {
             state
                 .suspects
-                .trial_ended(now, Fingerprint(report.trial_ended));
+                .end_trial(now, Fingerprint(report.trial_ended));
         }
         if report.trial == 0 {
             return SuspectAnswer {
@@ -133,7 +133,7 @@
         let upstream = UpstreamId::from(report.upstream.as_str());
         let number = self.death_number(now, &upstream, &died);
         self.suspects
-            .died(now, &upstream, Incarnation(number), &died);
+            .record_crash(now, &upstream, Incarnation(number), &died);
         let origin = Origin {
             workspace: report.workspace.as_str().into(),
             service: report.service.as_str().into(),
--- a/crates/tc-gateway/src/budgets.rs
+++ b/crates/tc-gateway/src/budgets.rs
@@ -5,7 +5,7 @@
     sync::{Mutex, PoisonError},
 };
 
-use tc_policy::{RepeatBudget, RepeatLimits};
+use tc_policy::{RetryBudget, RetryLimits};
 use tc_protocol::{MonoTime, ServiceName};
 
 use crate::settings::RepeatSettings;
@@ -20,7 +20,7 @@
 /// all of them keeps the fleet's budget with nothing to be agreed.
 pub(crate) struct RepeatBudgets {
     settings: RepeatSettings,
-    by_service: Mutex<HashMap<ServiceName, RepeatBudget>>,
+    by_service: Mutex<HashMap<ServiceName, RetryBudget>>,
 }
 
 impl RepeatBudgets {
@@ -32,8 +32,8 @@
     }
 
     /// The share of one of `instances` instances.
-    pub(crate) fn share(&self, instances: usize) -> RepeatLimits {
-        RepeatLimits {
+    pub(crate) fn share(&self, instances: usize) -> RetryLimits {
+        RetryLimits {
             ratio: self.settings.ratio * USED_PART,
             extra: self.settings.extra * USED_PART / instances.max(1) as f64,
             window: self.settings.window,
@@ -43,13 +43,13 @@
     /// The budget of the one instance that calls a service's upstreams for all.
     ///
     /// For a moment there may be two such instances, so it takes half.
-    pub(crate) fn of_home(&self) -> RepeatLimits {
+    pub(crate) fn of_home(&self) -> RetryLimits {
         self.share(2)
     }
 
     pub(crate) fn note_request(&self, service: &ServiceName, instances: usize) {
         self.with(service, instances, |budget| {
-            budget.note_request(MonoTime::now());
+            budget.record_request(MonoTime::now());
         });
     }
 
@@ -64,7 +64,7 @@
         &self,
         service: &ServiceName,
         instances: usize,
-        act: impl FnOnce(&mut RepeatBudget) -> T,
+        act: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let limits = self.share(instances);
         let mut budgets = self
@@ -73,7 +73,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| RepeatBudget::new(limits));
+            .or_insert_with(|| RetryBudget::new(limits));
         budget.set_limits(limits);
         act(budget)
     }
--- a/crates/tc-gateway/src/cold.rs
+++ b/crates/tc-gateway/src/cold.rs
@@ -6,7 +6,7 @@
 };
 
 use tc_fleet::Mesh;
-use tc_policy::{ColdLimit, RecentSends, may_send_alone};
+use tc_policy::{ColdLimit, RecentSends, may_send_without_home};
 use tc_protocol::{
     MonoTime, UpstreamId,
     routing::{RegisteredUpstream, RoutedService},
@@ -51,9 +51,9 @@
         };
         let is_cold = upstream.cold_until > MonoTime::now();
         if service.engine.is_some() {
-            return !is_cold && self.has_share(mesh, &upstream.id, limit.lone_senders());
+            return !is_cold && self.has_share(mesh, &upstream.id, limit.senders_without_home());
         }
-        !is_cold || self.has_share(mesh, &upstream.id, limit.all())
+        !is_cold || self.has_share(mesh, &upstream.id, limit.total())
     }
 
     /// Whether this instance is one of `most` that may send to an upstream, and has not done so in the last moment.
@@ -63,7 +63,7 @@
             .lock()
             .get(upstream)
             .map_or(0, |sends| sends.count(now));
-        recent == 0 && may_send_alone(&mesh.me().id, &mesh.members(), upstream, most)
+        recent == 0 && may_send_without_home(&mesh.me().id, &mesh.members(), upstream, most)
     }
 
     /// Counts a request that this instance sends by itself.
@@ -71,7 +71,7 @@
         if service.cold.is_some() {
             let mut recent = self.lock();
             let sends = recent.entry(upstream.clone()).or_default();
-            sends.note(MonoTime::now());
+            sends.record(MonoTime::now());
         }
     }
 
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -7,7 +7,7 @@
 
 use slotmap::SecondaryMap;
 use tc_policy::{
-    BatchCall, BatchPlanner, BatchUpstream, HomeOutlook, JobKey, NewJob, RepeatBudget, Settled,
+    BatchCall, BatchPlanner, BatchUpstream, HomeOutlook, JobKey, NewJob, RetryBudget, Settled,
 };
 use tc_protocol::{
     MonoTime, ServiceName, UpstreamId,
@@ -41,7 +41,7 @@
 
 impl BatchHome {
     pub(super) fn start(cx: Arc<HomeContext>, service: ServiceName, spec: BatchSpec) -> Arc<Self> {
-        let repeats = RepeatBudget::new(cx.budgets.of_home());
+        let repeats = RetryBudget::new(cx.budgets.of_home());
         let home = Arc::new(Self {
             cx,
             service,
--- a/crates/tc-gateway/src/run/prompt_times.rs
+++ b/crates/tc-gateway/src/run/prompt_times.rs
@@ -20,13 +20,13 @@
     pub(super) fn learn(&self, req: &RoutedRequest, took: Duration) {
         let mut times = self.lock();
         let times = times.entry(req.service.clone()).or_default();
-        times.learn(prompt_tokens(req), took);
+        times.record(prompt_tokens(req), took);
     }
 
     /// What the request is expected to need of its engine.
     pub(super) fn expect(&self, req: &RoutedRequest) -> Duration {
         let times = self.lock().get(&req.service).copied();
-        times.unwrap_or_default().expect(prompt_tokens(req))
+        times.unwrap_or_default().estimate(prompt_tokens(req))
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<ServiceName, PromptTimes>> {
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -122,7 +122,7 @@
     let mut running: FuturesUnordered<BoxFuture<'_, Made>> = FuturesUnordered::new();
     loop {
         for stage in graph.startable() {
-            graph.begin(stage);
+            graph.mark_running(stage);
             let mut ask = ask_for(cx, req, &graph, &held, stage);
             ask.chain = chain.take();
             if is_late_return {
@@ -144,8 +144,8 @@
         };
         held.by_stage[made.stage].1 = made.reply?;
         is_late_return |= made.is_late_return;
-        graph.done(made.stage);
-        for read in graph.read_by_all(made.stage) {
+        graph.mark_done(made.stage);
+        for read in graph.fully_read_inputs(made.stage) {
             if made.inputs_given_up {
                 held.forget(read);
             } else {
@@ -209,12 +209,16 @@
         input,
         result_bytes: spec.result_bytes,
         rank: req.rank(),
-        in_time_for: in_time_for(cx, req, graph.time_after(stage, &expected.in_time)),
+        in_time_for: in_time_for(cx, req, graph.critical_path_after(stage, &expected.in_time)),
         remaining: req
             .time_to_first()
             .saturating_sub(cx.prompt_times.expect(req)),
         prefer: preferred(cx, graph, held, stage),
-        held_bytes: spec.after.iter().map(|before| graph.size_of(*before)).sum(),
+        held_bytes: spec
+            .after
+            .iter()
+            .map(|before| graph.total_result_bytes(*before))
+            .sum(),
         is_last_reader: graph.is_last_reader(stage),
         following: graph.following(stage),
         chain: None,
@@ -230,13 +234,17 @@
 ) -> Option<FailureDomain> {
     let spec = &graph.stages()[stage];
     let pieces = u64::from(graph.pieces(stage));
-    let read: u64 = spec.after.iter().map(|before| graph.size_of(*before)).sum();
+    let read: u64 = spec
+        .after
+        .iter()
+        .map(|before| graph.total_result_bytes(*before))
+        .sum();
     // Every piece reads all of it.
     if read * pieces < LARGE_BYTES {
         return None;
     }
     let before = spec.after.iter().copied();
-    let largest = before.max_by_key(|before| graph.size_of(*before))?;
+    let largest = before.max_by_key(|before| graph.total_result_bytes(*before))?;
     domain_of(cx, &held.by_stage[largest])
 }
 
--- a/crates/tc-gateway/src/run/target.rs
+++ b/crates/tc-gateway/src/run/target.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use tc_policy::PickWish;
+use tc_policy::PickPreference;
 use tc_protocol::routing::{EngineAsk, Prompt, RegisteredUpstream};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -86,11 +86,11 @@
     ) -> Result<Target, SendFailure> {
         let world = cx.world.load();
         let all = world.upstreams.of_service(req.service.as_str());
-        let kept = req.head.prompt.as_ref().and_then(Prompt::shared_key);
-        let wish = PickWish {
-            kept,
+        let affinity_key = req.head.prompt.as_ref().and_then(Prompt::shared_key);
+        let wish = PickPreference {
+            affinity_key,
             domain: results.and_then(StageResults::largest_domain),
-            chance: xxh3_64(req.head.request.as_bytes()),
+            tie_breaker: xxh3_64(req.head.request.as_bytes()),
         };
         let service = world
             .config
--- a/crates/tc-gateway/src/upstreams.rs
+++ b/crates/tc-gateway/src/upstreams.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use tc_policy::{PickCandidate, PickWish, pick_upstream};
+use tc_policy::{PickCandidate, PickPreference, pick_upstream};
 use tc_protocol::{MonoTime, UpstreamId, routing::RegisteredUpstream};
 
 use crate::call::UpstreamLoad;
@@ -94,7 +94,7 @@
         all: &[Arc<RegisteredUpstream>],
         except: &[UpstreamId],
         admits: impl Fn(&RegisteredUpstream) -> bool,
-        wish: &PickWish<'_>,
+        wish: &PickPreference<'_>,
     ) -> Option<(Arc<RegisteredUpstream>, InFlight)> {
         let now = MonoTime::now();
         let mut known = self.lock();
--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -11,7 +11,7 @@
 use std::{hint::black_box, time::Duration};
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use tc_policy::{BatchPlanner, BatchUpstream, CallEnd, NewJob, RepeatBudget, RepeatLimits};
+use tc_policy::{BatchPlanner, BatchUpstream, CallEnd, NewJob, RetryBudget, RetryLimits};
 use tc_protocol::{
     MonoTime,
     routing::{BatchSpec, PieceInput, ResultHandle},
@@ -57,7 +57,7 @@
 
 /// A planner all of whose upstreams have one full call each, or have its results and no room left.
 fn planner(upstreams: usize, jobs: usize, at_work: bool) -> BatchPlanner {
-    let repeats = RepeatBudget::new(RepeatLimits {
+    let repeats = RetryBudget::new(RetryLimits {
         ratio: 0.2,
         extra: 20.0,
         window: Duration::from_secs(10),
--- a/crates/tc-policy/examples/decision_rate.rs
+++ b/crates/tc-policy/examples/decision_rate.rs
@@ -6,7 +6,9 @@
 };
 
 use rand::{SeedableRng, rngs::StdRng};
-use tc_policy::{AskVerdict, Candidate, Home, HomeConfig, HomeEvent, NewAsk, choose};
+use tc_policy::{
+    AskVerdict, Home, HomeConfig, HomeEvent, NewAsk, UpstreamCandidate, choose_upstream,
+};
 use tc_protocol::{
     Ask, Attempt, Cost, Fingerprint, MonoTime, Outcome, PermitId, Release, RunState, Upstream,
     UpstreamState, UpstreamSummary, WorkspaceName,
@@ -124,10 +126,10 @@
 
 fn choices(with_prefix: bool) -> Duration {
     let states: Vec<UpstreamState> = (0..CANDIDATES).map(upstream).collect();
-    let candidates: Vec<Candidate<'_>> = states
+    let candidates: Vec<UpstreamCandidate<'_>> = states
         .iter()
         .enumerate()
-        .map(|(i, state)| Candidate {
+        .map(|(i, state)| UpstreamCandidate {
             state,
             summary: state.summary,
             leaving: state.leaving,
@@ -153,7 +155,7 @@
     let started = Instant::now();
     for round in 0..ROUNDS {
         ask.prefix = with_prefix.then_some(u64::from(round));
-        black_box(choose(&candidates, &ask, &mut random));
+        black_box(choose_upstream(&candidates, &ask, &mut random));
     }
     started.elapsed()
 }
--- a/crates/tc-policy/src/batch/judge.rs
+++ b/crates/tc-policy/src/batch/judge.rs
@@ -63,11 +63,11 @@
             rank,
         };
         let expected = self.outlooks.expect(now, &request);
-        if let Err(retry_after) = graph.worth_beginning(&expected, until_aim, chain.until_left) {
+        if let Err(retry_after) = graph.check_feasible(&expected, until_aim, chain.until_left) {
             self.refused.note(now, chain.fingerprint, aim);
             return Err(retry_after);
         }
-        let after = graph.time_after(first, &expected.in_time);
+        let after = graph.critical_path_after(first, &expected.in_time);
         Ok(Begun {
             in_time_for: until_aim.saturating_sub(after),
             is_late_return: until_aim.is_zero(),
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -76,11 +76,11 @@
             .collect();
         // Each stage follows earlier ones only.
         for stage in 0..stages {
-            if request.graph.is_over(stage) {
+            if request.graph.is_complete(stage) {
                 continue;
             }
             let told = self.told_of(now, request.graph, stage);
-            let travel = |times: &[Duration]| request.graph.time_before(stage, times);
+            let travel = |times: &[Duration]| request.graph.critical_path_before(stage, times);
             let (in_time, late) = match told {
                 Some(told) => (
                     self.wait_in_time(now, request, stage, told, &own, travel(&expected.in_time)),
@@ -134,7 +134,7 @@
         let graph = request.graph;
         let shift = RANK_STEP * u32::from(request.rank);
         let due = |stage: usize| {
-            let after = graph.time_after(stage, own);
+            let after = graph.critical_path_after(stage, own);
             request.until_aim.saturating_sub(after) + shift
         };
         let coming: f64 = self
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -18,7 +18,7 @@
     results::Results,
     waits::NEXT_CALL,
 };
-use crate::{PacedSends, RepeatBudget};
+use crate::{PacedSends, RetryBudget};
 
 slotmap::new_key_type! {
     /// A call to an upstream that has not ended.
@@ -68,7 +68,7 @@
     pub(super) results: Results,
     pub(super) fetch_time: FetchTime,
     pub(super) times: PieceTimes,
-    pub(super) repeats: RepeatBudget,
+    pub(super) repeats: RetryBudget,
     /// Running average of the time of a call, in seconds.
     pub(super) typical_call_s: f64,
     /// Work that comes in time to be done in time.
@@ -81,7 +81,7 @@
 impl BatchPlanner {
     /// A planner that knows no upstream yet. `repeats` bounds how often pieces are sent again.
     #[must_use]
-    pub fn new(spec: BatchSpec, repeats: RepeatBudget) -> Self {
+    pub fn new(spec: BatchSpec, repeats: RetryBudget) -> Self {
         Self {
             spec,
             jobs: SlotMap::with_key(),
@@ -161,7 +161,7 @@
         if !self.is_worth_waiting(now, &job, wait, MOST_WAIT) {
             return Err(self.overloaded(now));
         }
-        self.repeats.note_request(now);
+        self.repeats.record_request(now);
         if !job.expected_late {
             self.demand.add(now, self.work_of(&job));
         }
--- a/crates/tc-policy/src/budget.rs
+++ b/crates/tc-policy/src/budget.rs
@@ -8,7 +8,7 @@
 /// The allowance that may be saved up is bounded too. Without that bound, a quiet day would save enough retries to
 /// multiply an outage, seen as a retry storm although the ratio over the day is kept.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct ExtraCallBudget {
     per_call: u64,
     saved: u64,
     most_saved: u64,
@@ -16,16 +16,16 @@
     spent: u64,
 }
 
-impl Budget {
+impl ExtraCallBudget {
     /// A budget of `ratio` extra calls per call, and `burst` at the start.
     ///
     /// ```
-    /// use tc_policy::Budget;
-    /// let mut budget = Budget::new(0.5, 1.0);
+    /// use tc_policy::ExtraCallBudget;
+    /// let mut budget = ExtraCallBudget::new(0.5, 1.0);
     /// assert!(budget.try_spend());
     /// assert!(!budget.try_spend());
-    /// budget.note_call();
-    /// budget.note_call();
+    /// budget.record_call();
+    /// budget.record_call();
     /// assert!(budget.try_spend());
     /// assert_eq!((budget.calls(), budget.spent()), (2, 2));
     /// ```
@@ -42,7 +42,7 @@
     }
 
     /// Counts one ordinary call.
-    pub fn note_call(&mut self) {
+    pub fn record_call(&mut self) {
         self.calls += 1;
         self.saved = (self.saved + self.per_call).min(self.most_saved);
     }
--- a/crates/tc-policy/src/choice.rs
+++ b/crates/tc-policy/src/choice.rs
@@ -24,7 +24,7 @@
 
 /// One upstream as an entry sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate<'a> {
+pub struct UpstreamCandidate<'a> {
     /// The upstream. Its `summary` and `leaving` are not looked at: what is heard since is newer.
     pub state: &'a UpstreamState,
     /// Last summary heard from its home.
@@ -41,7 +41,7 @@
 
 /// The chosen upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Choice {
+pub struct UpstreamChoice {
     /// Index into the candidates.
     pub index: usize,
     /// Why, in words.
@@ -57,11 +57,11 @@
 ///
 /// One in 64 first attempts goes to a near upstream at random, an ejected one included. Without that, an upstream
 /// that once measured slow would never be measured again, seen as a fleet that shrinks by one with every hiccup.
-pub fn choose(
-    candidates: &[Candidate<'_>],
+pub fn choose_upstream(
+    candidates: &[UpstreamCandidate<'_>],
     ask: &Ask,
     random: &mut impl rand::Rng,
-) -> Option<Choice> {
+) -> Option<UpstreamChoice> {
     let usable: Vec<usize> = (0..candidates.len())
         .filter(|&i| may_use(&candidates[i], ask))
         .collect();
@@ -88,26 +88,26 @@
     Some(by_wait(&view, random))
 }
 
-const fn choice(index: usize, why: &'static str) -> Choice {
-    Choice { index, why }
+const fn choice(index: usize, why: &'static str) -> UpstreamChoice {
+    UpstreamChoice { index, why }
 }
 
-fn may_use(candidate: &Candidate<'_>, ask: &Ask) -> bool {
+fn may_use(candidate: &UpstreamCandidate<'_>, ask: &Ask) -> bool {
     let state = candidate.state;
     !candidate.leaving && state.home.is_some() && !ask.avoid.contains(&state.upstream.id)
 }
 
-fn is_ejected(candidate: &Candidate<'_>) -> bool {
+fn is_ejected(candidate: &UpstreamCandidate<'_>) -> bool {
     candidate.summary.is_some_and(|s| s.ejected)
 }
 
-fn distance_of_nearest(candidates: &[Candidate<'_>], pool: &[usize]) -> Option<f64> {
+fn distance_of_nearest(candidates: &[UpstreamCandidate<'_>], pool: &[usize]) -> Option<f64> {
     pool.iter()
         .map(|&i| candidates[i].distance_ms)
         .min_by(f64::total_cmp)
 }
 
-fn within(candidates: &[Candidate<'_>], pool: &[usize], distance_ms: f64) -> Vec<usize> {
+fn within(candidates: &[UpstreamCandidate<'_>], pool: &[usize], distance_ms: f64) -> Vec<usize> {
     pool.iter()
         .copied()
         .filter(|&i| candidates[i].distance_ms <= distance_ms)
@@ -120,14 +120,14 @@
 
 /// The candidates that are left, and what is typical of them.
 struct View<'a> {
-    candidates: &'a [Candidate<'a>],
+    candidates: &'a [UpstreamCandidate<'a>],
     pool: &'a [usize],
     nearest: f64,
     typical_service_ms: f64,
 }
 
 impl<'a> View<'a> {
-    fn new(candidates: &'a [Candidate<'a>], pool: &'a [usize]) -> Self {
+    fn new(candidates: &'a [UpstreamCandidate<'a>], pool: &'a [usize]) -> Self {
         let mut measured: Vec<f64> = pool
             .iter()
             .filter_map(|&i| candidates[i].summary)
@@ -204,7 +204,7 @@
         .max_by_key(|&i| hashed_score(prefix, view.candidates[i].state.upstream.id.as_str()))
 }
 
-fn by_wait(view: &View<'_>, random: &mut impl rand::Rng) -> Choice {
+fn by_wait(view: &View<'_>, random: &mut impl rand::Rng) -> UpstreamChoice {
     let limit = view.nearest + SAME_DISTANCE_MS;
     let (near, far): (Vec<usize>, Vec<usize>) = view
         .pool
--- a/crates/tc-policy/src/cold.rs
+++ b/crates/tc-policy/src/cold.rs
@@ -24,11 +24,11 @@
 /// ```
 /// use tc_policy::ColdLimit;
 /// let limit = ColdLimit::new(15.0, 1.5, 5.0);
-/// assert_eq!((limit.all(), limit.of_home(), limit.lone_senders()), (27, 9, 9));
+/// assert_eq!((limit.total(), limit.home_share(), limit.senders_without_home()), (27, 9, 9));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdLimit {
-    all: u32,
+    total: u32,
 }
 
 impl ColdLimit {
@@ -37,32 +37,32 @@
     #[must_use]
     pub fn new(bears_per_s: f64, excess: f64, slack: f64) -> Self {
         Self {
-            all: (bears_per_s * excess + slack).max(0.0) as u32,
+            total: (bears_per_s * excess + slack).max(0.0) as u32,
         }
     }
 
     /// All of it, for services that have no home.
     #[must_use]
-    pub const fn all(self) -> u32 {
-        self.all
+    pub const fn total(self) -> u32 {
+        self.total
     }
 
     /// What a home may send to a cold upstream; at least one, as no other way would be left.
     #[must_use]
-    pub fn of_home(self) -> u32 {
-        (self.all / SHARES).max(1)
+    pub fn home_share(self) -> u32 {
+        (self.total / SHARES).max(1)
     }
 
     /// What a home sends to an upstream that seems warm while others have had less: it may have turned cold unheard.
     #[must_use]
-    pub fn of_home_if_warm(self) -> u32 {
-        self.all - self.lone_senders()
+    pub fn home_share_if_warm(self) -> u32 {
+        self.total - self.senders_without_home()
     }
 
     /// Instances that may choose an upstream by themselves, one request a second each, while the home does not answer.
     #[must_use]
-    pub const fn lone_senders(self) -> u32 {
-        self.all / SHARES
+    pub const fn senders_without_home(self) -> u32 {
+        self.total / SHARES
     }
 }
 
@@ -72,7 +72,7 @@
 /// use tc_policy::RecentSends;
 /// use tc_protocol::MonoTime;
 /// let mut sends = RecentSends::default();
-/// sends.note(MonoTime::from_millis(10));
+/// sends.record(MonoTime::from_millis(10));
 /// assert_eq!(sends.count(MonoTime::from_millis(900)), 1);
 /// assert_eq!(sends.count(MonoTime::from_millis(2_000)), 0);
 /// ```
@@ -83,7 +83,7 @@
 
 impl RecentSends {
     /// Counts a send.
-    pub fn note(&mut self, now: MonoTime) {
+    pub fn record(&mut self, now: MonoTime) {
         self.forget_old(now);
         self.at.push_back(now);
     }
@@ -109,7 +109,7 @@
 /// Instances with the same list of members name the same ones, and others for each upstream, so that all upstreams are within
 /// reach of some.
 #[must_use]
-pub fn may_send_alone(
+pub fn may_send_without_home(
     me: &InstanceId,
     members: &[Member],
     upstream: &UpstreamId,
--- a/crates/tc-policy/src/engines/engine.rs
+++ b/crates/tc-policy/src/engines/engine.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{FailureDomain, MonoTime};
 
-use super::kept::KeptParts;
+use super::prefix_cache::KeptParts;
 use crate::{ColdLimit, PacedSends, RecentSends};
 
 /// First pause after a run failed; doubles with each failure in a row.
@@ -75,9 +75,9 @@
     pub(super) fn bears_more(&self, now: MonoTime, limit: Option<ColdLimit>) -> bool {
         let Some(limit) = limit else { return true };
         let most = if self.is_cold(now) {
-            limit.of_home()
+            limit.home_share()
         } else {
-            limit.of_home_if_warm()
+            limit.home_share_if_warm()
         };
         self.recent.count(now) < most
     }
--- a/crates/tc-policy/src/engines/mod.rs
+++ b/crates/tc-policy/src/engines/mod.rs
@@ -7,7 +7,7 @@
 //! [`EnginePlanner`] only decides; whoever drives it sends the requests and tells it what became of them.
 
 mod engine;
-mod kept;
 mod planner;
+mod prefix_cache;
 
 pub use planner::{EngineCandidate, EnginePlanner};
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -150,7 +150,7 @@
     }
 
     /// Chooses an engine for an instance that cannot ask the home, among the warm ones that `may` names.
-    pub fn choose_alone(
+    pub fn choose_without_home(
         &mut self,
         now: MonoTime,
         ask: &EngineAsk,
@@ -192,7 +192,7 @@
             engine.runs += 1;
             engine.record_send(now);
             if self.cold.is_some() {
-                engine.recent.note(now);
+                engine.recent.record(now);
             }
             engine.read_all_at = engine.read_all_at.max(now).after(run.expected);
             engine.kept.note(&run.parts, false, most_tokens);
@@ -201,7 +201,7 @@
     }
 
     /// Takes up what became of a run. News of runs that are not known changes nothing.
-    pub fn note(&mut self, now: MonoTime, run: u64, news: EngineNews) {
+    pub fn record(&mut self, now: MonoTime, run: u64, news: EngineNews) {
         let key = RunKey::from(KeyData::from_ffi(run));
         match news {
             EngineNews::FirstEvent(took) => self.has_read(now, key, took),
@@ -282,12 +282,12 @@
             .find(|(kept, source)| *source != id && *kept >= here.saturating_add(LEAST_FETCH));
         let kept = source.map_or(here, |(kept, _)| (*kept).min(tokens));
         let read = tokens - kept;
-        let own = self.times.expect(read).mul_f64(engine.speed);
+        let own = self.times.estimate(read).mul_f64(engine.speed);
         let best_kept = sources.first().map_or(0, |(kept, _)| (*kept).min(tokens));
         let again = self
             .times
-            .expect(tokens.saturating_sub(kept))
-            .saturating_sub(self.times.expect(tokens - best_kept.max(kept)));
+            .estimate(tokens.saturating_sub(kept))
+            .saturating_sub(self.times.estimate(tokens - best_kept.max(kept)));
         let away: u64 = ask
             .inputs
             .iter()
@@ -321,7 +321,7 @@
             return;
         }
         if !run.waited {
-            self.times.learn(run.tokens_read, took);
+            self.times.record(run.tokens_read, took);
         }
         let expected = (!run.waited).then_some(run.expected);
         let (upstream, parts) = (run.upstream.clone(), run.parts.clone());
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -15,8 +15,8 @@
 mod pick;
 mod prompt_times;
 mod rendezvous;
-mod repeats;
 mod retry;
+mod retry_budget;
 mod stage_graph;
 mod suspect;
 mod throttle;
@@ -29,18 +29,18 @@
     ExpectedStages, Finished, HomeOutlook, JobKey, JudgedRequest, NewJob, PiecesByDue, Settled,
     StageOutlooks,
 };
-pub use budget::Budget;
-pub use choice::{Candidate, Choice, choose};
-pub use cold::{ColdLimit, RecentSends, may_send_alone};
+pub use budget::ExtraCallBudget;
+pub use choice::{UpstreamCandidate, UpstreamChoice, choose_upstream};
+pub use cold::{ColdLimit, RecentSends, may_send_without_home};
 pub use engines::{EngineCandidate, EnginePlanner};
 pub use estimate::{Estimators, SizeClass, StageEstimate};
 pub use home::{AskKey, AskVerdict, HeldPermit, Home, HomeConfig, HomeEvent, NewAsk};
 pub use limit::{Demand, LimitHome, Share, ShareBucket};
-pub use pick::{PickCandidate, PickWish, pick_upstream};
+pub use pick::{PickCandidate, PickPreference, pick_upstream};
 pub use prompt_times::PromptTimes;
 pub use rendezvous::{rendezvous, rendezvous_score};
-pub use repeats::{RepeatBudget, RepeatLimits};
 pub use retry::retry_delay;
+pub use retry_budget::{RetryBudget, RetryLimits};
 pub use stage_graph::StageGraph;
 pub use suspect::{SuspectPolicy, Suspects, Trial};
 pub use throttle::Throttle;
--- a/crates/tc-policy/src/pick.rs
+++ b/crates/tc-policy/src/pick.rs
@@ -26,13 +26,13 @@
 
 /// What is wanted of the upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PickWish<'a> {
+pub struct PickPreference<'a> {
     /// Hash of what the upstream should have kept from earlier requests.
-    pub kept: Option<u64>,
+    pub affinity_key: Option<u64>,
     /// Where it should run.
     pub domain: Option<&'a FailureDomain>,
     /// Differs between requests; spreads those that nothing else tells apart.
-    pub chance: u64,
+    pub tie_breaker: u64,
 }
 
 /// Chooses an upstream; `None` without candidates.
@@ -41,23 +41,28 @@
 /// the shared part need not be read again (a prompt of 9,000 tokens takes 100 ms to read at 92 tokens a millisecond).
 ///
 /// ```
-/// use tc_policy::{PickCandidate, PickWish, pick_upstream};
+/// use tc_policy::{PickCandidate, PickPreference, pick_upstream};
 /// let ids = ["a".into(), "b".into()];
 /// let domain = "kl-a".into();
 /// let at = |id, load| PickCandidate { id, domain: &domain, load, slots: 4, slowness: 1.0 };
-/// let wish = PickWish { kept: Some(7), domain: None, chance: 1 };
+/// let preference = PickPreference { affinity_key: Some(7), domain: None, tie_breaker: 1 };
 /// let idle = [at(&ids[0], 0.0), at(&ids[1], 0.0)];
-/// let first = pick_upstream(&idle, &wish).unwrap();
-/// assert_eq!(pick_upstream(&idle, &wish), Some(first));
+/// let first = pick_upstream(&idle, &preference).unwrap();
+/// assert_eq!(pick_upstream(&idle, &preference), Some(first));
 /// let mut busy = idle;
 /// busy[first].load = 9.0;
-/// assert_eq!(pick_upstream(&busy, &wish), Some(1 - first));
+/// assert_eq!(pick_upstream(&busy, &preference), Some(1 - first));
 /// ```
 #[must_use]
-pub fn pick_upstream(candidates: &[PickCandidate<'_>], wish: &PickWish<'_>) -> Option<usize> {
+pub fn pick_upstream(
+    candidates: &[PickCandidate<'_>],
+    preference: &PickPreference<'_>,
+) -> Option<usize> {
     // A prompt read again costs several times what moving its inputs between domains does, so a domain is looked at
     // only when nothing is kept: 6,300 tokens against 3.8 MB.
-    let domain = wish.domain.filter(|_| wish.kept.is_none());
+    let domain = preference
+        .domain
+        .filter(|_| preference.affinity_key.is_none());
     let near: Vec<usize> = indices(candidates)
         .filter(|i| domain.is_none_or(|d| d == candidates[*i].domain))
         .collect();
@@ -66,12 +71,12 @@
     } else {
         near
     };
-    let fit = within_bound(candidates, &pool, wish.chance);
-    match wish.kept {
+    let fit = within_bound(candidates, &pool, preference.tie_breaker);
+    match preference.affinity_key {
         Some(key) => fit
             .into_iter()
             .max_by_key(|i| hashed_score(key, candidates[*i].id.as_str())),
-        None => least_used(candidates, fit, wish.chance),
+        None => least_used(candidates, fit, preference.tie_breaker),
     }
 }
 
@@ -85,7 +90,7 @@
 }
 
 /// Those that have not much more to do than the mean; the least used one when all have.
-fn within_bound(candidates: &[PickCandidate<'_>], pool: &[usize], chance: u64) -> Vec<usize> {
+fn within_bound(candidates: &[PickCandidate<'_>], pool: &[usize], tie_breaker: u64) -> Vec<usize> {
     let loads = pool
         .iter()
         .map(|i| candidates[*i].load * candidates[*i].slowness);
@@ -102,7 +107,7 @@
     if !fit.is_empty() {
         return fit;
     }
-    least_used(candidates, pool.to_vec(), chance)
+    least_used(candidates, pool.to_vec(), tie_breaker)
         .into_iter()
         .collect()
 }
@@ -111,10 +116,14 @@
 ///
 /// Every instance sees few requests of its own. If equals were taken in order, all instances would send to the same
 /// upstream, seen as one that refuses requests while its peers are idle.
-fn least_used(candidates: &[PickCandidate<'_>], among: Vec<usize>, chance: u64) -> Option<usize> {
+fn least_used(
+    candidates: &[PickCandidate<'_>],
+    among: Vec<usize>,
+    tie_breaker: u64,
+) -> Option<usize> {
     among.into_iter().min_by(|a, b| {
         let used = |i: usize| usage(&candidates[i]);
-        let drawn = |i: usize| hashed_score(chance, candidates[i].id.as_str());
+        let drawn = |i: usize| hashed_score(tie_breaker, candidates[i].id.as_str());
         used(*a)
             .total_cmp(&used(*b))
             .then_with(|| drawn(*a).cmp(&drawn(*b)))
--- a/crates/tc-policy/src/prompt_times.rs
+++ b/crates/tc-policy/src/prompt_times.rs
@@ -23,9 +23,9 @@
 /// use tc_policy::PromptTimes;
 /// let mut times = PromptTimes::default();
 /// for tokens in [1_000, 10_000].into_iter().cycle().take(20) {
-///     times.learn(tokens, Duration::from_millis(20 + u64::from(tokens) / 50));
+///     times.record(tokens, Duration::from_millis(20 + u64::from(tokens) / 50));
 /// }
-/// let expected = times.expect(30_000).as_millis();
+/// let expected = times.estimate(30_000).as_millis();
 /// assert!((600..=640).contains(&expected), "{expected}");
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
@@ -39,7 +39,7 @@
 
 impl PromptTimes {
     /// A request with so many prompt tokens had its first event after `took`.
-    pub fn learn(&mut self, tokens: u32, took: Duration) {
+    pub fn record(&mut self, tokens: u32, took: Duration) {
         let tokens = f64::from(tokens);
         let ms = took.as_secs_f64() * 1_000.0;
         self.weight = self.weight.mul_add(KEPT, 1.0).min(MOST_WEIGHT);
@@ -51,7 +51,7 @@
 
     /// Expected time of a request with so many prompt tokens.
     #[must_use]
-    pub fn expect(&self, tokens: u32) -> Duration {
+    pub fn estimate(&self, tokens: u32) -> Duration {
         if self.weight < ENOUGH {
             return UNKNOWN;
         }
--- a/crates/tc-policy/src/repeats.rs
+++ b/crates/tc-policy/src/retry_budget.rs
@@ -9,7 +9,7 @@
 
 /// How often requests may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatLimits {
+pub struct RetryLimits {
     /// Repeats a request in the window.
     pub ratio: f64,
     /// Repeats in the window besides.
@@ -24,29 +24,29 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use tc_policy::{RepeatBudget, RepeatLimits};
+/// use tc_policy::{RetryBudget, RetryLimits};
 /// use tc_protocol::MonoTime;
-/// let limits = RepeatLimits { ratio: 0.5, extra: 1.0, window: Duration::from_secs(10) };
-/// let mut budget = RepeatBudget::new(limits);
+/// let limits = RetryLimits { ratio: 0.5, extra: 1.0, window: Duration::from_secs(10) };
+/// let mut budget = RetryBudget::new(limits);
 /// let now = MonoTime::from_millis(1);
 /// assert!(budget.try_spend(now));
 /// assert!(!budget.try_spend(now));
-/// budget.note_request(now);
-/// budget.note_request(now);
+/// budget.record_request(now);
+/// budget.record_request(now);
 /// assert!(budget.try_spend(now));
 /// assert!(budget.try_spend(MonoTime::from_millis(20_000)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
-    limits: RepeatLimits,
+pub struct RetryBudget {
+    limits: RetryLimits,
     requests: Counts,
     repeats: Counts,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// A budget with nothing counted.
     #[must_use]
-    pub fn new(limits: RepeatLimits) -> Self {
+    pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
             requests: Counts::default(),
@@ -55,12 +55,12 @@
     }
 
     /// Changes the limits; what was counted stays.
-    pub fn set_limits(&mut self, limits: RepeatLimits) {
+    pub fn set_limits(&mut self, limits: RetryLimits) {
         self.limits = limits;
     }
 
     /// Counts a request.
-    pub fn note_request(&mut self, now: MonoTime) {
+    pub fn record_request(&mut self, now: MonoTime) {
         self.requests.add(now);
     }
 
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -37,9 +37,9 @@
     /// let stages = [stage("read", vec![]), stage("draw", vec![0])];
     /// let mut graph = StageGraph::new(&stages, &[1, 2]);
     /// assert_eq!(graph.startable(), [0]);
-    /// graph.begin(0);
+    /// graph.mark_running(0);
     /// assert!(graph.startable().is_empty());
-    /// graph.done(0);
+    /// graph.mark_done(0);
     /// assert_eq!(graph.startable(), [1]);
     /// ```
     #[must_use]
@@ -72,23 +72,23 @@
 
     /// Bytes of all results of a stage.
     #[must_use]
-    pub fn size_of(&self, stage: usize) -> u64 {
+    pub fn total_result_bytes(&self, stage: usize) -> u64 {
         self.stages[stage].result_bytes * u64::from(self.pieces[stage])
     }
 
     /// Whether a stage is made or left out.
     #[must_use]
-    pub fn is_over(&self, stage: usize) -> bool {
+    pub fn is_complete(&self, stage: usize) -> bool {
         matches!(self.states[stage], StageState::Done | StageState::Omitted)
     }
 
     /// Notes that a stage is being made.
-    pub fn begin(&mut self, stage: usize) {
+    pub fn mark_running(&mut self, stage: usize) {
         self.states[stage] = StageState::Running;
     }
 
     /// Notes that a stage was made.
-    pub fn done(&mut self, stage: usize) {
+    pub fn mark_done(&mut self, stage: usize) {
         self.states[stage] = StageState::Done;
     }
 
@@ -99,7 +99,7 @@
     /// of 32 MB.
     #[must_use]
     pub fn startable(&self) -> Vec<usize> {
-        let open = (0..self.stages.len()).filter(|stage| !self.is_over(*stage));
+        let open = (0..self.stages.len()).filter(|stage| !self.is_complete(*stage));
         let longest = open.map(|stage| self.depth(stage)).max().unwrap_or(0);
         (0..self.stages.len())
             .filter(|stage| self.states[*stage] == StageState::Waiting)
@@ -111,17 +111,19 @@
     /// Pieces of the stages that read a stage's results, by their service.
     #[must_use]
     pub fn following(&self, stage: usize) -> Vec<(ServiceName, u32)> {
-        let next = self.followers(stage).filter(|next| !self.is_over(*next));
+        let next = self
+            .followers(stage)
+            .filter(|next| !self.is_complete(*next));
         next.map(|next| (self.stages[next].service.clone(), self.pieces[next]))
             .collect()
     }
 
     /// Stages whose results have been read by everyone, now that this one is made.
     #[must_use]
-    pub fn read_by_all(&self, made: usize) -> Vec<usize> {
+    pub fn fully_read_inputs(&self, made: usize) -> Vec<usize> {
         let before = self.stages[made].after.iter().copied();
         before
-            .filter(|read| self.followers(*read).all(|stage| self.is_over(stage)))
+            .filter(|read| self.followers(*read).all(|stage| self.is_complete(stage)))
             .collect()
     }
 
@@ -131,35 +133,35 @@
         let mut before = self.stages[stage].after.iter();
         before.all(|read| {
             let mut others = self.followers(*read).filter(|other| *other != stage);
-            others.all(|other| self.is_over(other))
+            others.all(|other| self.is_complete(other))
         })
     }
 
     /// Time of the longest chain of stages still to be made, given each stage's own.
     #[must_use]
-    pub fn time_of_all(&self, times: &[Duration]) -> Duration {
+    pub fn critical_path(&self, times: &[Duration]) -> Duration {
         let first = (0..self.stages.len()).filter(|stage| self.stages[*stage].after.is_empty());
         first
-            .map(|stage| self.time_of(stage, times) + self.time_after(stage, times))
+            .map(|stage| self.time_of(stage, times) + self.critical_path_after(stage, times))
             .max()
             .unwrap_or_default()
     }
 
     /// Time of the longest chain that follows a stage.
     #[must_use]
-    pub fn time_after(&self, stage: usize, times: &[Duration]) -> Duration {
+    pub fn critical_path_after(&self, stage: usize, times: &[Duration]) -> Duration {
         self.followers(stage)
-            .map(|next| self.time_of(next, times) + self.time_after(next, times))
+            .map(|next| self.time_of(next, times) + self.critical_path_after(next, times))
             .max()
             .unwrap_or_default()
     }
 
     /// Time of the longest chain still to be made before a stage.
     #[must_use]
-    pub fn time_before(&self, stage: usize, times: &[Duration]) -> Duration {
+    pub fn critical_path_before(&self, stage: usize, times: &[Duration]) -> Duration {
         let before = self.stages[stage].after.iter().copied();
         before
-            .map(|before| self.time_of(before, times) + self.time_before(before, times))
+            .map(|before| self.time_of(before, times) + self.critical_path_before(before, times))
             .max()
             .unwrap_or_default()
     }
@@ -169,23 +171,23 @@
     /// A request that can be in time is. One that cannot takes what is left at every stage, so it is worth beginning
     /// only if something is left at the worst of them. Judged stage by stage, it would pass the first and be refused at
     /// the next, seen as half of a burst refused after half a second of work for it.
-    pub fn worth_beginning(
+    pub fn check_feasible(
         &self,
         expected: &ExpectedStages,
         until_aim: Duration,
         until_left: Duration,
     ) -> Result<(), Duration> {
-        if self.time_of_all(&expected.in_time) <= until_aim {
+        if self.critical_path(&expected.in_time) <= until_aim {
             return Ok(());
         }
-        if self.time_of_all(&expected.late) <= until_left.mul_f64(MOST_TIME) {
+        if self.critical_path(&expected.late) <= until_left.mul_f64(MOST_TIME) {
             return Ok(());
         }
         Err(expected.in_time.iter().max().copied().unwrap_or_default())
     }
 
     fn time_of(&self, stage: usize, times: &[Duration]) -> Duration {
-        if self.is_over(stage) {
+        if self.is_complete(stage) {
             Duration::ZERO
         } else {
             times[stage]
@@ -194,7 +196,7 @@
 
     fn has_inputs(&self, stage: usize) -> bool {
         let mut before = self.stages[stage].after.iter();
-        before.all(|stage| self.is_over(*stage))
+        before.all(|stage| self.is_complete(*stage))
     }
 
     fn followers(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
--- a/crates/tc-policy/src/suspect.rs
+++ b/crates/tc-policy/src/suspect.rs
@@ -28,7 +28,7 @@
 /// Whether a suspect may run now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trial {
-    /// It may run, on one upstream; tell [`Suspects::trial_ended`] afterwards.
+    /// It may run, on one upstream; tell [`Suspects::end_trial`] afterwards.
     Run,
     /// It, or another suspect of the same crash, runs now.
     Busy {
@@ -64,7 +64,7 @@
     /// the request that crashes upstreams may take some at the same moment.
     pub crashes_to_trial: u32,
     /// How long a quarantine lasts; for good, until it is lifted, when `None`.
-    pub quarantine_life: Option<Duration>,
+    pub quarantine_duration: Option<Duration>,
 }
 
 /// The suspects, trials and quarantined fingerprints at one home. Memory is bounded.
@@ -89,9 +89,9 @@
     /// use tc_protocol::{Fingerprint, Incarnation, MonoTime};
     /// let mut suspects = Suspects::new(2);
     /// let (now, guilty) = (MonoTime(1), Fingerprint(7));
-    /// suspects.died(now, &"gen-1".into(), Incarnation(1), &[guilty, Fingerprint(8)]);
+    /// suspects.record_crash(now, &"gen-1".into(), Incarnation(1), &[guilty, Fingerprint(8)]);
     /// assert_eq!(suspects.try_trial(now, guilty), Trial::Run);
-    /// suspects.died(now, &"gen-2".into(), Incarnation(1), &[guilty]);
+    /// suspects.record_crash(now, &"gen-2".into(), Incarnation(1), &[guilty]);
     /// assert!(matches!(suspects.try_trial(now, guilty), Trial::Quarantined { .. }));
     /// assert!(!suspects.is_suspect(Fingerprint(8)));
     /// ```
@@ -100,7 +100,7 @@
         Self::with_policy(SuspectPolicy {
             crashes_to_quarantine,
             crashes_to_trial: 1,
-            quarantine_life: None,
+            quarantine_duration: None,
         })
     }
 
@@ -113,11 +113,11 @@
     /// let mut suspects = Suspects::with_policy(SuspectPolicy {
     ///     crashes_to_quarantine: 3,
     ///     crashes_to_trial: 2,
-    ///     quarantine_life: Some(Duration::from_secs(600)),
+    ///     quarantine_duration: Some(Duration::from_secs(600)),
     /// });
-    /// suspects.died(MonoTime(1), &"gen-1".into(), Incarnation(1), &[Fingerprint(7)]);
+    /// suspects.record_crash(MonoTime(1), &"gen-1".into(), Incarnation(1), &[Fingerprint(7)]);
     /// assert!(!suspects.is_suspect(Fingerprint(7)));
-    /// suspects.died(MonoTime(2), &"gen-2".into(), Incarnation(1), &[Fingerprint(7)]);
+    /// suspects.record_crash(MonoTime(2), &"gen-2".into(), Incarnation(1), &[Fingerprint(7)]);
     /// assert!(suspects.is_suspect(Fingerprint(7)));
     /// ```
     #[must_use]
@@ -137,7 +137,7 @@
     ///
     /// For the neighbours' sake, tell all fingerprints that were in flight, and have the fingerprints of a service
     /// at one home: where a home knows only some of them, it cannot tell the guilty one from its neighbours.
-    pub fn died(
+    pub fn record_crash(
         &mut self,
         now: MonoTime,
         upstream: &UpstreamId,
@@ -219,13 +219,13 @@
     }
 
     /// The trial is over, whatever came of it.
-    pub fn trial_ended(&mut self, now: MonoTime, fp: Fingerprint) {
+    pub fn end_trial(&mut self, now: MonoTime, fp: Fingerprint) {
         self.trials.remove(&fp);
         self.forget_old(now);
     }
 
     /// The fingerprint ran to a whole result: it is no suspect any more.
-    pub fn cleared(&mut self, now: MonoTime, fp: Fingerprint) {
+    pub fn clear(&mut self, now: MonoTime, fp: Fingerprint) {
         self.trials.remove(&fp);
         for key in self.crashes_of.remove(&fp).unwrap_or_default() {
             if let Some(crash) = self.crashes.get_mut(&key) {
@@ -330,7 +330,7 @@
     fn forget_old(&mut self, now: MonoTime) {
         self.trials
             .retain(|_, started| now.since(*started) < TRIAL_LASTS);
-        if let Some(life) = self.policy.quarantine_life {
+        if let Some(life) = self.policy.quarantine_duration {
             self.quarantined.retain(|_, since| now.since(*since) < life);
             self.quarantined_order
                 .retain(|fp| self.quarantined.contains_key(fp));
--- a/crates/tc-policy/src/throttle.rs
+++ b/crates/tc-policy/src/throttle.rs
@@ -29,9 +29,9 @@
 /// use tc_protocol::MonoTime;
 /// let mut throttle = Throttle::default();
 /// let now = MonoTime::from_millis(1);
-/// (0..100).for_each(|_| throttle.missed(now));
-/// assert!(throttle.refusal_share(now) > 0.9);
-/// assert_eq!(throttle.refusal_share(MonoTime::from_millis(60_000)), 0.0);
+/// (0..100).for_each(|_| throttle.record_missed(now));
+/// assert!(throttle.refusal_probability(now) > 0.9);
+/// assert_eq!(throttle.refusal_probability(MonoTime::from_millis(60_000)), 0.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Throttle {
@@ -44,7 +44,7 @@
 impl Throttle {
     /// Share of new requests to refuse, from 0 to below 1.
     #[must_use]
-    pub fn refusal_share(&self, now: MonoTime) -> f64 {
+    pub fn refusal_probability(&self, now: MonoTime) -> f64 {
         let decay = self.decay(now);
         let offered = (self.refused + self.missed + self.got_room) * decay;
         if offered < LEAST_OUTCOMES {
@@ -56,7 +56,7 @@
 
     /// Whether to let a request in, `random` being uniform from 0 to 1.
     pub fn admit(&mut self, now: MonoTime, random: f64) -> bool {
-        let admitted = random >= self.refusal_share(now);
+        let admitted = random >= self.refusal_probability(now);
         if !admitted {
             self.age(now);
             self.refused += 1.0;
@@ -65,13 +65,13 @@
     }
 
     /// A request that was let in found room, whatever its answer was.
-    pub fn got_room(&mut self, now: MonoTime) {
+    pub fn record_accepted(&mut self, now: MonoTime) {
         self.age(now);
         self.got_room += 1.0;
     }
 
     /// A request that was let in found no room in time.
-    pub fn missed(&mut self, now: MonoTime) {
+    pub fn record_missed(&mut self, now: MonoTime) {
         self.age(now);
         self.missed += 1.0;
     }
--- a/crates/tc-policy/src/upstream_limit/lone.rs
+++ b/crates/tc-policy/src/upstream_limit/lone.rs
@@ -5,7 +5,7 @@
 use tc_protocol::{InstanceId, Member, MonoTime, UpstreamId, routing::RateLimit};
 
 use super::pace::{PacedSends, paced_rate};
-use crate::may_send_alone;
+use crate::may_send_without_home;
 
 /// Part of the limit that instances share which cannot reach the home, while the home may go on granting.
 const BESIDE_HOME: f64 = 0.25;
@@ -72,7 +72,7 @@
             .entry(upstream.clone())
             .or_insert_with(|| PacedSends::new(now, share.per_s_each));
         paced.set_rate(now, share.per_s_each);
-        paced.may_send(now) && may_send_alone(me, members, upstream, share.senders)
+        paced.may_send(now) && may_send_without_home(me, members, upstream, share.senders)
     }
 
     /// Records a send.
--- a/crates/tc-policy/tests/batch/common.rs
+++ b/crates/tc-policy/tests/batch/common.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tc_policy::{
-    BatchCall, BatchPlanner, BatchUpstream, CallEnd, JobKey, NewJob, RepeatBudget, RepeatLimits,
+    BatchCall, BatchPlanner, BatchUpstream, CallEnd, JobKey, NewJob, RetryBudget, RetryLimits,
 };
 use tc_protocol::{
     MonoTime,
@@ -24,8 +24,8 @@
     }
 }
 
-pub(crate) fn repeats(extra: f64) -> RepeatBudget {
-    RepeatBudget::new(RepeatLimits {
+pub(crate) fn repeats(extra: f64) -> RetryBudget {
+    RetryBudget::new(RetryLimits {
         ratio: 0.2,
         extra,
         window: Duration::from_secs(10),
--- a/crates/tc-policy/tests/budget.rs
+++ b/crates/tc-policy/tests/budget.rs
@@ -1,18 +1,18 @@
 //! Extra calls stay within burst and ratio, whatever the order of calls.
 
 use bolero::generator::produce;
-use tc_policy::Budget;
+use tc_policy::ExtraCallBudget;
 
 #[test]
 fn spent_never_exceeds_burst_and_ratio() {
     let input = produce::<(u8, u8, Vec<bool>)>();
     tc_fuzz::check(2_000, input, |(ratio, burst, steps)| {
         let (ratio, burst) = (f64::from(*ratio) / 100.0, f64::from(*burst) / 10.0);
-        let mut budget = Budget::new(ratio, burst);
+        let mut budget = ExtraCallBudget::new(ratio, burst);
         let mut spent = 0;
         for &is_call in steps.iter().cycle().take(steps.len() * 10) {
             if is_call {
-                budget.note_call();
+                budget.record_call();
             } else {
                 spent += u64::from(budget.try_spend());
             }
@@ -25,9 +25,9 @@
 
 #[test]
 fn ratio_is_used_in_full() {
-    let mut budget = Budget::new(0.03, 0.0);
+    let mut budget = ExtraCallBudget::new(0.03, 0.0);
     for _ in 0..10_000 {
-        budget.note_call();
+        budget.record_call();
         budget.try_spend();
     }
     assert_eq!(budget.spent(), 300);
@@ -38,9 +38,9 @@
 /// Cause: the unused part of the ratio would be saved up without bound.
 #[test]
 fn quiet_time_saves_up_no_storm() {
-    let mut budget = Budget::new(0.1, 5.0);
+    let mut budget = ExtraCallBudget::new(0.1, 5.0);
     for _ in 0..1_000_000 {
-        budget.note_call();
+        budget.record_call();
     }
     let at_once = (0..1_000).filter(|_| budget.try_spend()).count();
     assert!(at_once <= 6, "{at_once} retries at once");
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -118,10 +118,10 @@
         let mut graph = StageGraph::new(&kind.stages, &req.pieces);
         for stage in 0..req.pieces.len() {
             if req.begun[stage] {
-                graph.begin(stage);
+                graph.mark_running(stage);
             }
             if req.done[stage] && req.pieces[stage] > 0 {
-                graph.done(stage);
+                graph.mark_done(stage);
             }
         }
         let startable = graph.startable();
@@ -188,7 +188,7 @@
         let mut graph = StageGraph::new(&kind.stages, &req.pieces);
         for made in 0..req.pieces.len() {
             if req.done[made] && req.pieces[made] > 0 {
-                graph.done(made);
+                graph.mark_done(made);
             }
         }
         let until_aim = kind.aim.saturating_sub(now.since(req.at) + PROMPT);
@@ -207,14 +207,19 @@
             .iter()
             .flat_map(|before| req.results[*before].iter().cloned())
             .collect();
-        let held_bytes: u64 = spec.after.iter().map(|b| graph.size_of(*b)).sum();
+        let held_bytes: u64 = spec
+            .after
+            .iter()
+            .map(|b| graph.total_result_bytes(*b))
+            .sum();
         let prefer = preferred(&inputs, held_bytes * u64::from(req.pieces[stage]));
         let until_aim = if req.is_late_return {
             Duration::ZERO
         } else {
             until_aim
         };
-        let in_time_for = until_aim.saturating_sub(graph.time_after(stage, &expected.in_time));
+        let in_time_for =
+            until_aim.saturating_sub(graph.critical_path_after(stage, &expected.in_time));
         NewJob {
             request: format!("{request}").into(),
             stage: stage as u32,
--- a/crates/tc-policy/tests/chain/world.rs
+++ b/crates/tc-policy/tests/chain/world.rs
@@ -5,7 +5,7 @@
 use rand_xoshiro::{Xoroshiro128PlusPlus, rand_core::SeedableRng};
 use slotmap::SecondaryMap;
 use tc_policy::{
-    BatchCall, BatchPlanner, BatchUpstream, ChainJudge, JobKey, RepeatBudget, RepeatLimits,
+    BatchCall, BatchPlanner, BatchUpstream, ChainJudge, JobKey, RetryBudget, RetryLimits,
     StageOutlooks,
 };
 use tc_protocol::{MonoTime, routing::ResultHandle};
@@ -112,13 +112,13 @@
 
 impl World {
     pub(crate) fn new(seed: u64) -> Self {
-        let limits = RepeatLimits {
+        let limits = RetryLimits {
             ratio: 0.2,
             extra: 200.0,
             window: Duration::from_secs(10),
         };
         let home = |service: usize| {
-            let mut home = BatchPlanner::new(spec(service), RepeatBudget::new(limits));
+            let mut home = BatchPlanner::new(spec(service), RetryBudget::new(limits));
             let makers: Vec<BatchUpstream> = (0..MAKERS[service])
                 .map(|number| BatchUpstream {
                     id: format!("{service}-{number}").into(),
--- a/crates/tc-policy/tests/choice.rs
+++ b/crates/tc-policy/tests/choice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::{SeedableRng, rngs::StdRng};
-use tc_policy::{Candidate, choose, rendezvous, rendezvous_score};
+use tc_policy::{UpstreamCandidate, choose_upstream, rendezvous, rendezvous_score};
 use tc_protocol::{Ask, Attempt, Cost, Fingerprint, Upstream, UpstreamState, UpstreamSummary};
 
 fn ask() -> Ask {
@@ -47,10 +47,10 @@
 
 /// How often each upstream is chosen in 1,000 tries; distances in milliseconds by index.
 fn counts(states: &[UpstreamState], distances_ms: &[f64], ask: &Ask) -> Vec<u32> {
-    let candidates: Vec<Candidate<'_>> = states
+    let candidates: Vec<UpstreamCandidate<'_>> = states
         .iter()
         .zip(distances_ms.iter().cycle())
-        .map(|(state, &distance_ms)| Candidate {
+        .map(|(state, &distance_ms)| UpstreamCandidate {
             state,
             summary: state.summary,
             leaving: state.leaving,
@@ -62,7 +62,7 @@
     let mut random = StdRng::seed_from_u64(1);
     let mut counts = vec![0; states.len()];
     for _ in 0..1_000 {
-        if let Some(choice) = choose(&candidates, ask, &mut random) {
+        if let Some(choice) = choose_upstream(&candidates, ask, &mut random) {
             counts[choice.index] += 1;
         }
     }
@@ -238,8 +238,8 @@
     let mut own = [0_u32; 3];
     let mut random = StdRng::seed_from_u64(1);
     for _ in 0..24 {
-        let candidates: Vec<Candidate<'_>> = (0..3)
-            .map(|i| Candidate {
+        let candidates: Vec<UpstreamCandidate<'_>> = (0..3)
+            .map(|i| UpstreamCandidate {
                 state: &states[i],
                 summary: states[i].summary,
                 leaving: states[i].leaving,
@@ -248,7 +248,7 @@
                 distance_ms: 0.0,
             })
             .collect();
-        let choice = choose(&candidates, &ask(), &mut random).expect("all are usable");
+        let choice = choose_upstream(&candidates, &ask(), &mut random).expect("all are usable");
         own[choice.index] += 1;
     }
     assert!(
--- a/crates/tc-policy/tests/cold.rs
+++ b/crates/tc-policy/tests/cold.rs
@@ -5,7 +5,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bolero::{TypeGenerator, generator::produce};
-use tc_policy::{ColdLimit, EngineCandidate, EnginePlanner, RecentSends, may_send_alone};
+use tc_policy::{ColdLimit, EngineCandidate, EnginePlanner, RecentSends, may_send_without_home};
 use tc_protocol::{
     InstanceId, Member, MonoTime, UpstreamId,
     routing::{EngineAsk, EngineNews, EngineSpec, Prompt, PromptPart},
@@ -88,7 +88,7 @@
     let cold: UpstreamId = "e0".into();
     let chosen = (0..200).filter_map(|family| planner.choose(start, &ask(family)));
     let of_cold = chosen.filter(|choice| choice.upstream == cold).count();
-    assert_eq!(of_cold as u32, limit().of_home());
+    assert_eq!(of_cold as u32, limit().home_share());
 }
 
 /// Symptom: requests wait for, or are sent in spite of the limit to, engines that are all cold. Sequence: all engines start at
@@ -99,9 +99,9 @@
     let until = start.after(Duration::from_secs(3));
     let mut planner = home(&[engine(0, until), engine(1, until)]);
     let chosen = (0..200).filter_map(|family| planner.choose(start, &ask(family)));
-    assert_eq!(chosen.count() as u32, 2 * limit().of_home());
+    assert_eq!(chosen.count() as u32, 2 * limit().home_share());
     assert!(planner.choose(start, &ask(0)).is_none());
-    let alone = planner.choose_alone(start, &ask(0), |_| true);
+    let alone = planner.choose_without_home(start, &ask(0), |_| true);
     assert!(
         alone.is_none(),
         "whoever chooses alone leaves cold ones out"
@@ -167,8 +167,8 @@
     fn by_home(&mut self, which: usize, now: MonoTime, family: u8, late_ms: u8) {
         let home = &mut self.homes[which];
         if let Some(choice) = home.choose(now, &ask(u64::from(family))) {
-            home.note(now, choice.run, EngineNews::FirstEvent(READ));
-            home.note(now, choice.run, EngineNews::Ended);
+            home.record(now, choice.run, EngineNews::FirstEvent(READ));
+            home.record(now, choice.run, EngineNews::Ended);
             let at = now.after(Duration::from_millis(late_ms.into()));
             self.arrivals.push((choice.upstream, at));
         }
@@ -181,13 +181,13 @@
         let may = |id: &UpstreamId| {
             let own = sends.iter().find(|(of, _)| of == id);
             let recent = own.map_or(0, |(_, sends)| sends.count(now));
-            recent == 0 && may_send_alone(&me, members, id, limit().lone_senders())
+            recent == 0 && may_send_without_home(&me, members, id, limit().senders_without_home())
         };
-        let Some(choice) = planner.choose_alone(now, &ask(u64::from(family)), may) else {
+        let Some(choice) = planner.choose_without_home(now, &ask(u64::from(family)), may) else {
             return;
         };
         let mut recent = RecentSends::default();
-        recent.note(now);
+        recent.record(now);
         sends.retain(|(of, _)| *of != choice.upstream);
         sends.push((choice.upstream.clone(), recent));
         let at = now.after(Duration::from_millis(late_ms.into()));
@@ -236,7 +236,7 @@
             }
         }
         let most = fleet.most_at_one();
-        assert!(most as u32 <= limit().all(), "{most} within a second");
+        assert!(most as u32 <= limit().total(), "{most} within a second");
     });
 }
 
@@ -258,7 +258,7 @@
         }
     }
     let most = fleet.most_at_one();
-    assert!(most as u32 <= limit().all(), "{most} within a second");
+    assert!(most as u32 <= limit().total(), "{most} within a second");
 }
 
 #[test]
@@ -266,7 +266,7 @@
     let members = members();
     let who = |upstream: &str| -> Vec<&InstanceId> {
         let ids = members.iter().map(|member| &member.id);
-        ids.filter(|id| may_send_alone(id, &members, &upstream.into(), 9))
+        ids.filter(|id| may_send_without_home(id, &members, &upstream.into(), 9))
             .collect()
     };
     assert_eq!(who("e1").len(), 9);
--- a/crates/tc-policy/tests/engines/choice.rs
+++ b/crates/tc-policy/tests/engines/choice.rs
@@ -44,7 +44,7 @@
 fn planner_after_first_event() -> (EnginePlanner, EngineAsk) {
     let mut planner = planner(&["a", "a"]);
     let first = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
-    planner.note(at(190), first.run, EngineNews::FirstEvent(time_of(5_500)));
+    planner.record(at(190), first.run, EngineNews::FirstEvent(time_of(5_500)));
     let mut other = ask(&[(1, 5_000), (3, 500)]);
     other.except = vec![first.upstream];
     (planner, other)
@@ -62,7 +62,7 @@
 
     let mut planner = self::planner(&["a", "a"]);
     let failed = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
-    planner.note(at(150), failed.run, EngineNews::Failed);
+    planner.record(at(150), failed.run, EngineNews::Failed);
     let next = choose(&mut planner, at(5_000), &ask(&[(1, 5_000), (3, 500)]));
     assert_eq!(next.fetch_from, None);
 }
@@ -71,7 +71,7 @@
 fn an_engine_that_failed_pauses_while_there_is_another() {
     let mut planner = planner(&["a", "a"]);
     let failed = choose(&mut planner, at(100), &ask(&[(1, 500)]));
-    planner.note(at(110), failed.run, EngineNews::Failed);
+    planner.record(at(110), failed.run, EngineNews::Failed);
     for part in 0..6 {
         let choice = choose(&mut planner, at(120), &ask(&[(10 + part, 500)]));
         assert_ne!(choice.upstream, failed.upstream);
@@ -90,8 +90,8 @@
         assert_eq!(choice.upstream, id(1));
         let run = choice.run;
         let read = at(150 + part * 1_000);
-        planner.note(read, run, EngineNews::FirstEvent(ms(50)));
-        planner.note(read, run, EngineNews::Ended);
+        planner.record(read, run, EngineNews::FirstEvent(ms(50)));
+        planner.record(read, run, EngineNews::Ended);
     }
 }
 
@@ -117,8 +117,8 @@
     assert_eq!(planner.size(), (1, 1));
     let last = choose(&mut planner, at(12_000), &ask(&[(2, 500)]));
     assert_eq!(planner.size(), (1, 1));
-    planner.note(at(12_100), last.run, EngineNews::Ended);
-    planner.note(at(12_100), last.run, EngineNews::Ended);
-    planner.note(at(12_100), 77, EngineNews::Failed);
+    planner.record(at(12_100), last.run, EngineNews::Ended);
+    planner.record(at(12_100), last.run, EngineNews::Ended);
+    planner.record(at(12_100), 77, EngineNews::Failed);
     assert_eq!(planner.size(), (0, 1));
 }
--- a/crates/tc-policy/tests/engines/common.rs
+++ b/crates/tc-policy/tests/engines/common.rs
@@ -48,8 +48,8 @@
     for round in 0..20 {
         let tokens = if round % 2 == 0 { 600 } else { 6_000 };
         let choice = choose(&mut planner, at(0), &ask(&[(1_000 + round, tokens)]));
-        planner.note(at(0), choice.run, EngineNews::FirstEvent(time_of(tokens)));
-        planner.note(at(0), choice.run, EngineNews::Ended);
+        planner.record(at(0), choice.run, EngineNews::FirstEvent(time_of(tokens)));
+        planner.record(at(0), choice.run, EngineNews::Ended);
     }
     planner
 }
@@ -88,7 +88,7 @@
 pub(crate) fn read(planner: &mut EnginePlanner, now: MonoTime, ask: &EngineAsk) -> UpstreamId {
     let choice = choose(planner, now, ask);
     let took = time_of(ask.prompt.tokens_in);
-    planner.note(now, choice.run, EngineNews::FirstEvent(took));
-    planner.note(now, choice.run, EngineNews::Ended);
+    planner.record(now, choice.run, EngineNews::FirstEvent(took));
+    planner.record(now, choice.run, EngineNews::Ended);
     choice.upstream
 }
--- a/crates/tc-policy/tests/engines/fuzz.rs
+++ b/crates/tc-policy/tests/engines/fuzz.rs
@@ -80,13 +80,13 @@
                         1 => EngineNews::Ended,
                         _ => EngineNews::Failed,
                     };
-                    planner.note(at(now), *run, news);
+                    planner.record(at(now), *run, news);
                     if what % 3 != 0 {
                         runs.remove(run);
                     }
                 }
                 Op::NewsOfNobody(run) if !runs.contains_key(&run) => {
-                    planner.note(at(now), run, EngineNews::Failed);
+                    planner.record(at(now), run, EngineNews::Failed);
                 }
                 Op::NewsOfNobody(_) => {}
                 Op::Listed(bits) => {
--- a/crates/tc-policy/tests/memory.rs
+++ b/crates/tc-policy/tests/memory.rs
@@ -50,7 +50,7 @@
     for crash in 0..5_000_u64 {
         let now = MonoTime::from_millis(crash * 100);
         let fps: Vec<Fingerprint> = (0..8).map(|i| Fingerprint(crash * 8 + i)).collect();
-        suspects.died(now, &"generate-1".into(), Incarnation(crash), &fps);
+        suspects.record_crash(now, &"generate-1".into(), Incarnation(crash), &fps);
         suspects.try_trial(now, fps[0]);
         suspects.adopt_quarantine(now, Fingerprint(u64::MAX - crash));
         most = most.max(suspects.len());
--- a/crates/tc-policy/tests/pick.rs
+++ b/crates/tc-policy/tests/pick.rs
@@ -1,6 +1,6 @@
 //! Choice of an upstream for a request that is called directly.
 
-use tc_policy::{PickCandidate, PickWish, pick_upstream};
+use tc_policy::{PickCandidate, PickPreference, pick_upstream};
 use tc_protocol::{FailureDomain, UpstreamId};
 
 fn ids(count: usize) -> Vec<UpstreamId> {
@@ -31,11 +31,11 @@
     let candidates = candidates(&ids, &domains);
     let mut counts = [0_i32; 6];
     for request in 0..88 * 12 {
-        let wish = PickWish {
-            chance: request,
-            ..PickWish::default()
+        let preference = PickPreference {
+            tie_breaker: request,
+            ..PickPreference::default()
         };
-        counts[pick_upstream(&candidates, &wish).expect("one is chosen")] += 1;
+        counts[pick_upstream(&candidates, &preference).expect("one is chosen")] += 1;
     }
     assert!(counts.iter().all(|n| (n - 176).abs() <= 48), "{counts:?}");
 }
@@ -46,13 +46,13 @@
     let candidates = candidates(&ids, &domains);
     let mut counts = [0_i32; 12];
     for key in 0..1_200 {
-        let wish = |chance| PickWish {
-            kept: Some(key),
+        let preference = |tie_breaker| PickPreference {
+            affinity_key: Some(key),
             domain: Some(&domains[0]),
-            chance,
+            tie_breaker,
         };
-        let chosen = pick_upstream(&candidates, &wish(1)).expect("one is chosen");
-        assert_eq!(pick_upstream(&candidates, &wish(2)), Some(chosen));
+        let chosen = pick_upstream(&candidates, &preference(1)).expect("one is chosen");
+        assert_eq!(pick_upstream(&candidates, &preference(2)), Some(chosen));
         counts[chosen] += 1;
     }
     assert!(counts.iter().all(|n| (n - 100).abs() <= 40), "{counts:?}");
@@ -62,12 +62,12 @@
 fn a_hot_prompt_spills_before_its_upstream_is_far_above_the_mean() {
     let (ids, domains) = (ids(4), ["a".into()]);
     let mut candidates = candidates(&ids, &domains);
-    let wish = PickWish {
-        kept: Some(5),
-        ..PickWish::default()
+    let preference = PickPreference {
+        affinity_key: Some(5),
+        ..PickPreference::default()
     };
     for _ in 0..24 {
-        let chosen = pick_upstream(&candidates, &wish).expect("one is chosen");
+        let chosen = pick_upstream(&candidates, &preference).expect("one is chosen");
         candidates[chosen].load += 1.0;
     }
     let most = candidates.iter().map(|c| c.load).fold(0.0, f64::max);
@@ -80,15 +80,15 @@
     let mut candidates = candidates(&ids, &domains);
     candidates[0].slowness = 5.0;
     for request in 0..50 {
-        let wish = PickWish {
-            chance: request,
-            ..PickWish::default()
+        let preference = PickPreference {
+            tie_breaker: request,
+            ..PickPreference::default()
         };
-        assert_eq!(pick_upstream(&candidates, &wish), Some(1));
+        assert_eq!(pick_upstream(&candidates, &preference), Some(1));
     }
 }
 
 #[test]
 fn without_candidates_nothing_is_chosen() {
-    assert_eq!(pick_upstream(&[], &PickWish::default()), None);
+    assert_eq!(pick_upstream(&[], &PickPreference::default()), None);
 }
--- a/crates/tc-policy/tests/prompt_times.rs
+++ b/crates/tc-policy/tests/prompt_times.rs
@@ -23,36 +23,36 @@
         } else {
             (800, 30)
         };
-        times.learn(tokens, ms(took + number % 7));
+        times.record(tokens, ms(took + number % 7));
     }
     let near =
         |expected: Duration, ms: f64| (expected.as_secs_f64() * 1_000.0 / ms - 1.0).abs() < 0.2;
-    assert!(near(times.expect(800), 33.0), "{:?}", times.expect(800));
-    assert!(near(times.expect(12_000), 253.0));
-    assert!(near(times.expect(40_000), 803.0));
+    assert!(near(times.estimate(800), 33.0), "{:?}", times.estimate(800));
+    assert!(near(times.estimate(12_000), 253.0));
+    assert!(near(times.estimate(40_000), 803.0));
 }
 
 #[test]
 fn before_anything_is_measured_a_usual_time_is_expected() {
     let mut times = PromptTimes::default();
-    assert_eq!(times.expect(0), times.expect(50_000));
+    assert_eq!(times.estimate(0), times.estimate(50_000));
     for _ in 0..20 {
-        times.learn(500, ms(40));
+        times.record(500, ms(40));
     }
     // One length only tells nothing of others.
-    assert_eq!(times.expect(50_000).as_millis(), 40);
+    assert_eq!(times.estimate(50_000).as_millis(), 40);
 }
 
 #[test]
 fn an_engine_that_slows_down_is_noticed_within_some_hundred_requests() {
     let mut times = PromptTimes::default();
     for _ in 0..1_000 {
-        times.learn(1_000, ms(50));
+        times.record(1_000, ms(50));
     }
     for _ in 0..200 {
-        times.learn(1_000, ms(100));
+        times.record(1_000, ms(100));
     }
-    assert!(times.expect(1_000) > ms(85));
+    assert!(times.estimate(1_000) > ms(85));
 }
 
 #[test]
@@ -61,9 +61,9 @@
     tc_fuzz::check(2_000, input, |measured: &Vec<(u16, u16)>| {
         let mut times = PromptTimes::default();
         for (tokens, took) in measured {
-            times.learn(u32::from(*tokens), ms(u64::from(*took)));
+            times.record(u32::from(*tokens), ms(u64::from(*took)));
         }
-        let expected = [0, 1_000, 100_000, u32::MAX].map(|tokens| times.expect(tokens));
+        let expected = [0, 1_000, 100_000, u32::MAX].map(|tokens| times.estimate(tokens));
         assert!(expected.is_sorted(), "{expected:?}");
     });
 }
--- a/crates/tc-policy/tests/repeats.rs
+++ b/crates/tc-policy/tests/retry_budget.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bolero::generator::produce;
-use tc_policy::{RepeatBudget, RepeatLimits};
+use tc_policy::{RetryBudget, RetryLimits};
 use tc_protocol::MonoTime;
 
 /// In every window the repeats stay within the ratio of the requests of that window, or of the step before it, and the
@@ -11,18 +11,18 @@
 #[test]
 fn no_window_has_more_repeats_than_allowed() {
     tc_fuzz::check(2_000, produce::<Vec<(bool, u16)>>(), |steps| {
-        let limits = RepeatLimits {
+        let limits = RetryLimits {
             ratio: 0.2,
             extra: 3.0,
             window: Duration::from_secs(10),
         };
-        let mut budget = RepeatBudget::new(limits);
+        let mut budget = RetryBudget::new(limits);
         let (mut requests, mut repeats): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
         let mut now = 1_000;
         for (is_request, pause) in steps {
             now += u64::from(*pause % 700);
             if *is_request {
-                budget.note_request(MonoTime::from_millis(now));
+                budget.record_request(MonoTime::from_millis(now));
                 requests.push(now);
                 continue;
             }
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -4,7 +4,7 @@
 
 use tc_policy::{
     BatchPlanner, BatchUpstream, CallEnd, CallKey, HomeOutlook, JobKey, JudgedRequest, NewJob,
-    PiecesByDue, RepeatBudget, RepeatLimits, StageGraph, StageOutlooks,
+    PiecesByDue, RetryBudget, RetryLimits, StageGraph, StageOutlooks,
 };
 use tc_protocol::{
     MonoTime, ServiceName,
@@ -33,16 +33,19 @@
     ];
     let mut graph = StageGraph::new(&stages, &[1, 1, 1, 1]);
     assert_eq!(graph.startable(), [0]);
-    graph.begin(0);
-    graph.done(0);
+    graph.mark_running(0);
+    graph.mark_done(0);
     assert_eq!(graph.startable(), [2], "the longer chain first");
-    graph.begin(2);
-    graph.done(2);
-    assert!(graph.read_by_all(2).is_empty(), "`draw` still reads `read`");
+    graph.mark_running(2);
+    graph.mark_done(2);
+    assert!(
+        graph.fully_read_inputs(2).is_empty(),
+        "`draw` still reads `read`"
+    );
     assert_eq!(graph.startable(), [1, 3], "both end together");
-    graph.begin(1);
-    graph.done(1);
-    assert_eq!(graph.read_by_all(1), [0]);
+    graph.mark_running(1);
+    graph.mark_done(1);
+    assert_eq!(graph.fully_read_inputs(1), [0]);
 }
 
 #[test]
@@ -51,8 +54,8 @@
     let graph = StageGraph::new(&stages, &[0, 3]);
     assert_eq!(graph.startable(), [1]);
     let times = [ms(300), ms(400)];
-    assert_eq!(graph.time_of_all(&times), ms(400));
-    assert_eq!(StageGraph::new(&stages, &[]).time_of_all(&times), ms(0));
+    assert_eq!(graph.critical_path(&times), ms(400));
+    assert_eq!(StageGraph::new(&stages, &[]).critical_path(&times), ms(0));
 }
 
 /// A service of upstreams that make one call at a time, without failures.
@@ -74,7 +77,7 @@
             result_life: Duration::from_secs(4),
             link_bytes_per_s: 1.25e9,
         };
-        let repeats = RepeatBudget::new(RepeatLimits {
+        let repeats = RetryBudget::new(RetryLimits {
             ratio: 0.2,
             extra: 50.0,
             window: Duration::from_secs(10),
@@ -182,11 +185,11 @@
                     rank: 0,
                 },
             );
-            if judges && graph.worth_beginning(&expected, AIM, LEAVES).is_err() {
+            if judges && graph.check_feasible(&expected, AIM, LEAVES).is_err() {
                 tally.refused_at_once += 1;
                 continue;
             }
-            let following = graph.time_after(0, &expected.in_time);
+            let following = graph.critical_path_after(0, &expected.in_time);
             match services[0]
                 .planner
                 .push(now, job(0, 1, now, now, following))
@@ -297,6 +300,6 @@
             },
         );
         // Whatever it decides, it decides.
-        let _ = graph.worth_beginning(&expected, AIM, LEAVES);
+        let _ = graph.check_feasible(&expected, AIM, LEAVES);
     }
 }
--- a/crates/tc-policy/tests/suspects.rs
+++ b/crates/tc-policy/tests/suspects.rs
@@ -36,7 +36,7 @@
         // The first crash: all were in flight together.
         let all: Vec<Fingerprint> = (0..requests as u64).map(Fingerprint).collect();
         let mut now = at(1);
-        suspects.died(now, &upstream(9), Incarnation(1), &all);
+        suspects.record_crash(now, &upstream(9), Incarnation(1), &all);
         let mut lost = 1;
         for step in 0..200 {
             now = at(10 * step + 10);
@@ -47,8 +47,8 @@
                 for on in &mut running {
                     on.remove(&fp);
                 }
-                suspects.trial_ended(now, fp);
-                suspects.cleared(now, fp);
+                suspects.end_trial(now, fp);
+                suspects.clear(now, fp);
                 continue;
             }
             match suspects.try_trial(now, fp) {
@@ -63,7 +63,7 @@
                     let (some, others) = in_flight.split_at(in_flight.len() / 2);
                     let incarnation = Incarnation(lost);
                     for told in [some, others, some] {
-                        suspects.died(now, &upstream(place), incarnation, told);
+                        suspects.record_crash(now, &upstream(place), incarnation, told);
                     }
                 }
                 Trial::Run => {
@@ -82,11 +82,11 @@
 fn same_death_counts_once() {
     let mut suspects = Suspects::new(2);
     for _ in 0..5 {
-        suspects.died(at(1), &upstream(1), Incarnation(1), &[GUILTY]);
+        suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[GUILTY]);
     }
     assert!(suspects.is_suspect(GUILTY));
     assert_eq!(suspects.try_trial(at(2), GUILTY), Trial::Run);
-    suspects.died(at(3), &upstream(1), Incarnation(2), &[GUILTY]);
+    suspects.record_crash(at(3), &upstream(1), Incarnation(2), &[GUILTY]);
     assert!(is_quarantined(&mut suspects, at(4), GUILTY));
     assert_eq!(suspects.quarantined().collect::<Vec<_>>(), [GUILTY]);
 }
@@ -94,10 +94,10 @@
 #[test]
 fn success_clears_and_a_late_word_of_the_same_death_changes_nothing() {
     let (mut suspects, innocent) = (Suspects::new(2), Fingerprint(7));
-    suspects.died(at(1), &upstream(1), Incarnation(1), &[GUILTY, innocent]);
+    suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[GUILTY, innocent]);
     assert_eq!(suspects.try_trial(at(2), innocent), Trial::Run);
-    suspects.cleared(at(3), innocent);
-    suspects.died(at(4), &upstream(1), Incarnation(1), &[GUILTY, innocent]);
+    suspects.clear(at(3), innocent);
+    suspects.record_crash(at(4), &upstream(1), Incarnation(1), &[GUILTY, innocent]);
     assert!(!suspects.is_suspect(innocent));
     assert!(suspects.is_suspect(GUILTY));
 }
@@ -108,7 +108,7 @@
 #[test]
 fn trial_whose_end_is_never_told_ends() {
     let mut suspects = Suspects::new(2);
-    suspects.died(at(1), &upstream(1), Incarnation(1), &[GUILTY]);
+    suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[GUILTY]);
     assert_eq!(suspects.try_trial(at(2), GUILTY), Trial::Run);
     assert!(matches!(
         suspects.try_trial(at(3), GUILTY),
@@ -122,7 +122,7 @@
     let mut suspects = Suspects::new(2);
     suspects.adopt_quarantine(at(1), GUILTY);
     assert!(is_quarantined(&mut suspects, at(2), GUILTY));
-    suspects.died(
+    suspects.record_crash(
         at(3),
         &upstream(1),
         Incarnation(1),
@@ -138,7 +138,7 @@
 fn a_lifted_fingerprint_runs_and_is_quarantined_again_after_as_many_crashes() {
     let mut suspects = Suspects::new(2);
     let crash = |suspects: &mut Suspects, number| {
-        suspects.died(at(1), &upstream(number), Incarnation(1), &[GUILTY]);
+        suspects.record_crash(at(1), &upstream(number), Incarnation(1), &[GUILTY]);
     };
     crash(&mut suspects, 0);
     crash(&mut suspects, 1);
@@ -161,19 +161,19 @@
     let mut suspects = Suspects::with_policy(SuspectPolicy {
         crashes_to_quarantine: 3,
         crashes_to_trial: 2,
-        quarantine_life: Some(Duration::from_mins(10)),
+        quarantine_duration: Some(Duration::from_mins(10)),
     });
     let all: Vec<Fingerprint> = (0..40).map(Fingerprint).collect();
-    suspects.died(at(1), &upstream(1), Incarnation(1), &all);
+    suspects.record_crash(at(1), &upstream(1), Incarnation(1), &all);
     for &fp in &all {
         assert_eq!(suspects.try_trial(at(2), fp), Trial::Run);
     }
     // The guilty one crashes the next; from now on it runs alone, and after the third crash not at all.
-    suspects.died(at(3), &upstream(2), Incarnation(1), &[GUILTY]);
+    suspects.record_crash(at(3), &upstream(2), Incarnation(1), &[GUILTY]);
     assert_eq!(suspects.try_trial(at(4), GUILTY), Trial::Run);
     let second = suspects.try_trial(at(5), GUILTY);
     assert!(matches!(second, Trial::Busy { .. }), "{second:?}");
-    suspects.died(at(6), &upstream(3), Incarnation(1), &[GUILTY]);
+    suspects.record_crash(at(6), &upstream(3), Incarnation(1), &[GUILTY]);
     assert!(is_quarantined(&mut suspects, at(7), GUILTY));
     assert!(is_quarantined(&mut suspects, at(590_000), GUILTY));
     assert_eq!(suspects.try_trial(at(600_007), GUILTY), Trial::Run);
--- a/crates/tc-policy/tests/throttle.rs
+++ b/crates/tc-policy/tests/throttle.rs
@@ -26,9 +26,9 @@
             if room - left < come_so_far.max(1) && left > 0 {
                 left -= 1;
                 got_room += 1;
-                throttle.got_room(now);
+                throttle.record_accepted(now);
             } else {
-                throttle.missed(now);
+                throttle.record_missed(now);
             }
         }
     }
@@ -87,6 +87,6 @@
     for second in 0..30 {
         let now = MonoTime::from_millis(second * 1_000 + 1);
         assert!(throttle.admit(now, 0.0), "second {second}");
-        throttle.missed(now);
+        throttle.record_missed(now);
     }
 }
--- a/crates/tc-policy/tests/upstream_limit/world.rs
+++ b/crates/tc-policy/tests/upstream_limit/world.rs
@@ -236,7 +236,7 @@
     fn answer(&mut self, sender: usize, limit: Option<RateLimit>, leave: Leave) {
         let now = self.now;
         if let Leave::Granted(Grant { home, run }) = leave {
-            self.nodes[home].planner.note(now, run, EngineNews::Ended);
+            self.nodes[home].planner.record(now, run, EngineNews::Ended);
         }
         if self.is_silent(sender) {
             return;
@@ -323,13 +323,13 @@
         node.take_limits(now);
         let (known, lone, me) = (&node.known, &mut node.lone, &node.member.id);
         let lone = std::cell::RefCell::new(lone);
-        let choice = node.planner.choose_alone(now, &ask, |id| {
+        let choice = node.planner.choose_without_home(now, &ask, |id| {
             known.get(id).is_none_or(|limit| {
                 let share = LoneShare::beside_home(limit);
                 lone.borrow_mut().may_send(now, me, &members, id, share)
             })
         })?;
-        node.planner.note(now, choice.run, EngineNews::Ended);
+        node.planner.record(now, choice.run, EngineNews::Ended);
         node.lone.record(now, &choice.upstream);
         Some(Leave::Alone)
     }
