--- a/crates/tc-policy/src/admission.rs
+++ b/crates/tc-policy/src/admission.rs
@@ -1,21 +1,21 @@
-//! Whether a pipeline still fits its deadline, how long its next stage may wait, and when to hedge.
+//! Deadline-based admission of pipelines, queueing slack of stages, and hedging.
 
 use std::time::Duration;
 
 use crate::StageEstimate;
 
-/// Shortest hint when to ask again.
-const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Longest hint when to ask again.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Least spread a stage is given, so that stages with none measured get a part of the slack too.
-const LEAST_SPREAD: Duration = Duration::from_millis(1);
-/// Shortest time after which a stage is hedged.
-const SHORTEST_HEDGE: Duration = Duration::from_millis(2);
+/// Lower bound of the retry hint.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Upper bound of the retry hint.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Minimum spread of a stage, so that a stage without measurements gets a part of the slack too.
+const MIN_SPREAD: Duration = Duration::from_millis(1);
+/// Minimum time before a stage is hedged.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(2);
 
-/// The estimated time of `stages` if it fits in `remaining`, else when asking again may help.
+/// Returns the estimated time of `stages` if it fits in `remaining`; otherwise returns a hint for when to retry.
 ///
-/// A stage of which nothing is known counts as no time: it is tried, and so becomes known.
+/// A stage without measurements counts as zero, so that it runs and gets measured.
 ///
 /// ```
 /// use std::time::Duration;
@@ -30,16 +30,17 @@
     if !remaining.is_zero() && estimate <= remaining {
         return Ok(estimate);
     }
-    let missing = estimate.saturating_sub(remaining);
-    Err(missing.clamp(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER))
+    let shortfall = estimate.saturating_sub(remaining);
+    Err(shortfall.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
 }
 
-/// How long the first of the `rest` of the stages may wait for its permit.
+/// Returns how long the first stage of `rest` may wait for its permit. Zero means that it may run only if it can start
+/// now.
 ///
-/// The next stage is given time up to its p95 and the later ones up to their estimate. A call that starts when its
-/// slack ends then still ends in time nearly always; with a middling estimate in place of the p95, an overloaded
-/// queue would start every call at the last moment and half of them would run for nothing. What is left is shared
-/// by spread (p95 less median), so a stage that varies a lot gets most of it. Zero means: only if it can start now.
+/// The first stage reserves its p95 and each later one its `at_quantile` estimate, so that a call that starts at the
+/// end of its slack still nearly always finishes in time. With a median in place of the p95, an overloaded queue would
+/// start every call at the last moment and half of them would run for nothing. The remaining time is divided in
+/// proportion to the spread (p95 minus median), so a stage with high variance gets most of it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -58,15 +59,16 @@
     let needed_later: Duration = later.iter().map(|s| s.at_quantile).sum();
     let needed = first.p95.max(first.at_quantile) + needed_later;
     let spare = remaining.saturating_sub(needed);
-    let spread_of_all: Duration = rest.iter().map(spread).sum();
-    spare.mul_f64(spread(first).as_secs_f64() / spread_of_all.as_secs_f64())
+    let total_spread: Duration = rest.iter().map(spread).sum();
+    spare.mul_f64(spread(first).as_secs_f64() / total_spread.as_secs_f64())
 }
 
 fn spread(stage: &StageEstimate) -> Duration {
-    stage.p95.saturating_sub(stage.median).max(LEAST_SPREAD)
+    stage.p95.saturating_sub(stage.median).max(MIN_SPREAD)
 }
 
-/// How long after its start a call of the stage is a straggler worth a hedge, or `None` when a hedge cannot help.
+/// Returns how long after its start a call of the stage should be hedged, or `None` if a hedge could not finish in
+/// time.
 ///
 /// ```
 /// use std::time::Duration;
@@ -81,6 +83,6 @@
     if !stage.known {
         return None;
     }
-    let after = stage.p95.max(SHORTEST_HEDGE);
+    let after = stage.p95.max(MIN_HEDGE_DELAY);
     (after + stage.median <= remaining).then_some(after)
 }
--- a/crates/tc-policy/src/backoffs.rs
+++ b/crates/tc-policy/src/backoffs.rs
@@ -5,15 +5,16 @@
 use tc_protocol::{MonoTime, UpstreamId};
 
 /// Longest backoff; longer requests are capped.
-const LONGEST_BACKOFF: Duration = Duration::from_hours(24);
+const MAX_BACKOFF: Duration = Duration::from_hours(24);
 /// Maximum jitter as a fraction of the backoff; keeps instances from resuming simultaneously.
 const JITTER_FRACTION: f64 = 0.1;
 /// Upper bound on the jitter.
-const LONGEST_JITTER: Duration = Duration::from_millis(500);
+const MAX_JITTER: Duration = Duration::from_millis(500);
 
 /// Active backoffs by upstream.
 ///
-/// A backoff ends only when it expires. A successful answer does not end it, as the request may have been sent before the backoff was requested.
+/// A backoff ends only when it expires. A successful answer does not end it, as the request may have been sent before
+/// the backoff was requested.
 ///
 /// ```
 /// use std::time::Duration;
@@ -34,8 +35,8 @@
 impl Backoffs {
     /// Records a backoff that starts now, unless a recorded one ends later; `chance` from 0 to 1 scales the jitter.
     pub fn extend(&mut self, now: MonoTime, id: &UpstreamId, backoff: Duration, chance: f64) {
-        let backoff = backoff.min(LONGEST_BACKOFF);
-        let jitter = backoff.mul_f64(JITTER_FRACTION).min(LONGEST_JITTER);
+        let backoff = backoff.min(MAX_BACKOFF);
+        let jitter = backoff.mul_f64(JITTER_FRACTION).min(MAX_JITTER);
         let until = now.after(backoff + jitter.mul_f64(chance.clamp(0.0, 1.0)));
         let known = self.until.entry(id.clone()).or_default();
         *known = (*known).max(until);
--- a/crates/tc-policy/src/budget.rs
+++ b/crates/tc-policy/src/budget.rs
@@ -1,23 +1,23 @@
-//! A budget for extra calls (hedges, retries) as a ratio of the ordinary ones.
+//! Budget for extra calls (hedges and retries), as a ratio of regular calls.
 
-/// Fixed-point parts of one extra call; whole numbers, so that rounding can never add up to a call too many.
-const PARTS_PER_CALL: u64 = 1_000_000;
+/// Fixed-point units per extra call. Integers, because rounding errors could add up to a call too many.
+const UNITS_PER_CALL: u64 = 1_000_000;
 
 /// Allows at most `burst + ratio * calls` extra calls.
 ///
-/// The allowance that may be saved up is bounded too. Without that bound, a quiet day would save enough retries to
-/// multiply an outage, seen as a retry storm although the ratio over the day is kept.
+/// The unused allowance is bounded as well. Without that bound, a quiet day would accumulate enough retries to cause a
+/// retry storm in the next outage, although the ratio over the day is kept.
 #[derive(Clone, Debug)]
 pub struct ExtraCallBudget {
     per_call: u64,
     saved: u64,
-    most_saved: u64,
+    max_saved: u64,
     calls: u64,
     spent: u64,
 }
 
 impl ExtraCallBudget {
-    /// A budget of `ratio` extra calls per call, and `burst` at the start.
+    /// Creates a budget of `ratio` extra calls per regular call, with an initial allowance of `burst`.
     ///
     /// ```
     /// use tc_policy::ExtraCallBudget;
@@ -31,25 +31,25 @@
     /// ```
     #[must_use]
     pub fn new(ratio: f64, burst: f64) -> Self {
-        let (per_call, saved) = (parts(ratio), parts(burst));
+        let (per_call, saved) = (units(ratio), units(burst));
         Self {
             per_call,
             saved,
-            most_saved: saved + PARTS_PER_CALL + per_call,
+            max_saved: saved + UNITS_PER_CALL + per_call,
             calls: 0,
             spent: 0,
         }
     }
 
-    /// Counts one ordinary call.
+    /// Counts one regular call.
     pub fn record_call(&mut self) {
         self.calls += 1;
-        self.saved = (self.saved + self.per_call).min(self.most_saved);
+        self.saved = (self.saved + self.per_call).min(self.max_saved);
     }
 
-    /// Takes one extra call from the budget if there is one.
+    /// Takes one extra call from the budget; returns false if the budget is exhausted.
     pub fn try_spend(&mut self) -> bool {
-        let Some(left) = self.saved.checked_sub(PARTS_PER_CALL) else {
+        let Some(left) = self.saved.checked_sub(UNITS_PER_CALL) else {
             return false;
         };
         self.saved = left;
@@ -57,19 +57,19 @@
         true
     }
 
-    /// Extra calls taken.
+    /// Returns the number of extra calls taken.
     #[must_use]
     pub const fn spent(&self) -> u64 {
         self.spent
     }
 
-    /// Ordinary calls counted.
+    /// Returns the number of regular calls counted.
     #[must_use]
     pub const fn calls(&self) -> u64 {
         self.calls
     }
 }
 
-fn parts(calls: f64) -> u64 {
-    (calls.max(0.0) * PARTS_PER_CALL as f64).floor() as u64
+fn units(calls: f64) -> u64 {
+    (calls.max(0.0) * UNITS_PER_CALL as f64).floor() as u64
 }
--- a/crates/tc-policy/src/choice.rs
+++ b/crates/tc-policy/src/choice.rs
@@ -1,77 +1,81 @@
-//! An entry's choice of upstream.
+//! Selection of an upstream by an entry instance.
 
 use rand::RngExt;
 use tc_protocol::{Ask, UpstreamState, UpstreamSummary};
 
 use crate::rendezvous::hashed_score;
 
-/// Upstreams this much farther than the nearest, in milliseconds one way, count as equally near.
+/// Extra one-way distance to the nearest upstream, in milliseconds, up to which upstreams count as equally near.
 const SAME_DISTANCE_MS: f64 = 0.25;
-/// Upstreams this much farther than the nearest, in milliseconds one way, may hold a workspace's prefixes.
-const PREFIX_REACH_MS: f64 = 2.5;
-/// Load above the average, as a factor, up to which an upstream takes the prefixes that prefer it.
-const PREFIX_LOAD_FACTOR: f64 = 1.25;
-/// Service time against the others' median, as a factor, up to which speed does not count: it is mostly noise.
+/// Extra one-way distance to the nearest upstream, in milliseconds, up to which an upstream may hold a workspace's
+/// prefixes.
+const PREFIX_EXTRA_DISTANCE_MS: f64 = 2.5;
+/// Multiple of the average load up to which an upstream takes the prefixes that map to it.
+const PREFIX_MAX_LOAD_FACTOR: f64 = 1.25;
+/// Multiple of the median service time up to which a slower upstream is not penalized: differences below it are mostly
+/// noise.
 const SPEED_TOLERANCE: f64 = 1.25;
-/// One in this many choices measures an upstream at random.
+/// One in this many choices goes to a random upstream, to measure it.
 const EXPLORE_ONE_IN: u32 = 64;
-/// Age at which a summary's queue says nothing any more, in seconds.
-const SUMMARY_FADES_S: f64 = 5.0;
-/// How much of its service time a call loses on a fully loaded upstream; decides between two without a wait.
+/// Age at which the wait reported in a summary no longer counts, in seconds.
+const SUMMARY_MAX_AGE_S: f64 = 5.0;
+/// Part of its service time that a call loses on a fully loaded upstream; a tie-breaker between two upstreams without a
+/// wait.
 const LOAD_SLOWDOWN: f64 = 0.1;
-/// Service time taken for an upstream while none in the service is measured, in milliseconds.
-const UNKNOWN_SERVICE_MS: f64 = 100.0;
+/// Service time assumed while no upstream of the service has been measured, in milliseconds.
+const DEFAULT_SERVICE_MS: f64 = 100.0;
 
-/// One upstream as an entry sees it.
+/// An upstream and what the entry knows of it.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamCandidate<'a> {
-    /// The upstream. Its `summary` and `leaving` are not looked at: what is heard since is newer.
+    /// The upstream. Its own `summary` and `leaving` are ignored in favour of the newer values below.
     pub state: &'a UpstreamState,
-    /// Last summary heard from its home.
+    /// Last summary received from its home.
     pub summary: Option<UpstreamSummary>,
-    /// Whether it gets no new work.
+    /// Whether the upstream is leaving and gets no new work.
     pub leaving: bool,
     /// Age of the summary.
     pub summary_age: std::time::Duration,
-    /// Calls of this entry asked for or running there.
+    /// Calls of this entry that are waiting for a permit or running there.
     pub own_in_flight: u32,
-    /// Network distance in milliseconds one way.
+    /// One-way network distance in milliseconds.
     pub distance_ms: f64,
 }
 
-/// The chosen upstream.
+/// A selected upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamChoice {
     /// Index into the candidates.
     pub index: usize,
-    /// Why, in words.
+    /// Reason for the selection, for display.
     pub why: &'static str,
 }
 
-/// Chooses an upstream for `ask`, or `None` when none may be used.
+/// Selects an upstream for `ask`, or returns `None` if no upstream is usable.
 ///
-/// Left out are upstreams that are leaving, have no home or are in `ask.avoid`, and ejected ones while others are
-/// left. A call with a prefix goes to the upstream that its prefix prefers, unless that one is busier than the
-/// others; any other goes to the better of two by wait and speed, and leaves the nearest failure domain only when
-/// the wait it saves exceeds the distance.
+/// Upstreams that are leaving, have no home or are listed in `ask.avoid` are excluded, and ejected ones too while
+/// others remain. A call with a prefix goes to the upstream that rendezvous hashing assigns to the prefix, unless that
+/// upstream is busier than the others. Any other call goes to the better of two random upstreams by wait and speed, and
+/// leaves the nearest failure domain only if the wait it saves exceeds the added distance.
 ///
-/// One in 64 first attempts goes to a near upstream at random, an ejected one included. Without that, an upstream
-/// that once measured slow would never be measured again, seen as a fleet that shrinks by one with every hiccup.
+/// One in 64 first attempts goes to a random near upstream, which may be an ejected one. Otherwise an upstream that was
+/// once measured as slow would never be measured again, and the number of upstreams in use would shrink with every
+/// temporary slowdown.
 pub fn choose_upstream(
     candidates: &[UpstreamCandidate<'_>],
     ask: &Ask,
     random: &mut impl rand::Rng,
 ) -> Option<UpstreamChoice> {
     let usable: Vec<usize> = (0..candidates.len())
-        .filter(|&i| may_use(&candidates[i], ask))
+        .filter(|&i| is_usable(&candidates[i], ask))
         .collect();
-    let nearest = distance_of_nearest(candidates, &usable)?;
+    let nearest = nearest_distance_ms(candidates, &usable)?;
     if usable.len() == 1 {
         return Some(choice(usable[0], "only one usable"));
     }
     if ask.attempt.0 == 0 && random.random_ratio(1, EXPLORE_ONE_IN) {
-        let near = within(candidates, &usable, nearest + PREFIX_REACH_MS);
-        return Some(choice(pick(&near, random), "measured at random"));
+        let near = within(candidates, &usable, nearest + PREFIX_EXTRA_DISTANCE_MS);
+        return Some(choice(random_index(&near, random), "measured at random"));
     }
     let healthy: Vec<usize> = usable
         .iter()
@@ -79,20 +83,20 @@
         .filter(|&i| !is_ejected(&candidates[i]))
         .collect();
     let pool = if healthy.is_empty() { usable } else { healthy };
-    let view = View::new(candidates, &pool);
+    let view = PoolView::new(candidates, &pool);
     if let Some(prefix) = ask.prefix
-        && let Some(index) = by_prefix(&view, prefix)
+        && let Some(index) = choose_by_prefix(&view, prefix)
     {
         return Some(choice(index, "holds the prefix"));
     }
-    Some(by_wait(&view, random))
+    Some(choose_by_wait(&view, random))
 }
 
 const fn choice(index: usize, why: &'static str) -> UpstreamChoice {
     UpstreamChoice { index, why }
 }
 
-fn may_use(candidate: &UpstreamCandidate<'_>, ask: &Ask) -> bool {
+fn is_usable(candidate: &UpstreamCandidate<'_>, ask: &Ask) -> bool {
     let state = candidate.state;
     !candidate.leaving && state.home.is_some() && !ask.avoid.contains(&state.upstream.id)
 }
@@ -101,7 +105,7 @@
     candidate.summary.is_some_and(|s| s.ejected)
 }
 
-fn distance_of_nearest(candidates: &[UpstreamCandidate<'_>], pool: &[usize]) -> Option<f64> {
+fn nearest_distance_ms(candidates: &[UpstreamCandidate<'_>], pool: &[usize]) -> Option<f64> {
     pool.iter()
         .map(|&i| candidates[i].distance_ms)
         .min_by(f64::total_cmp)
@@ -114,19 +118,19 @@
         .collect()
 }
 
-fn pick(pool: &[usize], random: &mut impl rand::Rng) -> usize {
+fn random_index(pool: &[usize], random: &mut impl rand::Rng) -> usize {
     pool[random.random_range(0..pool.len())]
 }
 
-/// The candidates that are left, and what is typical of them.
-struct View<'a> {
+/// The candidates that remain after filtering, with their common statistics.
+struct PoolView<'a> {
     candidates: &'a [UpstreamCandidate<'a>],
     pool: &'a [usize],
-    nearest: f64,
+    nearest_ms: f64,
     typical_service_ms: f64,
 }
 
-impl<'a> View<'a> {
+impl<'a> PoolView<'a> {
     fn new(candidates: &'a [UpstreamCandidate<'a>], pool: &'a [usize]) -> Self {
         let mut measured: Vec<f64> = pool
             .iter()
@@ -139,8 +143,8 @@
         Self {
             candidates,
             pool,
-            nearest: distance_of_nearest(candidates, pool).unwrap_or_default(),
-            typical_service_ms: measured.get(middle).copied().unwrap_or(UNKNOWN_SERVICE_MS),
+            nearest_ms: nearest_distance_ms(candidates, pool).unwrap_or_default(),
+            typical_service_ms: measured.get(middle).copied().unwrap_or(DEFAULT_SERVICE_MS),
         }
     }
 
@@ -148,15 +152,15 @@
         self.candidates[index].summary.unwrap_or_default()
     }
 
-    /// Calls running or waiting there, as far as known here.
+    /// Returns the known number of calls that run or wait there.
     fn load(&self, index: usize) -> u32 {
         let summary = self.summary(index);
         let known = summary.in_flight.saturating_add(summary.waiting);
         known.max(self.candidates[index].own_in_flight)
     }
 
-    /// Calls it runs at once; 1 while unknown.
-    fn room(&self, index: usize) -> f64 {
+    /// Returns the number of calls that it runs concurrently; 1 while unknown.
+    fn concurrency(&self, index: usize) -> f64 {
         f64::from(self.summary(index).concurrency.max(1))
     }
 
@@ -167,69 +171,80 @@
         }
     }
 
-    /// Expected wait there. The home's own figure fades with its age; calls of our own that it cannot have seen yet
-    /// count at once, else all calls of an entry would go to one upstream between two summaries.
+    /// Returns the expected wait. The wait that the home reported loses weight with the summary's age. This entry's own
+    /// calls, which the home may not have counted yet, count immediately; otherwise all calls of an entry would go to
+    /// one upstream between two summaries.
     fn wait_ms(&self, index: usize) -> f64 {
         let candidate = &self.candidates[index];
-        let fresh = 1.0 - (candidate.summary_age.as_secs_f64() / SUMMARY_FADES_S).min(1.0);
-        let room = self.room(index);
+        let fresh = 1.0 - (candidate.summary_age.as_secs_f64() / SUMMARY_MAX_AGE_S).min(1.0);
+        let concurrency = self.concurrency(index);
         let unknown = candidate.summary.is_none_or(|s| s.concurrency == 0);
         let own = f64::from(candidate.own_in_flight);
-        let ahead = if unknown { own } else { own + 1.0 - room };
-        let by_own = ahead.max(0.0) * self.service_ms(index) / room;
-        (self.summary(index).wait_ms * fresh).max(by_own)
+        let ahead = if unknown {
+            own
+        } else {
+            own + 1.0 - concurrency
+        };
+        let own_wait_ms = ahead.max(0.0) * self.service_ms(index) / concurrency;
+        (self.summary(index).wait_ms * fresh).max(own_wait_ms)
     }
 
-    /// Time lost there against a typical, idle upstream at the same distance.
-    fn lost_ms(&self, index: usize) -> f64 {
-        let tolerated = self.typical_service_ms * SPEED_TOLERANCE;
-        self.wait_ms(index) + (self.service_ms(index) - tolerated).max(0.0)
+    /// Returns the expected delay compared with a typical idle upstream at the same distance.
+    fn delay_ms(&self, index: usize) -> f64 {
+        let tolerated_ms = self.typical_service_ms * SPEED_TOLERANCE;
+        self.wait_ms(index) + (self.service_ms(index) - tolerated_ms).max(0.0)
     }
 
-    /// [`View::lost_ms`] and how much its load slows a call, to decide between two at the same distance.
-    fn near_cost(&self, index: usize) -> f64 {
-        let busy = (f64::from(self.load(index)) / self.room(index)).min(1.0);
-        self.lost_ms(index) + busy * LOAD_SLOWDOWN * self.typical_service_ms
+    /// Returns [`PoolView::delay_ms`] plus the slowdown by load, to compare two upstreams at the same distance.
+    fn loaded_delay_ms(&self, index: usize) -> f64 {
+        let busy = (f64::from(self.load(index)) / self.concurrency(index)).min(1.0);
+        self.delay_ms(index) + busy * LOAD_SLOWDOWN * self.typical_service_ms
     }
 }
 
-/// Rendezvous of the prefix over the near upstreams, past those that are busier than the others.
-fn by_prefix(view: &View<'_>, prefix: u64) -> Option<usize> {
-    let near = within(view.candidates, view.pool, view.nearest + PREFIX_REACH_MS);
+/// Selects by rendezvous hashing of the prefix among the near upstreams, and skips those that are busier than the
+/// others.
+fn choose_by_prefix(view: &PoolView<'_>, prefix: u64) -> Option<usize> {
+    let near = within(
+        view.candidates,
+        view.pool,
+        view.nearest_ms + PREFIX_EXTRA_DISTANCE_MS,
+    );
     let total: u32 = near.iter().map(|&i| view.load(i)).sum();
     let average = f64::from(total + 1) / near.len() as f64;
-    let bound = (average * PREFIX_LOAD_FACTOR).ceil();
+    let bound = (average * PREFIX_MAX_LOAD_FACTOR).ceil();
     near.into_iter()
-        .filter(|&i| f64::from(view.load(i)) < bound && view.lost_ms(i) <= view.typical_service_ms)
+        .filter(|&i| f64::from(view.load(i)) < bound && view.delay_ms(i) <= view.typical_service_ms)
         .max_by_key(|&i| hashed_score(prefix, view.candidates[i].state.upstream.id.as_str()))
 }
 
-fn by_wait(view: &View<'_>, random: &mut impl rand::Rng) -> UpstreamChoice {
-    let limit = view.nearest + SAME_DISTANCE_MS;
+fn choose_by_wait(view: &PoolView<'_>, random: &mut impl rand::Rng) -> UpstreamChoice {
+    let limit = view.nearest_ms + SAME_DISTANCE_MS;
     let (near, far): (Vec<usize>, Vec<usize>) = view
         .pool
         .iter()
         .partition(|&&i| view.candidates[i].distance_ms <= limit);
-    let best_near = better_of_two(view, &near, random);
+    let near_index = choose_of_two(view, &near, random);
     if far.is_empty() {
-        return choice(best_near, "better of two");
+        return choice(near_index, "better of two");
     }
-    let best_far = better_of_two(view, &far, random);
-    let farther = view.candidates[best_far].distance_ms - view.candidates[best_near].distance_ms;
-    if view.lost_ms(best_near) - view.lost_ms(best_far) > farther {
-        return choice(best_far, "saves more wait than its distance costs");
+    let far_index = choose_of_two(view, &far, random);
+    let extra_distance_ms =
+        view.candidates[far_index].distance_ms - view.candidates[near_index].distance_ms;
+    if view.delay_ms(near_index) - view.delay_ms(far_index) > extra_distance_ms {
+        return choice(far_index, "saves more wait than its distance costs");
     }
-    choice(best_near, "better of two near")
+    choice(near_index, "better of two near")
 }
 
-fn better_of_two(view: &View<'_>, pool: &[usize], random: &mut impl rand::Rng) -> usize {
+fn choose_of_two(view: &PoolView<'_>, pool: &[usize], random: &mut impl rand::Rng) -> usize {
     let first = random.random_range(0..pool.len());
     if pool.len() == 1 {
         return pool[first];
     }
     let other = (first + random.random_range(1..pool.len())) % pool.len();
     let (first, other) = (pool[first], pool[other]);
-    if view.near_cost(other) < view.near_cost(first) {
+    if view.loaded_delay_ms(other) < view.loaded_delay_ms(first) {
         other
     } else {
         first
--- a/crates/tc-policy/src/cold.rs
+++ b/crates/tc-policy/src/cold.rs
@@ -1,10 +1,10 @@
-//! Cold upstreams: how many requests a second all instances together may send to one.
+//! Limits the requests per second that all instances together send to a cold upstream.
 //!
-//! An upstream that has just started, or lost what it had warmed up, bears few requests a second for some seconds and crashes
-//! well above that. An idle one looks best to everybody, and its slots would be filled in one go: seen as a domain that comes
-//! back and is gone again a second later. Whether it is cold is often not known in time, since its word comes with its next
-//! heartbeat. So the limit is kept by whoever chooses, and shared out beforehand between those who may be choosing at the same
-//! moment, rather than agreed on request by request.
+//! An upstream that has just started or has lost its caches can serve only a few requests per second for some seconds,
+//! and crashes well above that rate. Being idle, it looks best to every instance, so that a restarted failure domain
+//! would be filled at once and crash again within a second. Whether an upstream is cold is often known too late, as it
+//! reports this with its next heartbeat. The limit is therefore divided in advance among those that may send at the
+//! same time, rather than coordinated for each request.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -12,14 +12,15 @@
 
 use crate::rendezvous_score;
 
-/// Parts that the limit is shared out in: one for the home of the service, one for another instance that takes itself for
-/// the home while views differ or the home moves, and one for instances that choose by themselves as no home answers.
+/// Number of parts of the limit: one for the service's home; one for a second instance that considers itself the home
+/// while membership views differ or the home moves; and one for the instances that choose by themselves because no home
+/// answers.
 const SHARES: u32 = 3;
-/// Time over which sends are counted. The limit holds for each second in which requests arrive; what was chosen earlier may
-/// be held up on its way by as much as the rest of this.
+/// Window in which sends are counted. The limit applies to every second of arrivals at the upstream; the quarter of a
+/// second beyond that allows for requests that are delayed on the way.
 const WINDOW: Duration = Duration::from_millis(1_250);
 
-/// Most requests that a cold upstream may get in any second from all instances together.
+/// Maximum number of requests that all instances together may send to a cold upstream in any second.
 ///
 /// ```
 /// use tc_policy::ColdLimit;
@@ -32,41 +33,43 @@
 }
 
 impl ColdLimit {
-    /// The limit of an upstream that bears `bears_per_s` while it is cold, may be driven to `excess` times that, and may get
-    /// `slack` requests a second besides.
+    /// Creates the limit for an upstream that can serve `cold_per_s` requests per second while it is cold, with
+    /// `excess` as a multiplier and `slack` additional requests per second.
     #[must_use]
-    pub fn new(bears_per_s: f64, excess: f64, slack: f64) -> Self {
+    pub fn new(cold_per_s: f64, excess: f64, slack: f64) -> Self {
         Self {
-            total: (bears_per_s * excess + slack).max(0.0) as u32,
+            total: (cold_per_s * excess + slack).max(0.0) as u32,
         }
     }
 
-    /// All of it, for services that have no home.
+    /// Returns the whole limit, for services without a home.
     #[must_use]
     pub const fn total(self) -> u32 {
         self.total
     }
 
-    /// What a home may send to a cold upstream; at least one, as no other way would be left.
+    /// Returns the home's share for a cold upstream. It is at least one, as the upstream would get no requests
+    /// otherwise.
     #[must_use]
     pub fn home_share(self) -> u32 {
         (self.total / SHARES).max(1)
     }
 
-    /// What a home sends to an upstream that seems warm while others have had less: it may have turned cold unheard.
+    /// Returns the home's share for an upstream that appears warm but may have turned cold without having reported it
+    /// yet. Beyond it, upstreams that received fewer requests are preferred.
     #[must_use]
     pub fn home_share_if_warm(self) -> u32 {
         self.total - self.senders_without_home()
     }
 
-    /// Instances that may choose an upstream by themselves, one request a second each, while the home does not answer.
+    /// Returns how many instances may send one request per second each without the home while it does not answer.
     #[must_use]
     pub const fn senders_without_home(self) -> u32 {
         self.total / SHARES
     }
 }
 
-/// Sends to one upstream within the last moments.
+/// Recent sends to one upstream.
 ///
 /// ```
 /// use tc_policy::RecentSends;
@@ -82,20 +85,20 @@
 }
 
 impl RecentSends {
-    /// Counts a send.
+    /// Records a send.
     pub fn record(&mut self, now: MonoTime) {
-        self.forget_old(now);
+        self.drop_expired(now);
         self.at.push_back(now);
     }
 
-    /// How many there were.
+    /// Returns the number of sends within the window.
     #[must_use]
     pub fn count(&self, now: MonoTime) -> u32 {
         let recent = self.at.iter().rev();
         recent.take_while(|at| now.since(**at) < WINDOW).count() as u32
     }
 
-    fn forget_old(&mut self, now: MonoTime) {
+    fn drop_expired(&mut self, now: MonoTime) {
         while let Some(oldest) = self.at.front()
             && now.since(*oldest) >= WINDOW
         {
@@ -104,22 +107,22 @@
     }
 }
 
-/// Whether `me` is one of the `most` instances that may send to an upstream by themselves.
+/// Returns true if `me` is one of the `max_senders` instances that may send to an upstream without its home.
 ///
-/// Instances with the same list of members name the same ones, and others for each upstream, so that all upstreams are within
-/// reach of some.
+/// Instances with the same member list agree on the selection. Each upstream has a different one, so that every
+/// upstream is reachable through some instances.
 #[must_use]
 pub fn may_send_without_home(
     me: &InstanceId,
     members: &[Member],
     upstream: &UpstreamId,
-    most: u32,
+    max_senders: u32,
 ) -> bool {
     let score = |id: &InstanceId| rendezvous_score(upstream.as_str(), id.as_str());
-    let mine = score(me);
-    let before_me = members
+    let own_score = score(me);
+    let higher_ranked = members
         .iter()
         .filter(|member| member.state != MemberState::Dead && member.id != *me)
-        .filter(|member| score(&member.id) > mine);
-    (before_me.count() as u64) < u64::from(most)
+        .filter(|member| score(&member.id) > own_score);
+    (higher_ranked.count() as u64) < u64::from(max_senders)
 }
--- a/crates/tc-policy/src/estimate.rs
+++ b/crates/tc-policy/src/estimate.rs
@@ -1,4 +1,4 @@
-//! How long stages take: decaying quantiles per service and size class.
+//! Stage latency estimates: decaying quantiles per service and size class.
 
 use std::{
     collections::HashMap,
@@ -9,34 +9,34 @@
 use hdrhistogram::Histogram;
 use tc_protocol::{MonoTime, ServiceName};
 
-/// How long a generation of records lasts. Quantiles are over the current and the previous one.
+/// Duration of a histogram generation. Quantiles cover the current and the previous generation.
 const GENERATION: Duration = Duration::from_secs(10);
-/// Records without which a (service, size class) is not known well enough to hedge by.
-const ENOUGH_RECORDS: u64 = 8;
-/// Lookups that may pass without any new record before the estimate starts to shrink.
-const LOOKUPS_BEFORE_DOUBT: u32 = 64;
-/// Time without any new record before the estimate starts to shrink.
-const TIME_BEFORE_DOUBT: Duration = Duration::from_secs(2);
-/// A (service, size class) with no record for this long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_mins(10);
-/// Most (service, size class) pairs kept; past it, new ones are not recorded until old ones are forgotten.
-const MOST_PAIRS: usize = 1_024;
-/// Histograms count in units of this many microseconds.
+/// Minimum number of records before a (service, size class) pair counts as known and may be hedged.
+const MIN_RECORDS: u64 = 8;
+/// Lookups without a new record after which the estimate starts to decay.
+const LOOKUPS_BEFORE_DECAY: u32 = 64;
+/// Time without a new record after which the estimate starts to decay.
+const TIME_BEFORE_DECAY: Duration = Duration::from_secs(2);
+/// Time without a record after which a (service, size class) pair is removed.
+const EXPIRE_AFTER: Duration = Duration::from_mins(10);
+/// Maximum number of (service, size class) pairs. At the limit, new pairs are not recorded until old ones expire.
+const MAX_PAIRS: usize = 1_024;
+/// Histogram resolution in microseconds.
 const UNIT_MICROS: u64 = 100;
-/// Longest time told apart, in units: one hour.
-const LONGEST_UNITS: u64 = 36_000_000;
-/// Decimal digits kept of each time.
-const DIGITS: u8 = 2;
+/// Largest value a histogram distinguishes, in units of [`UNIT_MICROS`]: one hour.
+const MAX_UNITS: u64 = 36_000_000;
+/// Significant decimal digits of the recorded histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Calls of about one size: the power of four that holds the bytes read and tokens asked for.
+/// Size class of a call: the power of four that covers the bytes to read and the tokens to generate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SizeClass(u8);
 
-/// Tokens generated cost about as much as this many bytes read.
+/// Input bytes that cost about as much as one generated token.
 const BYTES_PER_TOKEN_OUT: usize = 64;
 
 impl SizeClass {
-    /// The class of a call with `input_bytes` to read and at most `max_tokens` to generate.
+    /// Returns the class of a call that reads `input_bytes` and generates at most `max_tokens`.
     ///
     /// ```
     /// use tc_policy::SizeClass;
@@ -50,48 +50,48 @@
     }
 }
 
-/// What is known of a stage's time, the wait for its permit included.
+/// Latency estimate of a stage, including the wait for its permit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageEstimate {
-    /// Time at the quantile that was asked for.
+    /// Time at the requested quantile.
     pub at_quantile: Duration,
     /// Median time.
     pub median: Duration,
-    /// Time that one in twenty exceeds.
+    /// 95th percentile.
     pub p95: Duration,
-    /// Whether there were enough records to go by.
+    /// Whether there were enough records for a usable estimate.
     pub known: bool,
 }
 
-/// Decaying time quantiles per (service, size class). Memory is bounded, however long it runs.
+/// DecayingHistogram latency quantiles per (service, size class). Memory use is bounded.
 #[derive(Debug, Default)]
 pub struct Estimators {
-    pairs: HashMap<ServiceName, HashMap<SizeClass, Decaying>>,
+    pairs: HashMap<ServiceName, HashMap<SizeClass, DecayingHistogram>>,
     now: MonoTime,
-    swept: MonoTime,
+    last_sweep: MonoTime,
 }
 
 impl Estimators {
-    /// Nothing known yet.
+    /// Creates an instance without records.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Moves time on without a record; see [`Estimators::stage`] for why.
+    /// Advances the time without a record; see [`Estimators::stage`] for the reason.
     pub fn advance(&mut self, now: MonoTime) {
         self.now = self.now.max(now);
-        if self.now.since(self.swept) >= GENERATION {
-            self.swept = self.now;
+        if self.now.since(self.last_sweep) >= GENERATION {
+            self.last_sweep = self.now;
             let now = self.now;
             self.pairs.retain(|_, classes| {
-                classes.retain(|_, times| now.since(times.last) < FORGET_AFTER);
+                classes.retain(|_, histogram| now.since(histogram.last_record) < EXPIRE_AFTER);
                 !classes.is_empty()
             });
         }
     }
 
-    /// Records that a call took `took`, the wait for its permit included.
+    /// Records the duration of a call, including the wait for its permit.
     pub fn record(
         &mut self,
         now: MonoTime,
@@ -100,89 +100,91 @@
         took: Duration,
     ) {
         self.advance(now);
-        if let Some(times) = self.pairs.get_mut(service).and_then(|c| c.get_mut(&class)) {
-            times.record(now, took);
+        if let Some(histogram) = self.pairs.get_mut(service).and_then(|c| c.get_mut(&class)) {
+            histogram.record(now, took);
             return;
         }
-        if self.len() < MOST_PAIRS {
-            let mut times = Decaying::new(now);
-            times.record(now, took);
+        if self.len() < MAX_PAIRS {
+            let mut histogram = DecayingHistogram::new(now);
+            histogram.record(now, took);
             self.pairs
                 .entry(service.clone())
                 .or_default()
-                .insert(class, times);
+                .insert(class, histogram);
         }
     }
 
-    /// Time that a share `q` of the recent calls did not exceed, as recorded; `None` when there was none.
+    /// Returns the recorded `q` quantile of the recent calls, or `None` without records.
     #[must_use]
     pub fn quantile(&self, service: &ServiceName, class: SizeClass, q: f64) -> Option<Duration> {
-        Some(self.times(service, class)?.quantile(q))
+        Some(self.histogram(service, class)?.quantile(q))
     }
 
-    /// What is known of a stage, with its time at quantile `q`.
+    /// Returns the estimate of a stage, with its time at quantile `q`.
     ///
-    /// `at_quantile` shrinks while no new record comes in, by time (as told by [`Estimators::advance`]) and by
-    /// lookups. Without that, a slow spell could make admission refuse everything for ever: refused calls are never
-    /// measured, so the estimate that refuses them would never change, seen as a fleet that is idle and answers
-    /// nothing. As it shrinks, some calls are admitted again, and what they measure replaces the old records.
+    /// `at_quantile` decays while there are no new records, both with time (see [`Estimators::advance`]) and with the
+    /// number of lookups. Without the decay, a temporary slowdown could make admission refuse every request for good:
+    /// refused calls are never measured, so the estimate that refuses them would never change, and an idle fleet would
+    /// serve nothing. As the estimate decays, some calls are admitted again and their times replace the old records.
     #[must_use]
     pub fn stage(&self, service: &ServiceName, class: SizeClass, q: f64) -> StageEstimate {
-        let Some(times) = self.times(service, class) else {
+        let Some(histogram) = self.histogram(service, class) else {
             return StageEstimate::default();
         };
         StageEstimate {
-            at_quantile: times.quantile(q).mul_f64(times.trust(self.now)),
-            median: times.quantile(0.5),
-            p95: times.quantile(0.95),
-            known: times.recent.len() >= ENOUGH_RECORDS,
+            at_quantile: histogram
+                .quantile(q)
+                .mul_f64(histogram.confidence(self.now)),
+            median: histogram.quantile(0.5),
+            p95: histogram.quantile(0.95),
+            known: histogram.recent.len() >= MIN_RECORDS,
         }
     }
 
-    /// (service, size class) pairs kept; bounded.
+    /// Returns the number of (service, size class) pairs, which is bounded.
     #[must_use]
     pub fn len(&self) -> usize {
         self.pairs.values().map(HashMap::len).sum()
     }
 
-    /// Whether nothing is known.
+    /// Returns true if there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
 
-    fn times(&self, service: &ServiceName, class: SizeClass) -> Option<&Decaying> {
+    fn histogram(&self, service: &ServiceName, class: SizeClass) -> Option<&DecayingHistogram> {
         self.pairs.get(service)?.get(&class)
     }
 }
 
-/// Times of the current and the previous generation.
+/// Histograms of the current and the previous generation.
 #[derive(Debug)]
-struct Decaying {
+struct DecayingHistogram {
     /// Records of the current generation.
     current: Histogram<u32>,
     /// Records of the current and the previous generation.
     recent: Histogram<u32>,
-    started: MonoTime,
-    last: MonoTime,
+    generation_start: MonoTime,
+    last_record: MonoTime,
     lookups: AtomicU32,
 }
 
-impl Decaying {
+impl DecayingHistogram {
     fn new(now: MonoTime) -> Self {
-        let empty = Histogram::new_with_max(LONGEST_UNITS, DIGITS)
+        let empty = Histogram::new_with_max(MAX_UNITS, SIGNIFICANT_DIGITS)
             .expect("the bounds are constants that the histogram accepts");
         Self {
             current: empty.clone(),
             recent: empty,
-            started: now,
-            last: now,
+            generation_start: now,
+            last_record: now,
             lookups: AtomicU32::new(0),
         }
     }
 
     fn record(&mut self, now: MonoTime, took: Duration) {
-        let age = now.since(self.started);
+        let age = now.since(self.generation_start);
         if age >= GENERATION {
             self.recent.clear();
             if age < GENERATION * 2 {
@@ -190,12 +192,12 @@
             } else {
                 self.current.clear();
             }
-            self.started = now;
+            self.generation_start = now;
         }
         let units = (took.as_micros() as u64).div_ceil(UNIT_MICROS).max(1);
         self.current.saturating_record(units);
         self.recent.saturating_record(units);
-        self.last = self.last.max(now);
+        self.last_record = self.last_record.max(now);
         self.lookups.store(0, Ordering::Relaxed);
     }
 
@@ -203,12 +205,12 @@
         Duration::from_micros(self.recent.value_at_quantile(q) * UNIT_MICROS)
     }
 
-    /// How much of the estimate still counts: 1 with fresh records, towards 0 without.
-    fn trust(&self, now: MonoTime) -> f64 {
+    /// Returns the weight of the estimate: 1 with recent records, decaying towards 0 without.
+    fn confidence(&self, now: MonoTime) -> f64 {
         let lookups = self.lookups.fetch_add(1, Ordering::Relaxed);
-        let by_lookups = f64::from(LOOKUPS_BEFORE_DOUBT) / f64::from(lookups.max(1));
-        let silent = now.since(self.last).as_secs_f64();
-        let by_time = TIME_BEFORE_DOUBT.as_secs_f64() / silent.max(f64::MIN_POSITIVE);
+        let by_lookups = f64::from(LOOKUPS_BEFORE_DECAY) / f64::from(lookups.max(1));
+        let idle_s = now.since(self.last_record).as_secs_f64();
+        let by_time = TIME_BEFORE_DECAY.as_secs_f64() / idle_s.max(f64::MIN_POSITIVE);
         by_lookups.min(by_time).min(1.0)
     }
 }
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -1,6 +1,8 @@
-//! Pure decisions under load: queueing, concurrency, estimates, budgets, choice of upstream, limits.
+//! Decision logic for operation under load: queueing, concurrency, estimates, budgets, upstream selection and rate
+//! limits.
 //!
-//! No clock, no I/O: the time (`now`) and randomness are passed in, so a test can drive every decision.
+//! The crate has no clock and does no I/O. Callers pass in the time (`now`) and the randomness, so that tests control
+//! every decision.
 
 mod admission;
 mod backoffs;
--- a/crates/tc-policy/src/pick.rs
+++ b/crates/tc-policy/src/pick.rs
@@ -1,44 +1,45 @@
-//! Choice of an upstream for a request that is called directly.
+//! Selection of an upstream for a request that is sent directly, without a home.
 
 use tc_protocol::{FailureDomain, UpstreamId};
 
 use crate::rendezvous::hashed_score;
 
-/// An upstream takes requests beyond this multiple of the mean only when the others have as many.
-const LOAD_BOUND: f64 = 1.5;
-/// Requests an upstream may have beyond that bound: with few requests in all, the mean says little.
+/// Multiple of the mean load beyond which an upstream takes requests only if the others have as many.
+const MAX_LOAD_FACTOR: f64 = 1.5;
+/// Requests allowed in addition to that bound, as the mean says little when there are few requests.
 const LOAD_SLACK: f64 = 2.0;
 
-/// An upstream that may be chosen.
+/// An upstream that may be selected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PickCandidate<'a> {
-    /// Its identifier.
+    /// Identifier of the upstream.
     pub id: &'a UpstreamId,
-    /// Where it runs.
+    /// Failure domain of the upstream.
     pub domain: &'a FailureDomain,
-    /// Work it has in progress, as far as known here.
+    /// Requests in progress there, as far as known to this instance.
     pub load: f64,
-    /// Work it can have in progress.
+    /// Maximum number of requests in progress.
     pub slots: u32,
-    /// How much longer it takes than its peers; 1 is ordinary.
+    /// Response time relative to its peers; 1 is normal.
     pub slowness: f64,
 }
 
-/// What is wanted of the upstream.
+/// Selection preferences of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PickPreference<'a> {
-    /// Hash of what the upstream should have kept from earlier requests.
+    /// Hash of the prompt part that the upstream should have cached from earlier requests.
     pub affinity_key: Option<u64>,
-    /// Where it should run.
+    /// Preferred failure domain.
     pub domain: Option<&'a FailureDomain>,
-    /// Differs between requests; spreads those that nothing else tells apart.
+    /// Differs between requests, to spread those that have no other preference.
     pub tie_breaker: u64,
 }
 
-/// Chooses an upstream; `None` without candidates.
+/// Selects an upstream; returns `None` without candidates.
 ///
-/// Requests that share a prompt go to the same upstream as long as it has not much more to do than the others: there
-/// the shared part need not be read again (a prompt of 9,000 tokens takes 100 ms to read at 92 tokens a millisecond).
+/// Requests with the same affinity key go to the same upstream while its load is not far above the others', as the
+/// shared part of the prompt is cached there (a prompt of 9,000 tokens takes 100 ms to read at 92 tokens per
+/// millisecond).
 ///
 /// ```
 /// use tc_policy::{PickCandidate, PickPreference, pick_upstream};
@@ -58,25 +59,25 @@
     candidates: &[PickCandidate<'_>],
     preference: &PickPreference<'_>,
 ) -> Option<usize> {
-    // A prompt read again costs several times what moving its inputs between domains does, so a domain is looked at
-    // only when nothing is kept: 6,300 tokens against 3.8 MB.
+    // Reading a prompt again (6,300 tokens) costs several times as much as moving its inputs between domains (3.8 MB),
+    // so the domain counts only for requests without an affinity key.
     let domain = preference
         .domain
         .filter(|_| preference.affinity_key.is_none());
-    let near: Vec<usize> = indices(candidates)
+    let in_domain: Vec<usize> = indices(candidates)
         .filter(|i| domain.is_none_or(|d| d == candidates[*i].domain))
         .collect();
-    let pool = if near.is_empty() {
+    let pool = if in_domain.is_empty() {
         indices(candidates).collect()
     } else {
-        near
+        in_domain
     };
-    let fit = within_bound(candidates, &pool, preference.tie_breaker);
+    let in_bound = within_bound(candidates, &pool, preference.tie_breaker);
     match preference.affinity_key {
-        Some(key) => fit
+        Some(key) => in_bound
             .into_iter()
             .max_by_key(|i| hashed_score(key, candidates[*i].id.as_str())),
-        None => least_used(candidates, fit, preference.tie_breaker),
+        None => least_utilized(candidates, in_bound, preference.tie_breaker),
     }
 }
 
@@ -84,19 +85,19 @@
     0..candidates.len()
 }
 
-/// How much of it is in use, counting slow upstreams as fuller.
-fn usage(candidate: &PickCandidate<'_>) -> f64 {
+/// Returns the utilization after one more request; slow upstreams count as fuller.
+fn utilization(candidate: &PickCandidate<'_>) -> f64 {
     (candidate.load + 1.0) * candidate.slowness / f64::from(candidate.slots.max(1))
 }
 
-/// Those that have not much more to do than the mean; the least used one when all have.
+/// Returns the upstreams within the load bound, or the least utilized one if none is.
 fn within_bound(candidates: &[PickCandidate<'_>], pool: &[usize], tie_breaker: u64) -> Vec<usize> {
     let loads = pool
         .iter()
         .map(|i| candidates[*i].load * candidates[*i].slowness);
     let mean = loads.sum::<f64>() / pool.len().max(1) as f64;
-    let bound = mean * LOAD_BOUND + LOAD_SLACK;
-    let fit: Vec<usize> = pool
+    let bound = mean * MAX_LOAD_FACTOR + LOAD_SLACK;
+    let in_bound: Vec<usize> = pool
         .iter()
         .copied()
         .filter(|i| {
@@ -104,28 +105,28 @@
             c.load * c.slowness <= bound && c.load < f64::from(c.slots.max(1))
         })
         .collect();
-    if !fit.is_empty() {
-        return fit;
+    if !in_bound.is_empty() {
+        return in_bound;
     }
-    least_used(candidates, pool.to_vec(), tie_breaker)
+    least_utilized(candidates, pool.to_vec(), tie_breaker)
         .into_iter()
         .collect()
 }
 
-/// The least used one; equally used ones share by chance.
+/// Returns the least utilized upstream; ties are broken by `tie_breaker`.
 ///
-/// Every instance sees few requests of its own. If equals were taken in order, all instances would send to the same
-/// upstream, seen as one that refuses requests while its peers are idle.
-fn least_used(
+/// Each instance sees few requests of its own. If ties were broken by order, all instances would send to the same
+/// upstream, which would refuse requests while its peers are idle.
+fn least_utilized(
     candidates: &[PickCandidate<'_>],
     among: Vec<usize>,
     tie_breaker: u64,
 ) -> Option<usize> {
     among.into_iter().min_by(|a, b| {
-        let used = |i: usize| usage(&candidates[i]);
-        let drawn = |i: usize| hashed_score(tie_breaker, candidates[i].id.as_str());
-        used(*a)
-            .total_cmp(&used(*b))
-            .then_with(|| drawn(*a).cmp(&drawn(*b)))
+        let used_slots = |i: usize| utilization(&candidates[i]);
+        let tie_score = |i: usize| hashed_score(tie_breaker, candidates[i].id.as_str());
+        used_slots(*a)
+            .total_cmp(&used_slots(*b))
+            .then_with(|| tie_score(*a).cmp(&tie_score(*b)))
     })
 }
--- a/crates/tc-policy/src/prompt_times.rs
+++ b/crates/tc-policy/src/prompt_times.rs
@@ -1,22 +1,22 @@
-//! How long an engine takes to the first event of a request, by the length of its prompt.
+//! Time to the first event of a request, estimated from the length of its prompt.
 
 use std::time::Duration;
 
-/// What an engine is taken to need before any request was measured: fetching inputs, a short prompt and the first step.
-const UNKNOWN: Duration = Duration::from_millis(150);
-/// Requests measured before they are gone by.
-const ENOUGH: f64 = 8.0;
-/// Part of what was learnt that stays with each new request: the last hundred count for two thirds. One instance sees
-/// that many in some ten seconds, and an engine's load changes in that time.
-const KEPT: f64 = 0.99;
-/// Requests that the memory holds at most with that part; more weight than this cannot gather.
-const MOST_WEIGHT: f64 = 1.0 / (1.0 - KEPT);
+/// Estimate before enough requests were measured: it covers fetching the inputs, a short prompt and the first step.
+const DEFAULT_ESTIMATE: Duration = Duration::from_millis(150);
+/// Total weight of the samples from which the estimate is used.
+const MIN_WEIGHT: f64 = 8.0;
+/// Decay of the old samples with each new one: the last hundred samples carry two thirds of the weight. One instance
+/// sees about that many in ten seconds, and an engine's load changes within that time.
+const DECAY: f64 = 0.99;
+/// Limit of the total weight under that decay.
+const MAX_WEIGHT: f64 = 1.0 / (1.0 - DECAY);
 
-/// Times to the first event, as a line over the tokens of the prompt.
+/// Time to the first event as a linear function of the prompt tokens.
 ///
-/// Long prompts and short ones of one service differ by fifty times: 30 ms for 800 tokens, a second for 50,000. One figure
-/// for all of them makes the stages before a long prompt end too late for it, and refuses short ones that could have been
-/// in time.
+/// Times within one service differ by a factor of fifty: 30 ms for 800 tokens, a second for 50,000. With a single value
+/// for all prompts, the stages before a long prompt would finish too late for it, and short prompts would be refused
+/// that could have met their deadline.
 ///
 /// ```
 /// use std::time::Duration;
@@ -38,29 +38,30 @@
 }
 
 impl PromptTimes {
-    /// A request with so many prompt tokens had its first event after `took`.
+    /// Records that a request with this many prompt tokens had its first event after `took`.
     pub fn record(&mut self, tokens: u32, took: Duration) {
         let tokens = f64::from(tokens);
         let ms = took.as_secs_f64() * 1_000.0;
-        self.weight = self.weight.mul_add(KEPT, 1.0).min(MOST_WEIGHT);
-        self.tokens = self.tokens.mul_add(KEPT, tokens);
-        self.ms = self.ms.mul_add(KEPT, ms);
-        self.tokens_squared = self.tokens_squared.mul_add(KEPT, tokens * tokens);
-        self.tokens_by_ms = self.tokens_by_ms.mul_add(KEPT, tokens * ms);
+        self.weight = self.weight.mul_add(DECAY, 1.0).min(MAX_WEIGHT);
+        self.tokens = self.tokens.mul_add(DECAY, tokens);
+        self.ms = self.ms.mul_add(DECAY, ms);
+        self.tokens_squared = self.tokens_squared.mul_add(DECAY, tokens * tokens);
+        self.tokens_by_ms = self.tokens_by_ms.mul_add(DECAY, tokens * ms);
     }
 
-    /// Expected time of a request with so many prompt tokens.
+    /// Returns the estimated time to the first event for a prompt of this many tokens.
     #[must_use]
     pub fn estimate(&self, tokens: u32) -> Duration {
-        if self.weight < ENOUGH {
-            return UNKNOWN;
+        if self.weight < MIN_WEIGHT {
+            return DEFAULT_ESTIMATE;
         }
         let (mean_tokens, mean_ms) = (self.tokens / self.weight, self.ms / self.weight);
-        let spread = self.tokens_squared / self.weight - mean_tokens * mean_tokens;
-        let together = self.tokens_by_ms / self.weight - mean_tokens * mean_ms;
-        // All of one length: nothing tells how it grows. Longer prompts never take less.
-        let slope = if spread > 1.0 {
-            (together / spread).max(0.0)
+        let variance = self.tokens_squared / self.weight - mean_tokens * mean_tokens;
+        let covariance = self.tokens_by_ms / self.weight - mean_tokens * mean_ms;
+        // Prompts of a single length do not determine a slope. The slope is never negative, as a longer prompt does not
+        // take less time.
+        let slope = if variance > 1.0 {
+            (covariance / variance).max(0.0)
         } else {
             0.0
         };
--- a/crates/tc-policy/src/rendezvous.rs
+++ b/crates/tc-policy/src/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Rendezvous hashing: every instance with the same list of nodes places a key on the same node, with no agreement.
+//! Rendezvous hashing: all instances with the same list of nodes map a key to the same node without coordination.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How strongly `key` prefers `node`; the same on every instance and in every build.
+/// Returns the score of `node` for `key`, which is the same on every instance and in every build.
 ///
 /// ```
 /// use tc_policy::rendezvous_score;
@@ -14,14 +14,14 @@
     hashed_score(xxh3_64(key.as_bytes()), node)
 }
 
-/// [`rendezvous_score`] for a key that is a hash already.
+/// Returns the [`rendezvous_score`] for a key that is already hashed.
 pub(crate) fn hashed_score(key: u64, node: &str) -> u64 {
     xxh3_64_with_seed(node.as_bytes(), key)
 }
 
-/// The node with the highest score for `key`; equal scores go to the greater name. `None` without nodes.
+/// Returns the node with the highest score for `key`, or `None` without nodes. Ties go to the greater name.
 ///
-/// Removing a node moves only the keys that were on it.
+/// Removing a node moves only the keys that were assigned to it.
 ///
 /// ```
 /// use tc_policy::rendezvous;
--- a/crates/tc-policy/src/retry.rs
+++ b/crates/tc-policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! When to retry a failed call.
+//! Retry delays of failed calls.
 
 use std::time::Duration;
 
@@ -6,15 +6,16 @@
 
 use crate::StageEstimate;
 
-/// Longest delay before the first retry.
-const FIRST_DELAY: Duration = Duration::from_millis(10);
-/// Longest delay before any retry.
-const LONGEST_DELAY: Duration = Duration::from_millis(500);
+/// Upper bound of the delay before the first retry.
+const BASE_DELAY: Duration = Duration::from_millis(10);
+/// Upper bound of the delay before any retry.
+const MAX_DELAY: Duration = Duration::from_millis(500);
 
-/// Jittered, doubling delay before retry `attempt` (1 is the first), or `None` when the deadline cannot be met.
+/// Returns the jittered exponential backoff before retry `attempt` (1 is the first), or `None` if the call could not
+/// finish before its deadline.
 ///
-/// The delay is at least half of its longest value, so that a retry never hits at the instant of the failure, and
-/// is random above that, so that the calls that failed together do not come back together.
+/// The delay is at least half of its upper bound, so that a retry does not follow the failure immediately, and random
+/// above that, so that calls that failed together are not retried together.
 ///
 /// ```
 /// use std::time::Duration;
@@ -36,9 +37,7 @@
         return None;
     }
     let doublings = attempt.saturating_sub(1).min(16);
-    let longest = FIRST_DELAY
-        .saturating_mul(1 << doublings)
-        .min(LONGEST_DELAY);
-    let delay = longest.mul_f64(random.random_range(0.5..=1.0));
+    let max_delay = BASE_DELAY.saturating_mul(1 << doublings).min(MAX_DELAY);
+    let delay = max_delay.mul_f64(random.random_range(0.5..=1.0));
     Some(delay.min(spare))
 }
--- a/crates/tc-policy/src/retry_budget.rs
+++ b/crates/tc-policy/src/retry_budget.rs
@@ -1,26 +1,26 @@
-//! A budget for sending requests again, over a sliding window.
+//! Retry budget over a sliding window.
 
 use std::{collections::VecDeque, time::Duration};
 
 use tc_protocol::MonoTime;
 
-/// Width of the window's steps. What is counted lapses up to one step late, which only makes the budget smaller.
+/// Resolution of the window. WindowCounts expire up to one step late, which only makes the budget smaller.
 const STEP: Duration = Duration::from_millis(500);
 
-/// How often requests may be sent again.
+/// Limits of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Repeats a request in the window.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
-    /// Repeats in the window besides.
+    /// Additional retries allowed in the window.
     pub extra: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Counts requests and repeats of one service over a sliding window.
+/// WindowCounts the requests and retries of one service over a sliding window.
 ///
-/// Without it every failing upstream multiplies the load on the others, seen as an outage that spreads.
+/// Without a budget, every failing upstream multiplies the load on the others and the outage spreads.
 ///
 /// ```
 /// use std::time::Duration;
@@ -39,52 +39,52 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     limits: RetryLimits,
-    requests: Counts,
-    repeats: Counts,
+    requests: WindowCounts,
+    retries: WindowCounts,
 }
 
 impl RetryBudget {
-    /// A budget with nothing counted.
+    /// Creates an empty budget.
     #[must_use]
     pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
-            requests: Counts::default(),
-            repeats: Counts::default(),
+            requests: WindowCounts::default(),
+            retries: WindowCounts::default(),
         }
     }
 
-    /// Changes the limits; what was counted stays.
+    /// Changes the limits and keeps the counts.
     pub fn set_limits(&mut self, limits: RetryLimits) {
         self.limits = limits;
     }
 
-    /// Counts a request.
+    /// WindowCounts a request.
     pub fn record_request(&mut self, now: MonoTime) {
         self.requests.add(now);
     }
 
-    /// Takes one repeat from the budget if there is one.
+    /// Takes one retry from the budget; returns false if the budget is exhausted.
     pub fn try_spend(&mut self, now: MonoTime) -> bool {
         let window = self.limits.window;
-        let requests = self.requests.within(now, window) as f64;
-        let spent = self.repeats.within(now, window) as f64;
+        let requests = self.requests.sum_within(now, window) as f64;
+        let spent = self.retries.sum_within(now, window) as f64;
         let allowed = self.limits.ratio * requests + self.limits.extra;
         if spent + 1.0 > allowed {
             return false;
         }
-        self.repeats.add(now);
+        self.retries.add(now);
         true
     }
 }
 
-/// Counts by step of time, oldest first.
+/// WindowCounts per step of the window, oldest first.
 #[derive(Clone, Debug, Default)]
-struct Counts {
+struct WindowCounts {
     steps: VecDeque<(MonoTime, u64)>,
 }
 
-impl Counts {
+impl WindowCounts {
     fn add(&mut self, now: MonoTime) {
         match self.steps.back_mut() {
             Some((start, count)) if now.since(*start) < STEP => *count += 1,
@@ -92,7 +92,7 @@
         }
     }
 
-    fn within(&mut self, now: MonoTime, window: Duration) -> u64 {
+    fn sum_within(&mut self, now: MonoTime, window: Duration) -> u64 {
         while let Some((start, _)) = self.steps.front()
             && now.since(*start) > window + STEP
         {
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -1,4 +1,4 @@
-//! The stages before a request: which are to be made now, how long they all take, and whether to begin them.
+//! Dependency graph of the stages that precede a request: start order, critical path and feasibility.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 
 use crate::ExpectedStages;
 
-/// Part of the time until its caller leaves that the stages of a late request may be expected to take.
-const MOST_TIME: f64 = 0.8;
+/// Part of the time until the caller leaves that the stages of a late request may be expected to take.
+const MAX_LATE_FRACTION: f64 = 0.8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StageState {
-    /// The request has no pieces of it.
+    /// The request has no pieces for this stage.
     Omitted,
     Waiting,
     Running,
     Done,
 }
 
-/// Which stages of a request have been made.
+/// Stages of a request and their progress.
 #[derive(Clone, Debug)]
 pub struct StageGraph<'a> {
     stages: &'a [RouteStage],
@@ -27,8 +27,9 @@
 }
 
 impl<'a> StageGraph<'a> {
-    /// Begins with nothing made. `pieces` tells how many pieces each stage has; missing numbers count as none, and a stage
-    /// without pieces is left out. Each stage must follow earlier ones only, as a valid configuration's do.
+    /// Creates a graph with no stage done. `pieces` holds the number of pieces per stage; missing entries count as
+    /// zero, and stages without pieces are omitted. A stage may depend only on earlier ones, which validation of the
+    /// configuration ensures.
     ///
     /// ```
     /// use tc_policy::StageGraph;
@@ -47,130 +48,140 @@
         let pieces: Vec<u32> = (0..stages.len())
             .map(|stage| pieces.get(stage).copied().unwrap_or(0))
             .collect();
-        let state_at_first = |pieces: &u32| match pieces {
+        let initial_state = |pieces: &u32| match pieces {
             0 => StageState::Omitted,
             _ => StageState::Waiting,
         };
         Self {
             stages,
-            states: pieces.iter().map(state_at_first).collect(),
+            states: pieces.iter().map(initial_state).collect(),
             pieces,
         }
     }
 
-    /// The stages, in the route's order.
+    /// Returns the stages in the route's order.
     #[must_use]
     pub fn stages(&self) -> &'a [RouteStage] {
         self.stages
     }
 
-    /// Pieces of a stage.
+    /// Returns the number of pieces of a stage.
     #[must_use]
     pub fn pieces(&self, stage: usize) -> u32 {
         self.pieces[stage]
     }
 
-    /// Bytes of all results of a stage.
+    /// Returns the size of all results of a stage in bytes.
     #[must_use]
     pub fn total_result_bytes(&self, stage: usize) -> u64 {
         self.stages[stage].result_bytes * u64::from(self.pieces[stage])
     }
 
-    /// Whether a stage is made or left out.
+    /// Returns true if a stage is done or omitted.
     #[must_use]
     pub fn is_complete(&self, stage: usize) -> bool {
         matches!(self.states[stage], StageState::Done | StageState::Omitted)
     }
 
-    /// Notes that a stage is being made.
+    /// Marks a stage as running.
     pub fn mark_running(&mut self, stage: usize) {
         self.states[stage] = StageState::Running;
     }
 
-    /// Notes that a stage was made.
+    /// Marks a stage as done.
     pub fn mark_done(&mut self, stage: usize) {
         self.states[stage] = StageState::Done;
     }
 
-    /// Stages to be started now: their inputs are there, and no longer chain is still to be made.
+    /// Returns the stages to start now: those whose inputs are available and that head a chain as long as the longest
+    /// one left.
     ///
-    /// A stage beside a long chain is started so that both end together. Its results would otherwise be kept while
-    /// the chain is made, and room for results is what binds when they are large: 22 results of 1.5 MB fill a maker
-    /// of 32 MB.
+    /// A stage parallel to a longer chain is delayed so that both finish together. Otherwise its results would occupy
+    /// memory while the chain runs, and memory for results is the bottleneck when they are large: 22 results of 1.5 MB
+    /// fill an upstream with 32 MB.
     #[must_use]
     pub fn startable(&self) -> Vec<usize> {
         let open = (0..self.stages.len()).filter(|stage| !self.is_complete(*stage));
-        let longest = open.map(|stage| self.depth(stage)).max().unwrap_or(0);
+        let longest = open
+            .map(|stage| self.chain_length(stage))
+            .max()
+            .unwrap_or(0);
         (0..self.stages.len())
             .filter(|stage| self.states[*stage] == StageState::Waiting)
             .filter(|stage| self.has_inputs(*stage))
-            .filter(|stage| self.depth(*stage) >= longest)
+            .filter(|stage| self.chain_length(*stage) >= longest)
             .collect()
     }
 
-    /// Pieces of the stages that read a stage's results, by their service.
+    /// Returns the services and piece counts of the unfinished stages that read a stage's results.
     #[must_use]
     pub fn following(&self, stage: usize) -> Vec<(ServiceName, u32)> {
         let next = self
-            .followers(stage)
+            .dependents(stage)
             .filter(|next| !self.is_complete(*next));
         next.map(|next| (self.stages[next].service.clone(), self.pieces[next]))
             .collect()
     }
 
-    /// Stages whose results have been read by everyone, now that this one is made.
+    /// Returns the inputs of `stage`, which is now done, whose results all dependent stages have read.
     #[must_use]
-    pub fn fully_read_inputs(&self, made: usize) -> Vec<usize> {
-        let before = self.stages[made].after.iter().copied();
-        before
-            .filter(|read| self.followers(*read).all(|stage| self.is_complete(stage)))
+    pub fn fully_read_inputs(&self, stage: usize) -> Vec<usize> {
+        let inputs = self.stages[stage].after.iter().copied();
+        inputs
+            .filter(|input| {
+                self.dependents(*input)
+                    .all(|reader| self.is_complete(reader))
+            })
             .collect()
     }
 
-    /// Whether a stage is the only one left that reads its inputs.
+    /// Returns true if no other unfinished stage reads the inputs of this one.
     #[must_use]
     pub fn is_last_reader(&self, stage: usize) -> bool {
-        let mut before = self.stages[stage].after.iter();
-        before.all(|read| {
-            let mut others = self.followers(*read).filter(|other| *other != stage);
+        let mut inputs = self.stages[stage].after.iter();
+        inputs.all(|input| {
+            let mut others = self.dependents(*input).filter(|other| *other != stage);
             others.all(|other| self.is_complete(other))
         })
     }
 
-    /// Time of the longest chain of stages still to be made, given each stage's own.
+    /// Returns the time of the longest unfinished chain of stages, given the time of each stage.
     #[must_use]
     pub fn critical_path(&self, times: &[Duration]) -> Duration {
         let first = (0..self.stages.len()).filter(|stage| self.stages[*stage].after.is_empty());
         first
-            .map(|stage| self.time_of(stage, times) + self.critical_path_after(stage, times))
+            .map(|stage| self.remaining_time(stage, times) + self.critical_path_after(stage, times))
             .max()
             .unwrap_or_default()
     }
 
-    /// Time of the longest chain that follows a stage.
+    /// Returns the time of the longest unfinished chain after a stage.
     #[must_use]
     pub fn critical_path_after(&self, stage: usize, times: &[Duration]) -> Duration {
-        self.followers(stage)
-            .map(|next| self.time_of(next, times) + self.critical_path_after(next, times))
+        self.dependents(stage)
+            .map(|next| self.remaining_time(next, times) + self.critical_path_after(next, times))
             .max()
             .unwrap_or_default()
     }
 
-    /// Time of the longest chain still to be made before a stage.
+    /// Returns the time of the longest unfinished chain before a stage.
     #[must_use]
     pub fn critical_path_before(&self, stage: usize, times: &[Duration]) -> Duration {
-        let before = self.stages[stage].after.iter().copied();
-        before
-            .map(|before| self.time_of(before, times) + self.critical_path_before(before, times))
+        let inputs = self.stages[stage].after.iter().copied();
+        inputs
+            .map(|input| {
+                self.remaining_time(input, times) + self.critical_path_before(input, times)
+            })
             .max()
             .unwrap_or_default()
     }
 
-    /// Whether the stages are worth beginning; if not, when to come back.
+    /// Checks whether it is worth starting the stages; otherwise returns a hint for when to retry.
     ///
-    /// A request that can be in time is. One that cannot takes what is left at every stage, so it is worth beginning
-    /// only if something is left at the worst of them. Judged stage by stage, it would pass the first and be refused at
-    /// the next, seen as half of a burst refused after half a second of work for it.
+    /// A request that can meet its target time is feasible. A request that cannot gets the leftover capacity at every
+    /// stage, so it is feasible only if the stages with the least leftover capacity still allow it. If each stage
+    /// decided by itself, such a request would pass the first stage and be refused at the next: in a burst, half of the
+    /// requests were refused after half a second of work.
     pub fn check_feasible(
         &self,
         expected: &ExpectedStages,
@@ -180,13 +191,13 @@
         if self.critical_path(&expected.in_time) <= until_aim {
             return Ok(());
         }
-        if self.critical_path(&expected.late) <= until_left.mul_f64(MOST_TIME) {
+        if self.critical_path(&expected.late) <= until_left.mul_f64(MAX_LATE_FRACTION) {
             return Ok(());
         }
         Err(expected.in_time.iter().max().copied().unwrap_or_default())
     }
 
-    fn time_of(&self, stage: usize, times: &[Duration]) -> Duration {
+    fn remaining_time(&self, stage: usize, times: &[Duration]) -> Duration {
         if self.is_complete(stage) {
             Duration::ZERO
         } else {
@@ -195,20 +206,20 @@
     }
 
     fn has_inputs(&self, stage: usize) -> bool {
-        let mut before = self.stages[stage].after.iter();
-        before.all(|stage| self.is_complete(*stage))
+        let mut inputs = self.stages[stage].after.iter();
+        inputs.all(|stage| self.is_complete(*stage))
     }
 
-    fn followers(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
+    fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
         (0..self.stages.len()).filter(move |next| self.stages[*next].after.contains(&stage))
     }
 
-    /// Number of stages on the longest chain that begins with this one.
-    fn depth(&self, stage: usize) -> usize {
+    /// Returns the number of stages on the longest chain that starts with this one.
+    fn chain_length(&self, stage: usize) -> usize {
         if self.states[stage] == StageState::Omitted {
             return 0;
         }
-        let following = self.followers(stage).map(|next| self.depth(next));
+        let following = self.dependents(stage).map(|next| self.chain_length(next));
         1 + following.max().unwrap_or(0)
     }
 }
--- a/crates/tc-policy/src/suspect.rs
+++ b/crates/tc-policy/src/suspect.rs
@@ -1,7 +1,8 @@
-//! Requests that may crash the upstreams they run on, kept where their fingerprints are at home.
+//! Detection and quarantine of requests that crash upstreams, kept at the home of their fingerprints.
 //!
-//! Every call in flight on an upstream that died may have killed it. A crash makes all of them suspects; a success
-//! clears one; the one that alone was in flight in enough crashes is quarantined, and its neighbours go free.
+//! Every call in flight on an upstream that crashed may have caused the crash, so a crash makes all of them suspects. A
+//! successful run clears a suspect. A fingerprint that is the only one in flight in enough crashes is quarantined, and
+//! the other suspects of those crashes are cleared.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, VecDeque},
@@ -10,32 +11,32 @@
 
 use tc_protocol::{Fingerprint, Incarnation, MonoTime, UpstreamId};
 
-/// A crash that nobody was found guilty of is forgotten after this long.
-const FORGET_CRASH_AFTER: Duration = Duration::from_mins(10);
-/// Most crashes kept; the oldest goes first.
-const MOST_CRASHES: usize = 256;
-/// Most fingerprints kept of one crash.
-const MOST_PER_CRASH: usize = 1_024;
-/// Most quarantined fingerprints kept; the oldest goes first.
-const MOST_QUARANTINED: usize = 4_096;
-/// A trial whose end was never told (its entry died) ends after this long.
-const TRIAL_LASTS: Duration = Duration::from_secs(30);
-/// Hint when to try again while another trial runs.
+/// Time after which a crash without a known culprit is dropped.
+const CRASH_TTL: Duration = Duration::from_mins(10);
+/// Maximum number of crashes; the oldest is dropped first.
+const MAX_CRASHES: usize = 256;
+/// Maximum number of fingerprints per crash.
+const MAX_FINGERPRINTS_PER_CRASH: usize = 1_024;
+/// Maximum number of quarantined fingerprints; the oldest is dropped first.
+const MAX_QUARANTINED: usize = 4_096;
+/// Time after which a trial ends whose end was not reported, because its entry crashed.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Retry hint while another trial runs.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// Hint when to try again for a quarantined fingerprint.
+/// Retry hint for a quarantined fingerprint.
 const QUARANTINE_RETRY_AFTER: Duration = Duration::from_mins(10);
 
-/// Whether a suspect may run now.
+/// Whether a fingerprint may run now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trial {
-    /// It may run, on one upstream; tell [`Suspects::end_trial`] afterwards.
+    /// It may run on one upstream; call [`Suspects::end_trial`] afterwards.
     Run,
-    /// It, or another suspect of the same crash, runs now.
+    /// It, or another suspect of the same crash, is running.
     Busy {
         /// When to try again.
         retry_after: Duration,
     },
-    /// It crashed upstreams before and is not run any more.
+    /// It crashed upstreams and is refused.
     Quarantined {
         /// When to try again, at the earliest.
         retry_after: Duration,
@@ -47,52 +48,54 @@
 #[derive(Debug)]
 struct Crash {
     at: MonoTime,
-    /// All that were in flight; told twice, one that was cleared in between does not become a suspect again.
-    told: BTreeSet<Fingerprint>,
-    /// Those that are still suspects.
-    in_flight: BTreeSet<Fingerprint>,
+    /// All reported fingerprints. A repeated report does not make a fingerprint a suspect again that was cleared in
+    /// between.
+    reported: BTreeSet<Fingerprint>,
+    /// Fingerprints that are still suspects.
+    suspects: BTreeSet<Fingerprint>,
 }
 
-/// When a request is taken for one that crashes upstreams.
+/// Thresholds for trials and quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspectPolicy {
-    /// Crashes after which it is quarantined (at least 1).
+    /// Crashes after which a fingerprint is quarantined (at least 1).
     pub crashes_to_quarantine: u32,
-    /// Crashes from which on it runs as a trial only, one at a time (at least 1).
+    /// Crashes from which a fingerprint runs only as a trial, one at a time (at least 1).
     ///
-    /// With 1 an innocent neighbour of the first crash waits for the trials of the others; with more it does not, and
-    /// the request that crashes upstreams may take some at the same moment.
+    /// With 1, the innocent requests in a first crash wait for each other's trials. With more they do not, but the
+    /// culprit may crash several upstreams at the same time.
     pub crashes_to_trial: u32,
-    /// How long a quarantine lasts; for good, until it is lifted, when `None`.
+    /// Duration of a quarantine; `None` means until an operator lifts it.
     pub quarantine_duration: Option<Duration>,
 }
 
-/// The suspects, trials and quarantined fingerprints at one home. Memory is bounded.
+/// The suspects, trials and quarantined fingerprints of one home. Memory use is bounded.
 #[derive(Debug)]
 pub struct Suspects {
     policy: SuspectPolicy,
     crashes: BTreeMap<CrashKey, Crash>,
-    /// Unexplained crashes that each suspect was in flight in.
+    /// Crashes without a known culprit, by the suspects that were in flight.
     crashes_of: HashMap<Fingerprint, BTreeSet<CrashKey>>,
     trials: HashMap<Fingerprint, MonoTime>,
     quarantined: BTreeMap<Fingerprint, MonoTime>,
     quarantined_order: VecDeque<Fingerprint>,
-    /// Crashes whose guilty one is known; the oldest goes first.
-    explained: VecDeque<CrashKey>,
+    /// Crashes whose culprit is known; the oldest is dropped first.
+    attributed: VecDeque<CrashKey>,
 }
 
 impl Suspects {
-    /// Quarantines after `crashes_to_quarantine` crashes (at least 1), for good; suspects run as trials from the first.
+    /// Creates an instance that quarantines after `crashes_to_quarantine` crashes (at least 1) without a time limit,
+    /// and requires trials from the first crash.
     ///
     /// ```
     /// use tc_policy::{Suspects, Trial};
     /// use tc_protocol::{Fingerprint, Incarnation, MonoTime};
     /// let mut suspects = Suspects::new(2);
-    /// let (now, guilty) = (MonoTime(1), Fingerprint(7));
-    /// suspects.record_crash(now, &"gen-1".into(), Incarnation(1), &[guilty, Fingerprint(8)]);
-    /// assert_eq!(suspects.try_trial(now, guilty), Trial::Run);
-    /// suspects.record_crash(now, &"gen-2".into(), Incarnation(1), &[guilty]);
-    /// assert!(matches!(suspects.try_trial(now, guilty), Trial::Quarantined { .. }));
+    /// let (now, culprit) = (MonoTime(1), Fingerprint(7));
+    /// suspects.record_crash(now, &"gen-1".into(), Incarnation(1), &[culprit, Fingerprint(8)]);
+    /// assert_eq!(suspects.try_trial(now, culprit), Trial::Run);
+    /// suspects.record_crash(now, &"gen-2".into(), Incarnation(1), &[culprit]);
+    /// assert!(matches!(suspects.try_trial(now, culprit), Trial::Quarantined { .. }));
     /// assert!(!suspects.is_suspect(Fingerprint(8)));
     /// ```
     #[must_use]
@@ -104,7 +107,7 @@
         })
     }
 
-    /// Decides by `policy`.
+    /// Creates an instance with a policy.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,14 +132,14 @@
             trials: HashMap::new(),
             quarantined: BTreeMap::new(),
             quarantined_order: VecDeque::new(),
-            explained: VecDeque::new(),
+            attributed: VecDeque::new(),
         }
     }
 
-    /// An upstream died with `fps` in flight. Several entries may tell of the same death: it counts once.
+    /// Records that an upstream crashed with `fps` in flight. A crash that several entries report counts once.
     ///
-    /// For the neighbours' sake, tell all fingerprints that were in flight, and have the fingerprints of a service
-    /// at one home: where a home knows only some of them, it cannot tell the guilty one from its neighbours.
+    /// Report all fingerprints in flight, and assign the fingerprints of one service to one home: a home that knows
+    /// only some of them cannot tell the culprit from the others.
     pub fn record_crash(
         &mut self,
         now: MonoTime,
@@ -144,36 +147,37 @@
         incarnation: Incarnation,
         fps: &[Fingerprint],
     ) {
-        self.forget_old(now);
+        self.expire(now);
         for fp in fps {
             self.trials.remove(fp);
         }
-        // A death with a quarantined request in flight is explained already: its neighbours are no suspects.
+        // A crash with a quarantined request in flight is attributed to it, so the other requests do not become
+        // suspects.
         let key = (upstream.clone(), incarnation);
-        if self.explained.contains(&key) {
+        if self.attributed.contains(&key) {
             return;
         }
         if fps.iter().any(|fp| self.quarantined.contains_key(fp)) {
-            self.explain(&key);
+            self.attribute(&key);
             return;
         }
         let crash = self.crashes.entry(key.clone()).or_insert_with(|| Crash {
             at: now,
-            told: BTreeSet::new(),
-            in_flight: BTreeSet::new(),
+            reported: BTreeSet::new(),
+            suspects: BTreeSet::new(),
         });
         for &fp in fps {
-            if crash.told.len() < MOST_PER_CRASH && crash.told.insert(fp) {
-                crash.in_flight.insert(fp);
+            if crash.reported.len() < MAX_FINGERPRINTS_PER_CRASH && crash.reported.insert(fp) {
+                crash.suspects.insert(fp);
                 self.crashes_of.entry(fp).or_default().insert(key.clone());
             }
         }
-        if let Some(guilty) = self.guilty_of(&key) {
-            self.quarantine(now, guilty);
+        if let Some(culprit) = self.find_culprit(&key) {
+            self.quarantine(now, culprit);
         }
     }
 
-    /// Whether the fingerprint may run only as a trial.
+    /// Returns true if the fingerprint may run only as a trial or not at all.
     #[must_use]
     pub fn is_suspect(&self, fp: Fingerprint) -> bool {
         self.needs_trial(fp) || self.quarantined.contains_key(&fp)
@@ -184,13 +188,13 @@
         crashes > 0 && crashes >= self.policy.crashes_to_trial as usize
     }
 
-    /// Asks to run a suspect.
+    /// Requests a run of a fingerprint.
     ///
-    /// Suspects of the same crash run one after the other. Were two of them in flight together when the guilty one
-    /// kills its second upstream, both would have been in the same two crashes, and either the innocent one would be
-    /// refused or a third upstream be lost to find out.
+    /// Suspects of the same crash run one after the other. If two of them were in flight together when the culprit
+    /// crashes its second upstream, both would have been in the same two crashes. Either the innocent one would be
+    /// quarantined too, or a third upstream would have to crash to tell them apart.
     pub fn try_trial(&mut self, now: MonoTime, fp: Fingerprint) -> Trial {
-        self.forget_old(now);
+        self.expire(now);
         if self.quarantined.contains_key(&fp) {
             return Trial::Quarantined {
                 retry_after: QUARANTINE_RETRY_AFTER,
@@ -207,7 +211,7 @@
                 || self
                     .crashes_of
                     .get(other)
-                    .is_some_and(|theirs| !theirs.is_disjoint(crashes))
+                    .is_some_and(|other_crashes| !other_crashes.is_disjoint(crashes))
         };
         if self.trials.keys().any(conflicts) {
             return Trial::Busy {
@@ -218,106 +222,108 @@
         Trial::Run
     }
 
-    /// The trial is over, whatever came of it.
+    /// Ends a trial, whatever its result.
     pub fn end_trial(&mut self, now: MonoTime, fp: Fingerprint) {
         self.trials.remove(&fp);
-        self.forget_old(now);
+        self.expire(now);
     }
 
-    /// The fingerprint ran to a whole result: it is no suspect any more.
+    /// Clears a fingerprint that ran to a complete result: it is no longer a suspect.
     pub fn clear(&mut self, now: MonoTime, fp: Fingerprint) {
         self.trials.remove(&fp);
         for key in self.crashes_of.remove(&fp).unwrap_or_default() {
             if let Some(crash) = self.crashes.get_mut(&key) {
-                crash.in_flight.remove(&fp);
+                crash.suspects.remove(&fp);
             }
         }
-        self.forget_old(now);
+        self.expire(now);
     }
 
-    /// The quarantined fingerprints.
+    /// Returns the quarantined fingerprints.
     pub fn quarantined(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.quarantined.keys().copied()
     }
 
-    /// Takes over a quarantine found elsewhere.
+    /// Adds a quarantine that another instance decided.
     pub fn adopt_quarantine(&mut self, now: MonoTime, fp: Fingerprint) {
-        self.forget_old(now);
+        self.expire(now);
         self.quarantine(now, fp);
     }
 
-    /// An operator lifted the quarantine: the fingerprint may run as any other, and is quarantined again after as many
-    /// crashes as before.
+    /// Lifts a quarantine on an operator's request. The fingerprint is treated as any other and is quarantined again
+    /// after the same number of crashes.
     pub fn lift(&mut self, now: MonoTime, fp: Fingerprint) {
-        self.forget_old(now);
+        self.expire(now);
         if self.quarantined.remove(&fp).is_some() {
             self.quarantined_order.retain(|other| *other != fp);
         }
     }
 
-    /// Crashes, suspects and trials kept; bounded.
+    /// Returns the number of crashes, suspects, trials and quarantines, which is bounded.
     #[must_use]
     pub fn len(&self) -> usize {
         self.crashes.len()
-            + self.explained.len()
+            + self.attributed.len()
             + self.crashes_of.len()
             + self.trials.len()
             + self.quarantined.len()
     }
 
-    /// Whether there is no crash, suspect, trial or quarantine.
+    /// Returns true if there are no crashes, suspects, trials or quarantines.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The one fingerprint of the crash that was in flight in enough crashes, if it is the only one in the most.
-    fn guilty_of(&self, key: &CrashKey) -> Option<Fingerprint> {
+    /// Returns the culprit of a crash: the fingerprint with the most crashes, if it reaches the threshold and no other
+    /// has as many.
+    fn find_culprit(&self, key: &CrashKey) -> Option<Fingerprint> {
         let crash = self.crashes.get(key)?;
-        let counted = crash
-            .in_flight
+        let counts = crash
+            .suspects
             .iter()
             .map(|&fp| (self.crashes_of.get(&fp).map_or(0, BTreeSet::len), fp));
-        let most = counted.clone().map(|(crashes, _)| crashes).max()?;
+        let most = counts.clone().map(|(crashes, _)| crashes).max()?;
         if most < self.policy.crashes_to_quarantine.max(1) as usize {
             return None;
         }
-        let mut worst = counted.filter(|&(crashes, _)| crashes == most);
-        let guilty = worst.next()?.1;
-        worst.next().is_none().then_some(guilty)
+        let mut most_crashed = counts.filter(|&(crashes, _)| crashes == most);
+        let culprit = most_crashed.next()?.1;
+        most_crashed.next().is_none().then_some(culprit)
     }
 
-    /// Quarantines the fingerprint; the crashes it was in are explained, and its neighbours in them go free.
-    fn quarantine(&mut self, now: MonoTime, guilty: Fingerprint) {
-        if self.quarantined.insert(guilty, now).is_none() {
-            self.quarantined_order.push_back(guilty);
+    /// Quarantines a fingerprint, attributes its crashes to it and clears the other suspects of those crashes.
+    fn quarantine(&mut self, now: MonoTime, culprit: Fingerprint) {
+        if self.quarantined.insert(culprit, now).is_none() {
+            self.quarantined_order.push_back(culprit);
         }
-        if self.quarantined_order.len() > MOST_QUARANTINED
+        if self.quarantined_order.len() > MAX_QUARANTINED
             && let Some(oldest) = self.quarantined_order.pop_front()
         {
             self.quarantined.remove(&oldest);
         }
-        self.trials.remove(&guilty);
-        for key in self.crashes_of.get(&guilty).cloned().unwrap_or_default() {
-            self.explain(&key);
+        self.trials.remove(&culprit);
+        for key in self.crashes_of.get(&culprit).cloned().unwrap_or_default() {
+            self.attribute(&key);
         }
-        self.crashes_of.remove(&guilty);
+        self.crashes_of.remove(&culprit);
     }
 
-    /// The crash's guilty one is known: the others in it are no suspects for its sake, also when more are told of.
-    fn explain(&mut self, key: &CrashKey) {
-        self.drop_crash(key);
-        self.explained.push_back(key.clone());
-        if self.explained.len() > MOST_CRASHES {
-            self.explained.pop_front();
+    /// Marks a crash as attributed, so that the other fingerprints in it are no longer suspects, even if it is reported
+    /// again.
+    fn attribute(&mut self, key: &CrashKey) {
+        self.remove_crash(key);
+        self.attributed.push_back(key.clone());
+        if self.attributed.len() > MAX_CRASHES {
+            self.attributed.pop_front();
         }
     }
 
-    fn drop_crash(&mut self, key: &CrashKey) {
+    fn remove_crash(&mut self, key: &CrashKey) {
         let Some(crash) = self.crashes.remove(key) else {
             return;
         };
-        for fp in crash.in_flight {
+        for fp in crash.suspects {
             if let Some(crashes) = self.crashes_of.get_mut(&fp) {
                 crashes.remove(key);
                 if crashes.is_empty() {
@@ -327,19 +333,20 @@
         }
     }
 
-    fn forget_old(&mut self, now: MonoTime) {
+    fn expire(&mut self, now: MonoTime) {
         self.trials
-            .retain(|_, started| now.since(*started) < TRIAL_LASTS);
-        if let Some(life) = self.policy.quarantine_duration {
-            self.quarantined.retain(|_, since| now.since(*since) < life);
+            .retain(|_, started| now.since(*started) < TRIAL_TIMEOUT);
+        if let Some(duration) = self.policy.quarantine_duration {
+            self.quarantined
+                .retain(|_, since| now.since(*since) < duration);
             self.quarantined_order
                 .retain(|fp| self.quarantined.contains_key(fp));
         }
         while let Some((key, at)) = self.oldest_crash() {
-            if self.crashes.len() <= MOST_CRASHES && now.since(at) < FORGET_CRASH_AFTER {
+            if self.crashes.len() <= MAX_CRASHES && now.since(at) < CRASH_TTL {
                 break;
             }
-            self.drop_crash(&key);
+            self.remove_crash(&key);
         }
     }
 
--- a/crates/tc-policy/src/throttle.rs
+++ b/crates/tc-policy/src/throttle.rs
@@ -1,28 +1,30 @@
-//! Admission by outcome: when requests of one kind keep missing for want of room, most of them are refused at once.
+//! Adaptive throttling: when requests of one kind keep failing for lack of capacity, most of them are refused at
+//! admission.
 //!
-//! Time quantiles alone do not refuse in an overload: they are fed by the requests that were answered, and those had
-//! room. What the others cost in their early stages is wasted. So the share of requests that got room is kept, over a
-//! few seconds, and only a little more than that share is let in. The little more keeps the upstreams full and finds
-//! out when there is room again.
+//! Latency quantiles alone do not limit an overload, as they only cover requests that were answered, which had
+//! capacity. The early stages of the others are wasted work. The throttle therefore tracks the share of requests that
+//! got capacity over a few seconds, and admits slightly more than that share. The excess keeps the upstreams busy and
+//! detects when capacity is available again.
 
 use tc_protocol::MonoTime;
 
-/// Requests let in per request that got room while others miss. What is above 1 is wasted in the early stages.
-const LET_IN_WHILE_FULL: f64 = 1.1;
-/// The same while none misses: there may be room again, and this bounds how fast admission follows.
-const LET_IN_WHILE_FREE: f64 = 3.0;
-/// Share of misses among the requests let in from which the place counts as full.
-const FULL_SHARE: f64 = 0.05;
-/// Time over which outcomes count, in seconds: each second weighs less than the one after it.
+/// Requests admitted per accepted request while others miss. The part above 1 is wasted in the early stages.
+const ADMIT_FACTOR_EXHAUSTED: f64 = 1.1;
+/// The same while no request misses: there may be capacity again, and this bounds how fast admission grows.
+const ADMIT_FACTOR_AVAILABLE: f64 = 3.0;
+/// Share of misses among the admitted requests from which capacity counts as exhausted.
+const EXHAUSTED_MISS_SHARE: f64 = 0.05;
+/// Time constant of the exponential decay of outcomes, in seconds.
 const WINDOW_S: f64 = 2.0;
-/// Requests let in per window whatever the outcomes: after a total outage none got room, and nothing would be found out.
-/// It is a floor and does not come on top: there are as many kinds as workspaces times pipelines at each instance, and
-/// two more a second of each were a tenth of an overloaded fleet's capacity, wasted in the early stages.
-const LEAST_LET_IN: f64 = 4.0;
+/// Minimum number of requests admitted per window. After a total outage no request was accepted, and a multiple of zero
+/// would never detect the recovery. It is a lower bound and not an addition: each instance has as many kinds as
+/// workspaces times pipelines, and two additional requests per second of each kind took a tenth of an overloaded
+/// fleet's capacity, wasted in the early stages.
+const MIN_ADMITTED: f64 = 4.0;
 /// Outcomes below which nothing is refused: a few misses of a small workspace are no overload.
-const LEAST_OUTCOMES: f64 = 10.0;
+const MIN_OUTCOMES: f64 = 10.0;
 
-/// Outcomes of one kind of request, such as those of a workspace for a pipeline.
+/// Tracks the outcomes of one kind of request, such as those of a workspace for a pipeline.
 ///
 /// ```
 /// use tc_policy::Throttle;
@@ -37,56 +39,56 @@
 pub struct Throttle {
     refused: f64,
     missed: f64,
-    got_room: f64,
+    accepted: f64,
     at: MonoTime,
 }
 
 impl Throttle {
-    /// Share of new requests to refuse, from 0 to below 1.
+    /// Returns the probability of refusing a new request, from 0 to below 1.
     #[must_use]
     pub fn refusal_probability(&self, now: MonoTime) -> f64 {
         let decay = self.decay(now);
-        let offered = (self.refused + self.missed + self.got_room) * decay;
-        if offered < LEAST_OUTCOMES {
+        let offered = (self.refused + self.missed + self.accepted) * decay;
+        if offered < MIN_OUTCOMES {
             return 0.0;
         }
-        let let_in = (self.let_in_factor() * self.got_room * decay).max(LEAST_LET_IN);
-        ((offered - let_in) / (offered + 1.0)).max(0.0)
+        let admit_limit = (self.admit_factor() * self.accepted * decay).max(MIN_ADMITTED);
+        ((offered - admit_limit) / (offered + 1.0)).max(0.0)
     }
 
-    /// Whether to let a request in, `random` being uniform from 0 to 1.
+    /// Decides whether to admit a request; `random` is uniform between 0 and 1.
     pub fn admit(&mut self, now: MonoTime, random: f64) -> bool {
         let admitted = random >= self.refusal_probability(now);
         if !admitted {
-            self.age(now);
+            self.apply_decay(now);
             self.refused += 1.0;
         }
         admitted
     }
 
-    /// A request that was let in found room, whatever its answer was.
+    /// Records that an admitted request got capacity, whatever its answer was.
     pub fn record_accepted(&mut self, now: MonoTime) {
-        self.age(now);
-        self.got_room += 1.0;
+        self.apply_decay(now);
+        self.accepted += 1.0;
     }
 
-    /// A request that was let in found no room in time.
+    /// Records that an admitted request got no capacity in time.
     pub fn record_missed(&mut self, now: MonoTime) {
-        self.age(now);
+        self.apply_decay(now);
         self.missed += 1.0;
     }
 
-    fn let_in_factor(&self) -> f64 {
-        let missed_share = self.missed / (self.missed + self.got_room).max(1.0);
-        let free = 1.0 - (missed_share / FULL_SHARE).min(1.0);
-        LET_IN_WHILE_FULL + (LET_IN_WHILE_FREE - LET_IN_WHILE_FULL) * free
+    fn admit_factor(&self) -> f64 {
+        let missed_share = self.missed / (self.missed + self.accepted).max(1.0);
+        let available = 1.0 - (missed_share / EXHAUSTED_MISS_SHARE).min(1.0);
+        ADMIT_FACTOR_EXHAUSTED + (ADMIT_FACTOR_AVAILABLE - ADMIT_FACTOR_EXHAUSTED) * available
     }
 
-    fn age(&mut self, now: MonoTime) {
+    fn apply_decay(&mut self, now: MonoTime) {
         let decay = self.decay(now);
         self.refused *= decay;
         self.missed *= decay;
-        self.got_room *= decay;
+        self.accepted *= decay;
         self.at = now.max(self.at);
     }
 
