--- a/crates/tc-policy/examples/decision_rate.rs
+++ b/crates/tc-policy/examples/decision_rate.rs
@@ -1,4 +1,4 @@
-//! Prints decisions a second on one core: `cargo run --release -p tc-policy --example decision_rate`.
+//! Prints the decisions per second on one core: `cargo run --release -p tc-policy --example decision_rate`.
 
 use std::{
     hint::black_box,
@@ -14,13 +14,13 @@
     UpstreamState, UpstreamSummary, WorkspaceName,
 };
 
-/// Workspaces that ask.
+/// Number of workspaces that send asks.
 const WORKSPACES: usize = 10;
-/// Upstreams to choose from.
+/// Number of candidate upstreams.
 const CANDIDATES: usize = 12;
 /// Slots of the home's upstream.
 const SLOTS: u32 = 8;
-/// Decisions of one kind.
+/// Decisions per measurement.
 const ROUNDS: u32 = 1_000_000;
 
 fn main() {
@@ -78,7 +78,7 @@
     }
 }
 
-/// One ask that is granted at once, one release, one poll.
+/// Measures one ask that is granted immediately, one release and one poll per round.
 fn free_slots() -> Duration {
     let (mut home, asks) = (new_home(), new_asks());
     let mut now = MonoTime(1);
@@ -95,7 +95,7 @@
     started.elapsed()
 }
 
-/// One ask that is queued, one release, one poll that grants another.
+/// Measures one queued ask, one release and one poll that grants another ask per round.
 fn backlog() -> Duration {
     let (mut home, asks) = (new_home(), new_asks());
     let mut now = MonoTime(1);
--- a/crates/tc-policy/src/engines/engine.rs
+++ b/crates/tc-policy/src/engines/engine.rs
@@ -1,44 +1,45 @@
-//! One engine as its home knows it.
+//! State of one engine at its home.
 
 use std::time::Duration;
 
 use tc_protocol::{FailureDomain, MonoTime};
 
-use super::prefix_cache::KeptParts;
+use super::prefix_cache::PrefixCache;
 use crate::{ColdLimit, PacedSends, RecentSends};
 
-/// First pause after a run failed; doubles with each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// Longest pause: an engine that is back is used again within this time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// Weight of the newest run in the speed: an engine turns slow for seconds, in which it reads some ten prompts.
-const SPEED_WEIGHT: f64 = 0.2;
-/// Bounds of the speed, so that one odd time cannot keep an engine out of use.
-const SPEED_BOUNDS: (f64, f64) = (0.5, 10.0);
-/// Shortest time from which something is learnt of the speed: below it, steps of other requests count for more.
-const LEAST_TO_LEARN: Duration = Duration::from_millis(40);
+/// Backoff after the first failed run; doubles with each consecutive failure.
+const FIRST_BACKOFF: Duration = Duration::from_millis(300);
+/// Maximum backoff: a recovered engine is used again within this time.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// Weight of the newest run in the slowness: an engine may slow down for seconds, in which it reads about ten prompts.
+const SLOWNESS_WEIGHT: f64 = 0.2;
+/// Bounds of the slowness, so that one outlier cannot keep an engine out of use.
+const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 10.0);
+/// Minimum expected time of a run that updates the slowness: in shorter runs, the decoding steps of other requests
+/// dominate.
+const MIN_MEASURED_TIME: Duration = Duration::from_millis(40);
 
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) domain: FailureDomain,
     pub(super) slots: u32,
-    /// Whether it is registered and not leaving.
+    /// Whether the engine is registered and not leaving.
     pub(super) ready: bool,
-    /// Until when it is cold, as far as known.
+    /// End of its cold phase, as far as known.
     pub(super) cold_until: MonoTime,
-    /// What was sent there lately.
-    pub(super) recent: RecentSends,
-    pub(super) kept: KeptParts,
-    /// Runs that have not ended.
+    /// Recent sends to the engine.
+    pub(super) recent_sends: RecentSends,
+    pub(super) prefix_cache: PrefixCache,
+    /// Number of unfinished runs.
     pub(super) runs: u32,
-    /// When it has read all that it was given, as far as expected.
-    pub(super) read_all_at: MonoTime,
-    /// Time it takes against what is expected; 2 is half as fast.
-    pub(super) speed: f64,
-    /// Set while the engine announces a rate limit.
-    pub(super) limited: Option<PacedSends>,
+    /// Expected time at which it has read all assigned prompts.
+    pub(super) prefill_done_at: MonoTime,
+    /// Measured time relative to the expected time; 2 is half as fast.
+    pub(super) slowness: f64,
+    /// Pacing while the engine announces a rate limit.
+    pub(super) rate_limit: Option<PacedSends>,
     failures: u32,
-    not_before: MonoTime,
+    retry_at: MonoTime,
 }
 
 impl Engine {
@@ -48,22 +49,22 @@
             slots,
             ready: true,
             cold_until: MonoTime::default(),
-            recent: RecentSends::default(),
-            kept: KeptParts::default(),
+            recent_sends: RecentSends::default(),
+            prefix_cache: PrefixCache::default(),
             runs: 0,
-            read_all_at: MonoTime::default(),
-            speed: 1.0,
-            limited: None,
+            prefill_done_at: MonoTime::default(),
+            slowness: 1.0,
+            rate_limit: None,
             failures: 0,
-            not_before: MonoTime::default(),
+            retry_at: MonoTime::default(),
         }
     }
 
-    pub(super) fn is_sound(&self, now: MonoTime) -> bool {
-        self.not_before <= now
+    pub(super) fn is_healthy(&self, now: MonoTime) -> bool {
+        self.retry_at <= now
     }
 
-    pub(super) const fn has_slot(&self) -> bool {
+    pub(super) const fn has_free_slot(&self) -> bool {
         self.runs < self.slots
     }
 
@@ -71,43 +72,44 @@
         self.cold_until > now
     }
 
-    /// Whether a home may still send to it in this moment without driving it beyond what it bears if it is cold.
-    pub(super) fn bears_more(&self, now: MonoTime, limit: Option<ColdLimit>) -> bool {
+    /// Returns true if the home may send another request without exceeding the engine's cold limit, which also applies
+    /// to warm engines, in a larger share, as they may have turned cold.
+    pub(super) fn is_within_cold_limit(&self, now: MonoTime, limit: Option<ColdLimit>) -> bool {
         let Some(limit) = limit else { return true };
         let most = if self.is_cold(now) {
             limit.home_share()
         } else {
             limit.home_share_if_warm()
         };
-        self.recent.count(now) < most
+        self.recent_sends.count(now) < most
     }
 
-    /// Returns true if another send keeps to the rate limit that the engine announces.
-    pub(super) fn is_within_limit(&self, now: MonoTime) -> bool {
-        self.limited.is_none_or(|paced| paced.may_send(now))
+    /// Returns true if another send complies with the rate limit that the engine announces.
+    pub(super) fn is_within_rate_limit(&self, now: MonoTime) -> bool {
+        self.rate_limit.is_none_or(|paced| paced.may_send(now))
     }
 
     pub(super) fn record_send(&mut self, now: MonoTime) {
-        if let Some(paced) = &mut self.limited {
+        if let Some(paced) = &mut self.rate_limit {
             paced.record(now);
         }
     }
 
-    /// A run had its first event; `expected` tells what was expected of it if it had not to wait for others.
-    pub(super) fn answered(&mut self, took: Duration, expected: Option<Duration>) {
+    /// Records the first event of a run. `expected` is its expected time if it did not wait behind other prompts.
+    pub(super) fn record_first_event(&mut self, took: Duration, expected: Option<Duration>) {
         self.failures = 0;
-        self.not_before = MonoTime::default();
-        let Some(expected) = expected.filter(|expected| *expected >= LEAST_TO_LEARN) else {
+        self.retry_at = MonoTime::default();
+        let Some(expected) = expected.filter(|expected| *expected >= MIN_MEASURED_TIME) else {
             return;
         };
         let ratio = took.as_secs_f64() / expected.as_secs_f64();
-        let speed = self.speed + SPEED_WEIGHT * (ratio - self.speed);
-        self.speed = speed.clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
+        let slowness = self.slowness + SLOWNESS_WEIGHT * (ratio - self.slowness);
+        self.slowness = slowness.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
     }
 
-    pub(super) fn failed(&mut self, now: MonoTime) {
-        let pause = FIRST_PAUSE * 2u32.pow(self.failures.min(8));
+    pub(super) fn record_failure(&mut self, now: MonoTime) {
+        let backoff = FIRST_BACKOFF * 2u32.pow(self.failures.min(8));
         self.failures += 1;
-        self.not_before = now.after(pause.min(LONGEST_PAUSE));
+        self.retry_at = now.after(backoff.min(MAX_BACKOFF));
     }
 }
--- a/crates/tc-policy/src/engines/mod.rs
+++ b/crates/tc-policy/src/engines/mod.rs
@@ -1,10 +1,11 @@
-//! The home of a model service: which engine reads which prompt.
+//! Engine selection at the home of a model service.
 //!
-//! Prompts differ by a hundred times in length and share long parts. One home that knows what it gave to each engine chooses
-//! where a prompt is read soonest; with each instance choosing by its own few requests, long prompts meet at one engine
-//! while eight others have nothing to read, seen as the longest tenth of the prompts in time only half as often.
+//! Prompts differ in length by a factor of a hundred and share long parts. A single home that knows what it assigned to
+//! each engine can choose the one that finishes reading a prompt soonest. When each instance chose from its own few
+//! requests, long prompts collided at one engine while eight others were idle, and the longest tenth of the prompts met
+//! their deadline only half as often.
 //!
-//! [`EnginePlanner`] only decides; whoever drives it sends the requests and tells it what became of them.
+//! [`EnginePlanner`] only decides; its caller sends the requests and reports their progress.
 
 mod engine;
 mod planner;
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -1,4 +1,4 @@
-//! The state machine of a model service's home.
+//! State machine of a model service's home.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,34 +12,34 @@
 use crate::{ColdLimit, PacedSends, PromptTimes, rendezvous::hashed_score};
 
 slotmap::new_key_type! {
-    /// A run at an engine that has not ended.
+    /// An unfinished run at an engine.
     struct RunKey;
 }
 
-/// Part of an engine's memory that kept parts are taken to have; running requests need the rest.
-const KEPT_PART: f64 = 0.8;
-/// How much more a token counts that is read again though another engine keeps it, in times of reading it: the engine's
-/// time is lost to every request behind it.
-const AGAIN: f64 = 3.0;
-/// Time that fetching a token from another engine counts as: a tenth of reading it.
-const FETCH_PER_TOKEN: Duration = Duration::from_micros(2);
-/// Time that a megabyte of results between failure domains counts as; such bytes are dear, and a request of two megabytes
-/// rather waits for as long as a tenth of a long prompt takes to read.
-const AWAY_PER_MB: Duration = Duration::from_millis(30);
-/// Fewest tokens that are worth a fetch: a block of memory is read as fast as it is asked for.
-const LEAST_FETCH: u32 = 64;
-/// Time beyond a request's own after which a run without news is forgotten: its entry is gone.
-const FORGET_AFTER: Duration = Duration::from_secs(1);
+/// Fraction of an engine's memory assumed to hold cached parts; running requests need the rest.
+const CACHE_FRACTION: f64 = 0.8;
+/// Weight of reading a token again that another engine has cached, as a multiple of its reading time: the time is lost
+/// to every request queued behind it.
+const REREAD_WEIGHT: f64 = 3.0;
+/// Cost of fetching a token from another engine: a tenth of reading it.
+const FETCH_COST_PER_TOKEN: Duration = Duration::from_micros(2);
+/// Cost of moving a megabyte of results between failure domains. Such traffic is expensive: a request with two
+/// megabytes rather waits as long as a tenth of a long prompt takes to read.
+const CROSS_DOMAIN_COST_PER_MB: Duration = Duration::from_millis(30);
+/// Minimum number of tokens worth a fetch: a block of memory is read as fast as it is requested.
+const MIN_FETCH_TOKENS: u32 = 64;
+/// Time after a request's deadline at which a run without news is dropped, as its entry is gone.
+const LOST_RUN_GRACE: Duration = Duration::from_secs(1);
 const BYTES_PER_MB: f64 = 1_000_000.0;
 
-/// An engine as registered.
+/// A registered engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineCandidate {
-    /// Identifies this life of its process.
+    /// Identifier of this incarnation of its process.
     pub id: UpstreamId,
-    /// Where it runs.
+    /// Failure domain of the engine.
     pub domain: FailureDomain,
-    /// Until when it is cold, as far as known.
+    /// End of its cold phase, as far as known.
     pub cold_until: MonoTime,
 }
 
@@ -47,68 +47,68 @@
 struct Run {
     upstream: UpstreamId,
     parts: std::sync::Arc<[PromptPart]>,
-    tokens_read: u32,
+    prefill_tokens: u32,
     expected: Duration,
-    /// Whether other prompts were before it.
-    waited: bool,
-    has_read: bool,
-    forget_at: MonoTime,
+    /// Whether other prompts were queued before it.
+    was_queued: bool,
+    is_prefilled: bool,
+    expires_at: MonoTime,
 }
 
-/// Classes of engines, the ones to be taken first before the others.
+/// Availability classes of engines, in order of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Fitness {
-    /// It has a place and has not failed lately.
-    Fit,
-    /// It got as much lately as it bears if it has turned cold unheard.
-    Driven,
-    /// It failed lately or has no place.
-    Unsound,
+enum Availability {
+    /// The engine has a free slot and no recent failure.
+    Available,
+    /// The engine is at the limit that applies in case it has turned cold without having reported it.
+    AtColdLimit,
+    /// The engine failed recently or has no free slot.
+    Unavailable,
 }
 
-/// What one engine would mean for a prompt.
-struct Weighed<'a> {
+/// Evaluation of one engine for a prompt.
+struct EngineCost<'a> {
     id: &'a UpstreamId,
-    read: u32,
-    own: Duration,
+    prefill_tokens: u32,
+    own_time: Duration,
     source: Option<&'a UpstreamId>,
-    /// Whether other prompts are before it.
-    waits: bool,
+    /// Whether other prompts are queued before it.
+    is_queued: bool,
     cost: Duration,
-    chance: u64,
+    tie_score: u64,
 }
 
-/// Decides for one service. See the module.
+/// Selects engines for the prompts of one service; see the module documentation.
 #[derive(Debug)]
 pub struct EnginePlanner {
     spec: EngineSpec,
-    /// Set when engines are fragile while they are cold.
-    cold: Option<ColdLimit>,
+    /// Limit for cold engines, for services whose engines are overload-sensitive while cold.
+    cold_limit: Option<ColdLimit>,
     engines: BTreeMap<UpstreamId, Engine>,
     runs: SlotMap<RunKey, Run>,
     times: PromptTimes,
 }
 
 impl EnginePlanner {
-    /// A planner that knows no engine yet.
+    /// Creates a planner without engines.
     #[must_use]
     pub fn new(spec: EngineSpec) -> Self {
         Self {
             spec,
-            cold: None,
+            cold_limit: None,
             engines: BTreeMap::new(),
             runs: SlotMap::with_key(),
             times: PromptTimes::default(),
         }
     }
 
-    /// Takes up how much engines bear while they are cold.
+    /// Sets the request limit for cold engines.
     pub const fn set_cold_limit(&mut self, limit: Option<ColdLimit>) {
-        self.cold = limit;
+        self.cold_limit = limit;
     }
 
-    /// Takes up the list of engines that may get new work. What one that is no longer listed kept is forgotten once its
-    /// runs have ended.
+    /// Sets the engines that may get new work. An engine that is no longer listed is removed, with its cached parts,
+    /// once its runs have ended.
     pub fn set_engines(&mut self, spec: EngineSpec, listed: &[EngineCandidate]) {
         self.spec = spec;
         for engine in self.engines.values_mut() {
@@ -127,29 +127,30 @@
             .retain(|_, engine| engine.ready || engine.runs > 0);
     }
 
-    /// Takes up the rate limits that engines announce.
+    /// Sets the rate limits that engines announce.
     ///
-    /// A limit binds all instances together, and only the home sees what all of them send.
+    /// A limit applies to all instances together, and only the home sees what all of them send.
     pub fn set_limits(
         &mut self,
         now: MonoTime,
         limit_of: impl Fn(&UpstreamId) -> Option<RateLimit>,
     ) {
         for (id, engine) in &mut self.engines {
-            PacedSends::take_up(&mut engine.limited, now, limit_of(id));
+            PacedSends::take_up(&mut engine.rate_limit, now, limit_of(id));
         }
     }
 
-    /// Chooses an engine as the home of the service; `None` when there is none that may get the request.
+    /// Selects an engine as the home of the service; returns `None` if no engine may get the request.
     pub fn choose(&mut self, now: MonoTime, ask: &EngineAsk) -> Option<EngineChoice> {
-        let cold = self.cold;
+        let cold_limit = self.cold_limit;
         self.choose_among(now, ask, |_, engine| {
-            let is_warm_enough = !engine.is_cold(now) || engine.bears_more(now, cold);
-            is_warm_enough && engine.is_within_limit(now)
+            let is_warm_enough =
+                !engine.is_cold(now) || engine.is_within_cold_limit(now, cold_limit);
+            is_warm_enough && engine.is_within_rate_limit(now)
         })
     }
 
-    /// Chooses an engine for an instance that cannot ask the home, among the warm ones that `may` names.
+    /// Selects an engine for an instance that cannot reach the home, among the warm ones that `may` allows.
     pub fn choose_without_home(
         &mut self,
         now: MonoTime,
@@ -165,217 +166,229 @@
         ask: &EngineAsk,
         may: impl Fn(&UpstreamId, &Engine) -> bool,
     ) -> Option<EngineChoice> {
-        self.forget_lost_runs(now);
-        let best = self.best(now, ask, may)?;
+        self.drop_lost_runs(now);
+        let best = self.best_engine(now, ask, may)?;
         let upstream = best.id.clone();
         let fetch_from = best.source.cloned();
         let run = Run {
             upstream: upstream.clone(),
             parts: ask.prompt.parts.clone(),
-            tokens_read: best.read,
-            expected: best.own,
-            waited: best.waits,
-            has_read: false,
-            forget_at: now.after(ask.remaining + FORGET_AFTER),
+            prefill_tokens: best.prefill_tokens,
+            expected: best.own_time,
+            was_queued: best.is_queued,
+            is_prefilled: false,
+            expires_at: now.after(ask.remaining + LOST_RUN_GRACE),
         };
         Some(EngineChoice {
             upstream,
             fetch_from,
-            run: self.begin(now, run),
+            run: self.start_run(now, run),
         })
     }
 
-    /// Counts a run at its engine; returns its number.
-    fn begin(&mut self, now: MonoTime, run: Run) -> u64 {
-        let most_tokens = self.most_kept();
+    /// Registers a run at its engine and returns the run's number.
+    fn start_run(&mut self, now: MonoTime, run: Run) -> u64 {
+        let capacity_tokens = self.cache_capacity();
         if let Some(engine) = self.engines.get_mut(&run.upstream) {
             engine.runs += 1;
             engine.record_send(now);
-            if self.cold.is_some() {
-                engine.recent.record(now);
+            if self.cold_limit.is_some() {
+                engine.recent_sends.record(now);
             }
-            engine.read_all_at = engine.read_all_at.max(now).after(run.expected);
-            engine.kept.note(&run.parts, false, most_tokens);
+            engine.prefill_done_at = engine.prefill_done_at.max(now).after(run.expected);
+            engine
+                .prefix_cache
+                .insert(&run.parts, false, capacity_tokens);
         }
         self.runs.insert(run).data().as_ffi()
     }
 
-    /// Takes up what became of a run. News of runs that are not known changes nothing.
+    /// Records news of a run. News of unknown runs is ignored.
     pub fn record(&mut self, now: MonoTime, run: u64, news: EngineNews) {
         let key = RunKey::from(KeyData::from_ffi(run));
         match news {
-            EngineNews::FirstEvent(took) => self.has_read(now, key, took),
-            EngineNews::Ended => self.end(now, key),
+            EngineNews::FirstEvent(took) => self.record_first_event(now, key, took),
+            EngineNews::Ended => self.end_run(now, key),
             EngineNews::Failed => {
                 let upstream = self.runs.get(key).map(|run| run.upstream.clone());
-                self.end(now, key);
+                self.end_run(now, key);
                 if let Some(engine) = upstream.and_then(|id| self.engines.get_mut(&id)) {
-                    engine.failed(now);
+                    engine.record_failure(now);
                 }
             }
         }
     }
 
-    /// Runs that have not ended, and engines.
+    /// Returns the number of unfinished runs and the number of engines.
     #[must_use]
     pub fn size(&self) -> (usize, usize) {
         (self.runs.len(), self.engines.len())
     }
 
-    fn best<'a>(
+    fn best_engine<'a>(
         &'a self,
         now: MonoTime,
         ask: &EngineAsk,
         may: impl Fn(&UpstreamId, &Engine) -> bool,
-    ) -> Option<Weighed<'a>> {
-        let fit: Vec<(Fitness, &UpstreamId, &Engine)> = self
+    ) -> Option<EngineCost<'a>> {
+        let candidates: Vec<(Availability, &UpstreamId, &Engine)> = self
             .engines
             .iter()
             .filter(|(id, engine)| engine.ready && !ask.except.contains(id) && may(id, engine))
-            .map(|(id, engine)| (self.fitness(now, engine), id, engine))
+            .map(|(id, engine)| (self.availability(now, engine), id, engine))
             .collect();
-        let fittest = fit.iter().map(|(fitness, ..)| *fitness).min()?;
+        let best_availability = candidates
+            .iter()
+            .map(|(availability, ..)| *availability)
+            .min()?;
         let sources = self.sources(now, &ask.prompt.parts);
-        fit.into_iter()
-            .filter(|(fitness, ..)| *fitness == fittest)
+        candidates
+            .into_iter()
+            .filter(|(availability, ..)| *availability == best_availability)
             .map(|(_, id, engine)| (id, engine))
-            .map(|(id, engine)| self.weigh(now, ask, id, engine, &sources))
-            .min_by_key(|option| (option.cost, option.chance))
+            .map(|(id, engine)| self.evaluate(now, ask, id, engine, &sources))
+            .min_by_key(|option| (option.cost, option.tie_score))
     }
 
-    fn fitness(&self, now: MonoTime, engine: &Engine) -> Fitness {
-        if !engine.is_sound(now) || !engine.has_slot() {
-            Fitness::Unsound
-        } else if engine.bears_more(now, self.cold) {
-            Fitness::Fit
+    fn availability(&self, now: MonoTime, engine: &Engine) -> Availability {
+        if !engine.is_healthy(now) || !engine.has_free_slot() {
+            Availability::Unavailable
+        } else if engine.is_within_cold_limit(now, self.cold_limit) {
+            Availability::Available
         } else {
-            Fitness::Driven
+            Availability::AtColdLimit
         }
     }
 
-    /// The two engines that most of a prompt can be fetched from, best first.
+    /// Returns the two engines that most of a prompt can be fetched from, best first.
     fn sources(&self, now: MonoTime, parts: &[PromptPart]) -> Vec<(u32, &UpstreamId)> {
         let mut sources: Vec<(u32, &UpstreamId)> = self
             .engines
             .iter()
-            .filter(|(_, engine)| engine.ready && engine.is_sound(now))
-            .map(|(id, engine)| (engine.kept.fetchable_of(parts), id))
-            .filter(|(tokens, _)| *tokens >= LEAST_FETCH)
+            .filter(|(_, engine)| engine.ready && engine.is_healthy(now))
+            .map(|(id, engine)| (engine.prefix_cache.fetchable_tokens(parts), id))
+            .filter(|(tokens, _)| *tokens >= MIN_FETCH_TOKENS)
             .collect();
         sources.sort_by(|a, b| b.cmp(a));
         sources.truncate(2);
         sources
     }
 
-    fn weigh<'a>(
+    fn evaluate<'a>(
         &self,
         now: MonoTime,
         ask: &EngineAsk,
         id: &'a UpstreamId,
         engine: &Engine,
         sources: &[(u32, &'a UpstreamId)],
-    ) -> Weighed<'a> {
+    ) -> EngineCost<'a> {
         let tokens = ask.prompt.tokens_in;
-        let here = engine.kept.kept_of(&ask.prompt.parts).min(tokens);
-        let source = sources
-            .iter()
-            .find(|(kept, source)| *source != id && *kept >= here.saturating_add(LEAST_FETCH));
-        let kept = source.map_or(here, |(kept, _)| (*kept).min(tokens));
-        let read = tokens - kept;
-        let own = self.times.estimate(read).mul_f64(engine.speed);
-        let best_kept = sources.first().map_or(0, |(kept, _)| (*kept).min(tokens));
-        let again = self
+        let cached_here = engine
+            .prefix_cache
+            .cached_tokens(&ask.prompt.parts)
+            .min(tokens);
+        let source = sources.iter().find(|(fetchable, source)| {
+            *source != id && *fetchable >= cached_here.saturating_add(MIN_FETCH_TOKENS)
+        });
+        let available = source.map_or(cached_here, |(fetchable, _)| (*fetchable).min(tokens));
+        let prefill_tokens = tokens - available;
+        let own_time = self.times.estimate(prefill_tokens).mul_f64(engine.slowness);
+        let best_available = sources
+            .first()
+            .map_or(0, |(fetchable, _)| (*fetchable).min(tokens));
+        let reread_time = self
             .times
-            .estimate(tokens.saturating_sub(kept))
-            .saturating_sub(self.times.estimate(tokens - best_kept.max(kept)));
-        let away: u64 = ask
+            .estimate(tokens.saturating_sub(available))
+            .saturating_sub(self.times.estimate(tokens - best_available.max(available)));
+        let cross_domain_bytes: u64 = ask
             .inputs
             .iter()
             .filter(|(domain, _)| *domain != engine.domain)
             .map(|(_, bytes)| bytes)
             .sum();
-        let cost = engine.read_all_at.since(now)
-            + own
-            + again.mul_f64(AGAIN)
-            + FETCH_PER_TOKEN * (kept - here.min(kept))
-            + AWAY_PER_MB.mul_f64(away as f64 / BYTES_PER_MB);
+        let cost = engine.prefill_done_at.since(now)
+            + own_time
+            + reread_time.mul_f64(REREAD_WEIGHT)
+            + FETCH_COST_PER_TOKEN * (available - cached_here.min(available))
+            + CROSS_DOMAIN_COST_PER_MB.mul_f64(cross_domain_bytes as f64 / BYTES_PER_MB);
         let key = ask.prompt.shared_key().unwrap_or_default();
-        Weighed {
+        EngineCost {
             id,
-            read,
-            own,
+            prefill_tokens,
+            own_time,
             source: source.map(|(_, source)| *source),
-            waits: engine.read_all_at > now,
-            // Differences below a millisecond say nothing; among equals a family of prompts keeps to one engine.
+            is_queued: engine.prefill_done_at > now,
+            // Differences below a millisecond are noise. Among equals, prompts with the same shared part go to the same
+            // engine.
             cost: Duration::from_millis(cost.as_millis() as u64),
-            chance: hashed_score(key, id.as_str()),
+            tie_score: hashed_score(key, id.as_str()),
         }
     }
 
-    fn has_read(&mut self, now: MonoTime, key: RunKey, took: Duration) {
-        let most_tokens = self.most_kept();
+    fn record_first_event(&mut self, now: MonoTime, key: RunKey, took: Duration) {
+        let capacity_tokens = self.cache_capacity();
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
-        if std::mem::replace(&mut run.has_read, true) {
+        if std::mem::replace(&mut run.is_prefilled, true) {
             return;
         }
-        if !run.waited {
-            self.times.record(run.tokens_read, took);
+        if !run.was_queued {
+            self.times.record(run.prefill_tokens, took);
         }
-        let expected = (!run.waited).then_some(run.expected);
+        let expected = (!run.was_queued).then_some(run.expected);
         let (upstream, parts) = (run.upstream.clone(), run.parts.clone());
         if let Some(engine) = self.engines.get_mut(&upstream) {
-            engine.kept.note(&parts, true, most_tokens);
-            engine.answered(took, expected);
+            engine.prefix_cache.insert(&parts, true, capacity_tokens);
+            engine.record_first_event(took, expected);
         }
-        self.look_at_reading(now, &upstream);
+        self.update_prefill_done(now, &upstream);
     }
 
-    fn end(&mut self, now: MonoTime, key: RunKey) {
+    fn end_run(&mut self, now: MonoTime, key: RunKey) {
         let Some(run) = self.runs.remove(key) else {
             return;
         };
         if let Some(engine) = self.engines.get_mut(&run.upstream) {
             engine.runs = engine.runs.saturating_sub(1);
-            if !run.has_read {
-                engine.kept.not_read(&run.parts);
+            if !run.is_prefilled {
+                engine.prefix_cache.remove_incomplete(&run.parts);
             }
             if !engine.ready && engine.runs == 0 {
                 self.engines.remove(&run.upstream);
             }
         }
-        if !run.has_read {
-            self.look_at_reading(now, &run.upstream);
+        if !run.is_prefilled {
+            self.update_prefill_done(now, &run.upstream);
         }
     }
 
-    /// What an engine still has to read, from the runs that had no event yet.
-    fn look_at_reading(&mut self, now: MonoTime, upstream: &UpstreamId) {
-        let left: Duration = self
+    /// Updates when an engine will have read its prompts, from the runs without a first event.
+    fn update_prefill_done(&mut self, now: MonoTime, upstream: &UpstreamId) {
+        let remaining: Duration = self
             .runs
             .values()
-            .filter(|run| run.upstream == *upstream && !run.has_read)
+            .filter(|run| run.upstream == *upstream && !run.is_prefilled)
             .map(|run| run.expected)
             .sum();
         if let Some(engine) = self.engines.get_mut(upstream) {
-            engine.read_all_at = engine.read_all_at.min(now.after(left));
+            engine.prefill_done_at = engine.prefill_done_at.min(now.after(remaining));
         }
     }
 
-    fn forget_lost_runs(&mut self, now: MonoTime) {
+    fn drop_lost_runs(&mut self, now: MonoTime) {
         let lost: Vec<RunKey> = self
             .runs
             .iter()
-            .filter(|(_, run)| run.forget_at <= now)
+            .filter(|(_, run)| run.expires_at <= now)
             .map(|(key, _)| key)
             .collect();
         for key in lost {
-            self.end(now, key);
+            self.end_run(now, key);
         }
     }
 
-    fn most_kept(&self) -> u64 {
-        (self.spec.memory_tokens as f64 * KEPT_PART) as u64
+    fn cache_capacity(&self) -> u64 {
+        (self.spec.memory_tokens as f64 * CACHE_FRACTION) as u64
     }
 }
--- a/crates/tc-policy/src/engines/prefix_cache.rs
+++ b/crates/tc-policy/src/engines/prefix_cache.rs
@@ -1,89 +1,93 @@
-//! What an engine keeps of the prompts that it has read.
+//! Model of the prompt parts that an engine has cached.
 
 use std::collections::{BTreeSet, HashMap};
 
 use tc_protocol::routing::PromptPart;
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedPart {
     tokens: u32,
-    used: u64,
-    /// Whether it was read to its end; until then no other engine can fetch it.
-    is_read: bool,
+    last_use: u64,
+    /// Whether the engine has read the part completely; other engines cannot fetch it before.
+    is_complete: bool,
 }
 
-/// Prompt parts at one engine, the least recently used to go first.
+/// Prompt parts cached at one engine, with least-recently-used eviction.
 #[derive(Debug, Default)]
-pub(super) struct KeptParts {
-    parts: HashMap<u64, Kept>,
+pub(super) struct PrefixCache {
+    parts: HashMap<u64, CachedPart>,
     by_use: BTreeSet<(u64, u64)>,
     tokens: u64,
-    uses: u64,
+    use_count: u64,
 }
 
-impl KeptParts {
-    /// Tokens at the start of a prompt that are kept here, those being read included.
-    pub(super) fn kept_of(&self, parts: &[PromptPart]) -> u32 {
-        self.chain(parts, |_| true)
+impl PrefixCache {
+    /// Returns the number of leading prompt tokens that are cached here, including parts that are still being read.
+    pub(super) fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
+        self.sum_leading(parts, |_| true)
     }
 
-    /// Tokens at the start of a prompt that another engine can fetch from here.
-    pub(super) fn fetchable_of(&self, parts: &[PromptPart]) -> u32 {
-        self.chain(parts, |kept| kept.is_read)
+    /// Returns the number of leading prompt tokens that another engine can fetch from here.
+    pub(super) fn fetchable_tokens(&self, parts: &[PromptPart]) -> u32 {
+        self.sum_leading(parts, |part| part.is_complete)
     }
 
-    /// A part counts only if all parts before it are kept too.
-    fn chain(&self, parts: &[PromptPart], counts: impl Fn(&Kept) -> bool) -> u32 {
-        let kept = parts
+    /// Sums the leading parts that match; a part counts only if all parts before it are cached too.
+    fn sum_leading(&self, parts: &[PromptPart], matches: impl Fn(&CachedPart) -> bool) -> u32 {
+        let cached = parts
             .iter()
-            .map_while(|part| self.parts.get(&part.id).filter(|kept| counts(kept)));
-        kept.map(|kept| kept.tokens).fold(0, u32::saturating_add)
+            .map_while(|part| self.parts.get(&part.id).filter(|cached| matches(cached)));
+        cached.map(|part| part.tokens).fold(0, u32::saturating_add)
     }
 
-    /// A prompt is about to be read here, or was read to its end.
-    pub(super) fn note(&mut self, parts: &[PromptPart], is_read: bool, most_tokens: u64) {
+    /// Inserts the parts of a prompt that is about to be read here, or was read completely.
+    pub(super) fn insert(&mut self, parts: &[PromptPart], is_complete: bool, capacity_tokens: u64) {
         for part in parts {
             let known = self.take(part.id);
-            self.put(
+            self.add(
                 part.id,
-                Kept {
+                CachedPart {
                     tokens: part.tokens,
-                    used: 0,
-                    is_read: is_read || known.is_some_and(|known| known.is_read),
+                    last_use: 0,
+                    is_complete: is_complete || known.is_some_and(|known| known.is_complete),
                 },
             );
         }
-        while self.tokens > most_tokens
+        while self.tokens > capacity_tokens
             && let Some(&(_, oldest)) = self.by_use.first()
         {
             self.take(oldest);
         }
     }
 
-    /// A prompt was not read to its end: what only it would have left here is not kept.
-    pub(super) fn not_read(&mut self, parts: &[PromptPart]) {
+    /// Removes the parts that only an aborted prompt would have cached.
+    pub(super) fn remove_incomplete(&mut self, parts: &[PromptPart]) {
         for part in parts {
-            if self.parts.get(&part.id).is_some_and(|kept| !kept.is_read) {
+            if self
+                .parts
+                .get(&part.id)
+                .is_some_and(|cached| !cached.is_complete)
+            {
                 self.take(part.id);
             }
         }
     }
 
-    fn put(&mut self, id: u64, kept: Kept) {
-        self.uses += 1;
-        let kept = Kept {
-            used: self.uses,
-            ..kept
+    fn add(&mut self, id: u64, part: CachedPart) {
+        self.use_count += 1;
+        let part = CachedPart {
+            last_use: self.use_count,
+            ..part
         };
-        self.tokens += u64::from(kept.tokens);
-        self.by_use.insert((kept.used, id));
-        self.parts.insert(id, kept);
+        self.tokens += u64::from(part.tokens);
+        self.by_use.insert((part.last_use, id));
+        self.parts.insert(id, part);
     }
 
-    fn take(&mut self, id: u64) -> Option<Kept> {
-        let kept = self.parts.remove(&id)?;
-        self.tokens = self.tokens.saturating_sub(u64::from(kept.tokens));
-        self.by_use.remove(&(kept.used, id));
-        Some(kept)
+    fn take(&mut self, id: u64) -> Option<CachedPart> {
+        let part = self.parts.remove(&id)?;
+        self.tokens = self.tokens.saturating_sub(u64::from(part.tokens));
+        self.by_use.remove(&(part.last_use, id));
+        Some(part)
     }
 }
--- a/crates/tc-policy/tests/backoffs.rs
+++ b/crates/tc-policy/tests/backoffs.rs
@@ -30,8 +30,8 @@
     format!("u{index}~{incarnation}").into()
 }
 
-/// Guards against sends whose upstream was chosen before the backoff was requested, a backoff that a shorter one replaces, and a backoff that is
-/// applied to a restarted upstream process.
+/// Guards against sends whose upstream was chosen before the backoff was requested, a backoff that a shorter one
+/// replaces, and a backoff that is applied to a restarted upstream process.
 #[test]
 fn no_request_is_sent_during_a_backoff() {
     tc_fuzz::check(2_000, produce::<Vec<(u8, u8, u16)>>(), |steps| {
--- a/crates/tc-policy/tests/budget.rs
+++ b/crates/tc-policy/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Extra calls stay within burst and ratio, whatever the order of calls.
+//! Extra calls stay within the burst and the ratio for any sequence of calls.
 
 use bolero::generator::produce;
 use tc_policy::ExtraCallBudget;
@@ -33,9 +33,8 @@
     assert_eq!(budget.spent(), 300);
 }
 
-/// Symptom: an outage after a quiet time is met with a storm of retries.
-/// Sequence: a million calls succeed; then every call is retried.
-/// Cause: the unused part of the ratio would be saved up without bound.
+/// Guards against a retry storm in an outage after a quiet period, because the unused part of the ratio accumulated
+/// without bound: a million calls succeed, then every call is retried.
 #[test]
 fn quiet_time_saves_up_no_storm() {
     let mut budget = ExtraCallBudget::new(0.1, 5.0);
--- a/crates/tc-policy/tests/choice.rs
+++ b/crates/tc-policy/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream an entry chooses.
+//! Selection of an upstream by an entry instance.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 fn ask() -> Ask {
     Ask {
         request: "kl-a-1-1-1".into(),
-        // Not a first attempt, so that none of the random measurements come in between.
+        // Not a first attempt, as those go to a random upstream now and then.
         attempt: Attempt(1),
         workspace: "lintas".into(),
         service: "generate".into(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// How often each upstream is chosen in 1,000 tries; distances in milliseconds by index.
+/// Returns how often each upstream is selected in 1,000 tries; distances in milliseconds by index.
 fn counts(states: &[UpstreamState], distances_ms: &[f64], ask: &Ask) -> Vec<u32> {
     let candidates: Vec<UpstreamCandidate<'_>> = states
         .iter()
@@ -73,9 +73,8 @@
     (0..count).map(|i| state(i, idle())).collect()
 }
 
-/// Symptom: calls go to an upstream that must not get any.
-/// Sequence: one of three upstreams is in the given state.
-/// Cause: the state is not looked at when choosing.
+/// Guards against calls to an unusable upstream because its state is ignored: one of three upstreams, then all of them,
+/// are in the given state.
 #[test]
 fn unusable_upstreams_are_left_out() {
     type Change = fn(&mut UpstreamState, &mut Ask);
@@ -152,7 +151,7 @@
 
 #[test]
 fn other_failure_domain_only_when_it_saves_more_wait_than_its_distance() {
-    // Wait near, distance far, calls that go far.
+    // Wait of the near upstreams, distance of the far ones, calls that go to the far ones.
     let table = [
         (0.0, 1.0, 0),
         (0.5, 1.0, 0),
@@ -196,7 +195,7 @@
         second.contains(&1_000),
         "all go to the second in order: {second:?}"
     );
-    // Different prefixes spread over all.
+    // Different prefixes are distributed over all upstreams.
     states = idle_states(6);
     let mut used = [false; 6];
     for prefix in 0..100 {
@@ -207,9 +206,8 @@
     assert_eq!(used, [true; 6]);
 }
 
-/// Symptom: an upstream that recovered gets no calls any more.
-/// Sequence: it was slow or ejected; nobody chooses it, so nobody learns that it is well.
-/// Cause: choosing only by what was measured before.
+/// Guards against a recovered upstream that gets no more calls: it was slow or ejected, so it is never selected, and
+/// its recovery is never measured.
 #[test]
 fn first_attempts_measure_every_near_upstream_now_and_then() {
     let mut ask = ask();
@@ -229,9 +227,8 @@
     assert_eq!(counts[3], 0, "another region is not near");
 }
 
-/// Symptom: an entry sends a burst to a single upstream.
-/// Sequence: many choices between two summaries.
-/// Cause: the summary does not know yet of the calls this entry made since.
+/// Guards against an entry that sends a burst to a single upstream: between two summaries, the home's figures do not
+/// include the calls that the entry has made since.
 #[test]
 fn own_calls_count_before_the_next_summary() {
     let states = idle_states(3);
--- a/crates/tc-policy/tests/cold.rs
+++ b/crates/tc-policy/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold upstreams get no more than they bear, whoever chooses them.
+//! Cold upstreams are not sent more than their limit, whichever instances choose them.
 
 mod support;
 
@@ -62,7 +62,7 @@
     (0..INSTANCES).map(member).collect()
 }
 
-/// Most arrivals at one upstream within any second.
+/// Returns the maximum number of arrivals within any second.
 fn most_in_a_second(arrivals: &[MonoTime]) -> usize {
     let mut arrivals = arrivals.to_vec();
     arrivals.sort_unstable();
@@ -76,8 +76,8 @@
     arrivals.iter().map(within).max().unwrap_or_default()
 }
 
-/// Symptom: a domain comes back and its engines crash again within a second. Sequence: one engine of two starts, empty and with
-/// all its places free; a burst comes. Cause: it looks best to every prompt.
+/// Guards against a restarted failure domain whose engines crash again within a second: one of two engines starts with
+/// an empty cache and all slots free, so that it looks best for every prompt of a burst.
 #[test]
 fn a_burst_gives_a_cold_engine_no_more_than_a_home_may() {
     let start = MonoTime::from_millis(10_000);
@@ -91,8 +91,8 @@
     assert_eq!(of_cold as u32, limit().home_share());
 }
 
-/// Symptom: requests wait for, or are sent in spite of the limit to, engines that are all cold. Sequence: all engines start at
-/// once; more prompts come than they bear. Cause: the least bad engine is taken when none fits.
+/// Guards against requests that exceed the limit or wait when all engines are cold: all of them start at once, more
+/// prompts arrive than the limit allows, and the least unsuitable engine would be chosen.
 #[test]
 fn when_all_engines_are_cold_what_they_do_not_bear_is_not_sent() {
     let start = MonoTime::from_millis(10_000);
@@ -120,30 +120,30 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Op {
-    /// A prompt is chosen an engine for by the home.
+    /// The home chooses an engine for a prompt.
     First {
         family: u8,
         late_ms: u8,
     },
-    /// By another instance that takes itself for the home.
+    /// A second instance that considers itself the home chooses.
     Second {
         family: u8,
         late_ms: u8,
     },
-    /// By an instance that reaches no home.
+    /// An instance that cannot reach a home chooses.
     Alone {
         who: u8,
         family: u8,
         late_ms: u8,
     },
-    /// The second home starts anew and has forgotten all.
+    /// The second home restarts without its state.
     Moved,
     Wait {
         ms: u8,
     },
 }
 
-/// What one play of the model sent to each engine.
+/// The choosing instances and the arrivals that they caused at the engines.
 struct Fleet {
     homes: [EnginePlanner; 2],
     members: Vec<Member>,
@@ -163,7 +163,8 @@
         }
     }
 
-    /// What is sent is answered at once, so that neither reading nor places speak for another engine.
+    /// Sends through a home. Each request is answered immediately, so that neither queued prompts nor occupied slots
+    /// favour another engine.
     fn by_home(&mut self, which: usize, now: MonoTime, family: u8, late_ms: u8) {
         let home = &mut self.homes[which];
         if let Some(choice) = home.choose(now, &ask(u64::from(family))) {
@@ -204,9 +205,9 @@
     }
 }
 
-/// Symptom: a cold engine gets more requests in a second than it bears, though each who chooses keeps to the limit. Sequence:
-/// two instances take themselves for the home, one of them starts anew, others reach none and choose by themselves, requests
-/// are up to a quarter of a second on their way, in any order. Cause: each counts only what it sent itself.
+/// Guards against a cold engine that gets more requests per second than its limit although every instance observes its
+/// own share, because each counts only its own sends. Two instances consider themselves the home, one of them restarts,
+/// others reach no home and choose by themselves, and requests arrive up to a quarter of a second late in any order.
 #[test]
 fn whoever_chooses_a_cold_engine_gets_no_more_than_it_bears() {
     tc_fuzz::check(300, produce::<Vec<Op>>(), |ops: &Vec<Op>| {
@@ -226,7 +227,7 @@
                 } => {
                     fleet.alone(usize::from(who) % INSTANCES, now, family, late_ms);
                 }
-                // Once: three homes in a second would need two moves in it.
+                // Only once: three homes within a second would require two moves in that second.
                 Op::Moved if !has_moved => {
                     has_moved = true;
                     fleet.homes[1] = home(&engines);
@@ -240,15 +241,15 @@
     });
 }
 
-/// Symptom: as above, for an engine that turned cold and has not said so yet. Sequence: the home knows all as warm; a burst of
-/// one family of prompts comes; instances that do not reach the home send to the same engine. Cause: only engines that are
-/// known to be cold are spared.
+/// Guards against the same overload of an engine that turned cold but has not reported it yet, when only engines known
+/// to be cold are limited: the home believes all engines to be warm, a burst of prompts with one shared part arrives,
+/// and instances without a home send to the same engine.
 #[test]
 fn an_engine_that_turned_cold_unheard_gets_no_more_while_others_have_had_less() {
     let start = MonoTime::from_millis(10_000);
     let engines: Vec<EngineCandidate> = (0..67).map(|n| engine(n, MonoTime::default())).collect();
     let mut fleet = Fleet::new(&engines);
-    // 900 prompts a second of one family, of which 300 are from instances that reach no home.
+    // 900 prompts per second with one shared part, of which 300 come from instances without a home.
     for step in 0..2_000_u64 {
         let now = start.after(Duration::from_micros(1_100 * step));
         if step % 3 == 0 {
--- a/crates/tc-policy/tests/engines/choice.rs
+++ b/crates/tc-policy/tests/engines/choice.rs
@@ -1,4 +1,4 @@
-//! One choice at a time.
+//! Single engine selections.
 
 use tc_policy::EnginePlanner;
 use tc_protocol::routing::{EngineAsk, EngineNews};
@@ -14,9 +14,9 @@
     assert_eq!(next.fetch_from, None);
 }
 
-/// Symptom: long prompts that share a part are answered seconds late while other engines have nothing to read.
-/// Sequence: one of 40,000 tokens is being read where the part is kept; the next one of its family comes.
-/// Cause: the engine that keeps the part was chosen whatever it had to read.
+/// Guards against long prompts with a shared part that are answered seconds late while other engines are idle, because
+/// the engine that has the part cached was chosen whatever its queue: a prompt of 40,000 tokens is being read there
+/// when the next one with the same part arrives.
 #[test]
 fn a_busy_keeper_is_left_for_another_engine_that_fetches_what_it_keeps() {
     let mut planner = planner(&["a", "a", "a"]);
@@ -40,7 +40,7 @@
     assert!(again.fetch_from.is_some());
 }
 
-/// A planner whose first engine has read a shared part, and an ask that must go to another one.
+/// Returns a planner whose first engine has read a shared part, and an ask that must go to another engine.
 fn planner_after_first_event() -> (EnginePlanner, EngineAsk) {
     let mut planner = planner(&["a", "a"]);
     let first = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
@@ -50,8 +50,8 @@
     (planner, other)
 }
 
-/// Symptom: parts are fetched from an engine that has nothing. Sequence: the run that was to read them failed, or the engine
-/// was born again and has another life. Cause: what a run or a life before would have left is taken to be kept.
+/// Guards against fetches from an engine that does not have the parts: the run that was to read them failed, or the
+/// engine restarted and lost its cache.
 #[test]
 fn what_was_not_read_or_belongs_to_a_life_before_is_not_kept() {
     let (mut planner, other) = planner_after_first_event();
--- a/crates/tc-policy/tests/engines/common.rs
+++ b/crates/tc-policy/tests/engines/common.rs
@@ -1,4 +1,4 @@
-//! Engines and prompts for the tests of their choice.
+//! Engines and prompts for the tests of engine selection.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     routing::{EngineAsk, EngineChoice, EngineNews, EngineSpec, Prompt, PromptPart},
 };
 
-/// Tokens that an engine reads in a millisecond.
+/// Tokens that an engine reads per millisecond.
 pub(crate) const TOKENS_PER_MS: u32 = 60;
 
 pub(crate) const fn ms(ms: u64) -> Duration {
@@ -41,7 +41,7 @@
     format!("e{number}").into()
 }
 
-/// A planner that has learnt how fast engines read.
+/// Returns a planner that has measured how fast engines read.
 pub(crate) fn planner(domains: &[&str]) -> EnginePlanner {
     let mut planner = EnginePlanner::new(spec());
     planner.set_engines(spec(), &candidates(domains));
@@ -58,7 +58,7 @@
     ms(20 + u64::from(tokens / TOKENS_PER_MS))
 }
 
-/// A prompt of these parts.
+/// Returns an ask for a prompt of these parts, given as (identifier, tokens).
 pub(crate) fn ask(parts: &[(u64, u32)]) -> EngineAsk {
     EngineAsk {
         service: "model".into(),
@@ -84,7 +84,7 @@
     planner.choose(now, ask).expect("there are engines")
 }
 
-/// Lets a prompt be read to its end; returns who read it.
+/// Runs a prompt to its end and returns the engine that read it.
 pub(crate) fn read(planner: &mut EnginePlanner, now: MonoTime, ask: &EngineAsk) -> UpstreamId {
     let choice = choose(planner, now, ask);
     let took = time_of(ask.prompt.tokens_in);
--- a/crates/tc-policy/tests/engines/fuzz.rs
+++ b/crates/tc-policy/tests/engines/fuzz.rs
@@ -1,4 +1,4 @@
-//! Any sequence of prompts, news and lists of engines.
+//! Random sequences of prompts, news and engine lists.
 
 use std::collections::BTreeMap;
 
@@ -28,9 +28,9 @@
     Wait(u16),
 }
 
-/// Symptom: a request goes to an engine that left, or to one it has tried; an engine counts as full for ever.
-/// Sequence: any order of asks, news that come late, twice or never, and engines that leave and come back.
-/// Cause: what is counted of runs and engines does not follow them.
+/// Guards against requests that go to an engine that left or was already tried, and engines that count as full for
+/// good, because the run and engine counts are wrong: asks in any order, news that arrive late, twice or never, and
+/// engines that leave and return.
 #[test]
 fn choices_are_among_the_listed_and_nothing_stays_counted() {
     tc_fuzz::check(2_000, produce::<Vec<Op>>(), |ops: &Vec<Op>| {
@@ -100,7 +100,7 @@
             }
         }
         planner.set_engines(spec(), &all);
-        // Later than any run lasts.
+        // Later than any run can last.
         planner.choose(at(now + 20_000), &ask(&[(1, 10)]));
         assert_eq!(planner.size(), (1, 4));
     });
--- a/crates/tc-policy/tests/engines/load.rs
+++ b/crates/tc-policy/tests/engines/load.rs
@@ -1,4 +1,4 @@
-//! Long prompts among short ones, over engines that read them one after the other.
+//! Long prompts among short ones, on engines that read one prompt at a time.
 
 use std::collections::HashMap;
 
@@ -6,13 +6,13 @@
 
 use crate::common::{TOKENS_PER_MS, ask, at, choose, ms, planner};
 
-/// Symptom: the longest tenth of the prompts is answered in time only half as often as the others.
-/// Sequence: nine engines read 60 tokens a millisecond; 25 prompts come in a second, one in eight of 12,000 tokens or more,
-/// of a few families that share 5,000 tokens; a third of all that engines can read.
-/// Cause: a family's prompts queue at the engine that keeps what they share, while others have nothing to read.
+/// Guards against the longest tenth of the prompts meeting their deadline only half as often as the others, because
+/// prompts queue at the engine that has their shared part cached while other engines are idle. Nine engines read 60
+/// tokens per millisecond; 25 prompts arrive per second, a third of the engines' capacity. One in eight has 12,000
+/// tokens or more and belongs to one of a few families that share 5,000 tokens.
 ///
-/// The bound: at a third of what nine engines read, a queue for all of them holds a long prompt up in fewer than one case in
-/// a hundred; one in twenty-five leaves room for parts that are read for the first time.
+/// The bound: at a third of the capacity of nine engines, a single queue for all of them would delay fewer than one
+/// long prompt in a hundred; one in twenty-five allows for parts that are read for the first time.
 #[test]
 fn long_prompts_rarely_wait_for_others() {
     let mut planner = planner(&["a", "a", "a", "b", "b", "b", "c", "c", "c"]);
--- a/crates/tc-policy/tests/engines/main.rs
+++ b/crates/tc-policy/tests/engines/main.rs
@@ -1,4 +1,4 @@
-//! Choice of engines at the home of a model service.
+//! Engine selection at the home of a model service.
 
 mod choice;
 mod common;
--- a/crates/tc-policy/tests/estimates.rs
+++ b/crates/tc-policy/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates follow what is measured, and come back after a slow spell.
+//! Estimates follow the measurements and recover after a slowdown.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
         assert!(off.abs() < 0.02, "quantile {q} is {measured:?}");
     }
     assert!(estimators.stage(&service, class, 0.6).known);
-    // Two generations later nothing of it is left.
+    // Two generations later none of these records is left.
     for i in 0..30 {
         estimators.record(
             MonoTime::from_millis(2_000 + i * 1_000),
@@ -53,15 +53,15 @@
     );
 }
 
-/// Symptom: after a slow spell the fleet is idle and refuses everything.
-/// Sequence: calls take longer than their deadline for a while; admission refuses all that come; the upstreams are
-/// fast again, but no call runs that could show it.
-/// Cause: estimates are fed only by calls that run, and calls run only if the estimate lets them.
+/// Guards against a fleet that is idle and refuses every request after a slowdown. Calls take longer than their
+/// deadline for a while, so admission refuses new ones. When the upstreams are fast again, no call runs that could
+/// update the estimate: estimates are fed only by calls that run, and calls run only if the estimate admits them.
 #[test]
 fn admission_recovers_after_a_slow_spell() {
     let deadline = ms(500);
     let class = SizeClass::of(1_000, 0);
-    // Whether the caller tells the time before each lookup, requests a second, and seconds to recover at most.
+    // Whether the caller advances the time before each lookup, requests per second, and the maximum recovery time in
+    // seconds.
     for (tells_time, per_s, most_s) in [(true, 1, 30), (true, 100, 15), (false, 100, 30)] {
         let mut estimators = Estimators::new();
         let service = ServiceName::from("generate");
@@ -133,14 +133,14 @@
     assert_eq!(admit(ms(120), &[steady, varied]), Ok(ms(120)));
     assert_eq!(admit(ms(0), &[]), Err(ms(100)));
     assert!(admit(ms(119), &[steady, varied]).is_err_and(|after| after >= ms(100)));
-    // The stage that varies gets most of the slack, and no stage gets more than there is.
+    // The stage with the higher variance gets most of the slack, and no stage gets more than is available.
     let first = slack_for(ms(500), &[varied, steady]);
     assert!(first > ms(270) && first < ms(280), "{first:?}");
     let first = slack_for(ms(500), &[steady, varied]);
     assert!(first < ms(5), "{first:?}");
     assert_eq!(slack_for(ms(100), &[StageEstimate::default(); 4]), ms(25));
     assert_eq!(slack_for(ms(100), &[varied]), ms(0));
-    // Hedges: only what is known, and only while a second call still fits.
+    // Only known stages are hedged, and only while a second call still fits.
     assert_eq!(hedge_after(&varied, ms(300)), Some(ms(200)));
     assert_eq!(hedge_after(&varied, ms(299)), None);
     let unknown = StageEstimate {
--- a/crates/tc-policy/tests/judge.rs
+++ b/crates/tc-policy/tests/judge.rs
@@ -1,4 +1,4 @@
-//! Whether a chain of stages is begun, and as what, at the home of its first stage.
+//! Admission of a chain of stages at the home of its first stage.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     judge.judge(now, &chain(fingerprint), 0, 0, &[CALL, CALL])
 }
 
-/// A home that makes 600 pieces a second and has this many waiting that can be in time.
+/// The outlook of a home that completes 600 pieces per second and has this many waiting that can meet their deadline.
 fn outlook(waiting: u32) -> HomeOutlook {
     let mut in_time = PiecesByDue::default();
     in_time.add(Duration::from_millis(100), waiting);
@@ -63,9 +63,8 @@
     assert!(judge(&mut told(900), at(0), 1).is_err());
 }
 
-/// Symptom: in a burst of five seconds every request is refused once and answered late. Sequence: a request is refused and comes
-/// again when it was told to; others come for the first time. Cause: who comes again counts as new, and takes the place of one
-/// that can still be in time.
+/// Guards against a burst of five seconds in which every request is refused once and answered late: a refused request
+/// returns when it was told to, counts as new, and takes the place of a new request that could still meet its deadline.
 #[test]
 fn who_comes_again_after_a_refusal_counts_from_when_he_came_first() {
     let mut home = told(900);
@@ -96,7 +95,7 @@
     home.note(at(400), &"second".into(), outlook(0));
     let other = judge(&mut home, at(400), 2).expect("there is time");
     assert!(!other.is_late_return);
-    // A refusal stands for one return only, and not for ever.
+    // A refusal applies to one return only and expires.
     let mut home = told(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     let late = at(9_000);
--- a/crates/tc-policy/tests/memory.rs
+++ b/crates/tc-policy/tests/memory.rs
@@ -1,4 +1,4 @@
-//! A million cycles with ever new names leave nothing behind.
+//! Memory stays bounded over a million cycles with new names all the time.
 
 mod support;
 
@@ -6,9 +6,8 @@
 use tc_policy::{AskVerdict, Suspects};
 use tc_protocol::{Fingerprint, Incarnation, MonoTime};
 
-/// Symptom: memory of an instance grows with the requests it has served.
-/// Sequence: a million asks and releases, from workspaces and entries that come and go.
-/// Cause: something is kept per permit, ask or workspace and not given back.
+/// Guards against memory that grows with the number of requests served, because state per permit, ask or workspace is
+/// not released: a million asks and releases from workspaces and entries that come and go.
 #[test]
 fn home_is_flat_over_a_million_cycles() {
     let mut home = home(4);
@@ -25,7 +24,7 @@
                 home.release(now, &answered(permit, ms(10)))
                     .expect("it is held");
             }
-            // One in 5,000 permits leaks, and ends when it expires.
+            // One in 5,000 permits is never released and expires.
             AskVerdict::Granted { .. } | AskVerdict::Queued(_) => {}
             other => panic!("{other:?}"),
         }
@@ -55,6 +54,6 @@
         suspects.adopt_quarantine(now, Fingerprint(u64::MAX - crash));
         most = most.max(suspects.len());
     }
-    // 256 crashes of 8 suspects, 256 explained ones, 300 trials, 4,096 quarantined.
+    // 256 crashes with 8 suspects each, 256 attributed crashes, 300 trials, 4,096 quarantined fingerprints.
     assert!(most <= 257 * 9 + 256 + 301 + 4_097, "{most} kept");
 }
--- a/crates/tc-policy/tests/pick.rs
+++ b/crates/tc-policy/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Choice of an upstream for a request that is called directly.
+//! Selection of an upstream for a request that is sent directly, without a home.
 
 use tc_policy::{PickCandidate, PickPreference, pick_upstream};
 use tc_protocol::{FailureDomain, UpstreamId};
@@ -20,11 +20,11 @@
         .collect()
 }
 
-/// Symptom: one upstream refuses requests while its peers are idle. Sequence: 88 instances, each with few requests of
-/// its own, choose among upstreams that look alike to each. Cause: equals are taken in their order.
+/// Guards against an upstream that refuses requests while its peers are idle, because ties are broken by order: 88
+/// instances with few requests each choose among upstreams that look alike to them.
 ///
-/// The pattern is 88 instances with 12 requests each on 6 upstreams: 176 a share if drawn evenly, with a deviation of
-/// 12; four of those are allowed.
+/// 88 instances with 12 requests each on 6 upstreams give a mean of 176 per upstream with a standard deviation of 12;
+/// the bound is four deviations.
 #[test]
 fn instances_that_know_little_spread_their_requests() {
     let (ids, domains) = (ids(6), ["a".into()]);
--- a/crates/tc-policy/tests/prompt_times.rs
+++ b/crates/tc-policy/tests/prompt_times.rs
@@ -1,4 +1,4 @@
-//! Expected times to the first event, over kinds of request whose prompts differ in length.
+//! Estimated times to the first event for prompts of different lengths.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
     Duration::from_millis(ms)
 }
 
-/// Symptom: the longest tenth of the prompts is answered late, and short ones are refused that could be in time.
-/// Sequence: prompts of 800 tokens are answered after 30 ms, those of 12,000 after 250 ms.
-/// Cause: the stages before all of them were told the same time for the engine.
+/// Guards against late answers to the longest tenth of the prompts and refusals of short ones that could meet their
+/// deadline, because the stages before them use one engine time for all: prompts of 800 tokens are answered after 30
+/// ms, those of 12,000 after 250 ms.
 ///
-/// The pattern is a mix of nine short prompts to one long one; the bound is a fifth of the true time.
+/// The mix has nine short prompts per long one; the tolerance is a fifth of the true time.
 #[test]
 fn a_mix_of_lengths_is_told_apart() {
     let mut times = PromptTimes::default();
@@ -39,7 +39,7 @@
     for _ in 0..20 {
         times.record(500, ms(40));
     }
-    // One length only tells nothing of others.
+    // A single length does not determine how the time depends on the length.
     assert_eq!(times.estimate(50_000).as_millis(), 40);
 }
 
--- a/crates/tc-policy/tests/retry_budget.rs
+++ b/crates/tc-policy/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget for sending requests again, against the rule it keeps.
+//! The retry budget, compared with an exact model.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use tc_policy::{RetryBudget, RetryLimits};
 use tc_protocol::MonoTime;
 
-/// In every window the repeats stay within the ratio of the requests of that window, or of the step before it, and the
-/// extra. The oracle keeps every moment; the budget keeps counts by step.
+/// In every window the retries stay within the ratio of the requests in that window, or in the step before it, plus the
+/// extra allowance. The model stores every timestamp; the budget stores counts per step.
 #[test]
 fn no_window_has_more_repeats_than_allowed() {
     tc_fuzz::check(2_000, produce::<Vec<(bool, u16)>>(), |steps| {
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -1,4 +1,4 @@
-//! The stages before a request: order, and whether to begin them under a load that one of them cannot carry.
+//! Order of the stages that precede a request, and their admission when one of them is overloaded.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -58,14 +58,14 @@
     assert_eq!(StageGraph::new(&stages, &[]).critical_path(&times), ms(0));
 }
 
-/// A service of upstreams that make one call at a time, without failures.
+/// A service of upstreams that run one call at a time without failures.
 struct Service {
     planner: BatchPlanner,
     ends: BTreeMap<(MonoTime, CallKey), (Duration, usize)>,
 }
 
 impl Service {
-    /// 200 ms a call and 6 ms a piece, `pieces` a call at most.
+    /// Calls take 200 ms plus 6 ms per piece and have at most `pieces` pieces.
     fn new(upstreams: usize, pieces: usize) -> Self {
         let spec = BatchSpec {
             slots: 1,
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Ends what ends and begins what can be begun; jobs that are over, and whether they were made.
+    /// Ends the calls that are due and starts those that can start; returns the finished jobs and whether they
+    /// succeeded.
     fn step(&mut self, now: MonoTime) -> Vec<(JobKey, bool)> {
         let mut over = Vec::new();
         while let Some((&(at, key), &(_, pieces))) = self.ends.first_key_value()
@@ -149,8 +150,9 @@
     came: MonoTime,
 }
 
-/// Two stages in a row of which the second carries half of what the first does, calm for 2 s, then 2.5 times what the
-/// second can carry for 4 s. Entries hear of the homes with each answer; here every 50 ms.
+/// Simulates two consecutive stages, of which the second has half the capacity of the first: a light load for 2 s, then
+/// 2.5 times the capacity of the second stage for 4 s. Entries receive the homes' outlooks with each answer; here every
+/// 50 ms.
 fn play(judges: bool) -> Tally {
     let stages = [stage("first", &[], 8_000), stage("second", &[0], 8_000)];
     let mut services = [Service::new(8, 30), Service::new(4, 60)];
@@ -158,7 +160,7 @@
     let names: [ServiceName; 2] = ["first".into(), "second".into()];
     let mut told = StageOutlooks::default();
     let mut tally = Tally::default();
-    // The second stage makes 4 calls of 60 pieces in 560 ms: 428 pieces, 107 requests a second.
+    // The second stage completes 4 calls of 60 pieces in 560 ms: 428 pieces or 107 requests per second.
     let mut due = 0.0;
     for tick in 0..8_000_u64 {
         let now = MonoTime::from_millis(1_000 + tick);
@@ -244,15 +246,14 @@
     }
 }
 
-/// Symptom: in a burst most requests are refused after their first stage was made for them, and most of the rest are late.
-/// Sequence: the second of two stages is full; requests pass the first, which has room, and wait or are turned away at the
-/// second. Cause: each stage is judged by itself when the request comes to it.
+/// Guards against a burst in which most requests are refused after their first stage has run, and most of the others
+/// are late: the second of two stages is overloaded, but the requests pass the first, which has capacity, and wait or
+/// are refused at the second, because each stage decides by itself.
 #[test]
 fn a_burst_that_the_second_stage_cannot_carry_is_refused_before_the_first() {
     let (alone, judged) = (play(false), play(true));
-    // The first stage has room to spare here, so trying costs nothing but itself: nearly as much is in time.
-    // Here the first stage has room to spare and costs nothing, so trying whatever comes serves the most. What the
-    // judgement may cost of that is bounded; what it saves is half a second of every caller that is refused late.
+    // In this setup the first stage has spare capacity, so admitting every request serves the most. The bounds limit
+    // how much of that the check may cost; it saves every caller that would be refused late half a second.
     assert!(
         judged.refused_late * 4 <= alone.refused_late,
         "{judged:?} against {alone:?}"
@@ -263,8 +264,8 @@
     );
 }
 
-/// Symptom: an instance ends by itself. Sequence: another one, of another version or broken, tells numbers that are none.
-/// Cause: a wait is computed from them as they are.
+/// Guards against a crash when an instance that is broken or has another version reports figures that are not valid
+/// numbers, and a wait is computed from them.
 #[test]
 fn no_numbers_that_a_home_tells_bring_an_entry_down() {
     let stages = [stage("first", &[], 8_000), stage("second", &[0], 8_000)];
@@ -299,7 +300,7 @@
                 rank: u8::MAX,
             },
         );
-        // Whatever it decides, it decides.
+        // Any decision is accepted, as long as there is no panic.
         let _ = graph.check_feasible(&expected, AIM, LEAVES);
     }
 }
--- a/crates/tc-policy/tests/suspects.rs
+++ b/crates/tc-policy/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash upstreams: quarantined after two, with no innocent refused.
+//! Requests that crash upstreams are quarantined after two crashes, and no innocent request is refused.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -20,10 +20,10 @@
     matches!(suspects.try_trial(now, fp), Trial::Quarantined { .. })
 }
 
-/// Symptom: innocent requests are refused as crashing, or a crashing one kills upstream after upstream.
-/// Sequence: one request kills whatever it runs on, and is sent again each time together with its neighbours, which are
-/// put at random on few upstreams.
-/// Cause: several were in flight in the same two crashes, so counting crashes cannot tell them apart.
+/// Guards against innocent requests that are refused, and a culprit that crashes one upstream after another: one
+/// request crashes every upstream it runs on and is sent again together with its neighbours, which are distributed at
+/// random over a few upstreams. Several requests were then in flight in the same two crashes, so counting crashes
+/// cannot tell them apart.
 #[test]
 fn two_upstreams_lost_and_no_innocent_refused() {
     let input = produce::<Vec<u8>>().with().len(1..400_usize);
@@ -33,7 +33,7 @@
         let mut choose = |below: usize| usize::from(choices.next().unwrap_or(0)) % below;
         let requests = 2 + choose(8);
         let mut running: Vec<BTreeSet<Fingerprint>> = vec![BTreeSet::new(); 3];
-        // The first crash: all were in flight together.
+        // The first crash, with all requests in flight together.
         let all: Vec<Fingerprint> = (0..requests as u64).map(Fingerprint).collect();
         let mut now = at(1);
         suspects.record_crash(now, &upstream(9), Incarnation(1), &all);
@@ -59,7 +59,7 @@
                     in_flight.insert(fp);
                     lost += 1;
                     let in_flight: Vec<Fingerprint> = in_flight.into_iter().collect();
-                    // Two entries tell of it, each of its own calls, and one does so twice.
+                    // Two entries report the crash, each with its own calls, and one of them does so twice.
                     let (some, others) = in_flight.split_at(in_flight.len() / 2);
                     let incarnation = Incarnation(lost);
                     for told in [some, others, some] {
@@ -102,9 +102,8 @@
     assert!(suspects.is_suspect(GUILTY));
 }
 
-/// Symptom: a suspect is refused as busy for ever.
-/// Sequence: its trial runs at an entry that dies, so the end of the trial is never told.
-/// Cause: the trial would hold its place without an end.
+/// Guards against a suspect that is refused as busy for good: its trial runs at an entry that crashes, so the end of
+/// the trial is never reported and the trial would not expire.
 #[test]
 fn trial_whose_end_is_never_told_ends() {
     let mut suspects = Suspects::new(2);
@@ -154,8 +153,8 @@
     assert!(is_quarantined(&mut suspects, at(2), GUILTY));
 }
 
-/// Symptom: after one upstream crashed, all that it ran queue for each other. Sequence: forty requests are in flight on an
-/// upstream that crashes for a reason of its own; their callers send them again. Cause: each must run alone.
+/// Guards against requests that queue for each other after a single crash because each must run alone: forty requests
+/// are in flight on an upstream that crashes for another reason, and their callers send them again.
 #[test]
 fn with_trials_from_the_second_crash_neighbours_of_one_crash_run_at_once() {
     let mut suspects = Suspects::with_policy(SuspectPolicy {
@@ -168,7 +167,7 @@
     for &fp in &all {
         assert_eq!(suspects.try_trial(at(2), fp), Trial::Run);
     }
-    // The guilty one crashes the next; from now on it runs alone, and after the third crash not at all.
+    // The culprit crashes the next upstream; from then on it runs alone, and not at all after the third crash.
     suspects.record_crash(at(3), &upstream(2), Incarnation(1), &[GUILTY]);
     assert_eq!(suspects.try_trial(at(4), GUILTY), Trial::Run);
     let second = suspects.try_trial(at(5), GUILTY);
--- a/crates/tc-policy/tests/throttle.rs
+++ b/crates/tc-policy/tests/throttle.rs
@@ -1,10 +1,10 @@
-//! Admission by outcome.
+//! Adaptive throttling by the outcomes of earlier requests.
 
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use tc_policy::Throttle;
 use tc_protocol::MonoTime;
 
-/// What came of offering `offered` requests a second to a place with room for `room` of them.
+/// Requests per second that were admitted and accepted.
 struct Outcome {
     let_in: f64,
     got_room: f64,
@@ -21,7 +21,7 @@
                 continue;
             }
             let_in += 1;
-            // Room comes evenly over the second.
+            // Capacity becomes available evenly over the second.
             let come_so_far = (number + 1) * room / offered;
             if room - left < come_so_far.max(1) && left > 0 {
                 left -= 1;
@@ -41,9 +41,9 @@
 
 #[test]
 fn in_an_overload_little_more_is_let_in_than_there_is_room_for() {
-    // Symptom: early stages work for requests that then miss their deadline at a full later stage.
-    // Sequence: 2, 4 and 10 times as much is offered as there is room for.
-    // Cause: admission that looks at the answered requests only sees that they were fast.
+    // Guards against early stages that work for requests which then miss their deadline at an overloaded later stage,
+    // because admission by the latency of answered requests sees only fast ones: 2, 4 and 10 times the capacity is
+    // offered.
     for factor in [2, 4, 10] {
         let mut throttle = Throttle::default();
         offer(&mut throttle, 0, 10, 100 * factor, 100);
@@ -59,9 +59,9 @@
 
 #[test]
 fn everything_is_let_in_again_when_there_is_room() {
-    // Symptom: a workspace is refused for ever after an overload.
-    // Sequence: ten times too much for 20 s, then as much as there is room for.
-    // Cause: refusals must not count as misses, and more has to be let in as soon as none misses.
+    // Guards against a workspace that is refused for good after an overload: ten times the capacity is offered for 20
+    // s, then as much as the capacity allows. Refusals must not count as misses, and admission must grow as soon as no
+    // request misses.
     let mut throttle = Throttle::default();
     offer(&mut throttle, 0, 20, 1_000, 100);
     offer(&mut throttle, 20, 15, 90, 100);
@@ -71,9 +71,8 @@
 
 #[test]
 fn a_total_outage_is_over_within_seconds() {
-    // Symptom: after an outage in which nothing found room, nothing is asked for any more.
-    // Sequence: no room for 20 s, then enough.
-    // Cause: a multiple of nothing is nothing; a few must be let in whatever the outcomes.
+    // Guards against a throttle that admits nothing after an outage without any capacity, as a multiple of zero is
+    // zero: there is no capacity for 20 s, then enough. A few requests must be admitted whatever the outcomes.
     let mut throttle = Throttle::default();
     offer(&mut throttle, 0, 20, 100, 0);
     offer(&mut throttle, 20, 10, 100, 120);
