--- a/crates/tc-policy/src/estimate.rs
+++ b/crates/tc-policy/src/estimate.rs
@@ -25,7 +25,7 @@
 const UNIT_MICROS: u64 = 100;
 /// Largest value a histogram distinguishes, in units of [`UNIT_MICROS`]: one hour.
 const MAX_UNITS: u64 = 36_000_000;
-/// Significant decimal digits of the recorded histogram.
+/// Significant decimal digits of the recorded times.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Size class of a call: the power of four that covers the bytes to read and the tokens to generate.
@@ -63,7 +63,7 @@
     pub known: bool,
 }
 
-/// DecayingHistogram latency quantiles per (service, size class). Memory use is bounded.
+/// Decaying latency quantiles per (service, size class). Memory use is bounded.
 #[derive(Debug, Default)]
 pub struct Estimators {
     pairs: HashMap<ServiceName, HashMap<SizeClass, DecayingHistogram>>,
--- a/crates/tc-policy/src/retry_budget.rs
+++ b/crates/tc-policy/src/retry_budget.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::MonoTime;
 
-/// Resolution of the window. WindowCounts expire up to one step late, which only makes the budget smaller.
+/// Resolution of the window. Counts expire up to one step late, which only makes the budget smaller.
 const STEP: Duration = Duration::from_millis(500);
 
 /// Limits of a retry budget.
@@ -18,7 +18,7 @@
     pub window: Duration,
 }
 
-/// WindowCounts the requests and retries of one service over a sliding window.
+/// Counts the requests and retries of one service over a sliding window.
 ///
 /// Without a budget, every failing upstream multiplies the load on the others and the outage spreads.
 ///
@@ -59,7 +59,7 @@
         self.limits = limits;
     }
 
-    /// WindowCounts a request.
+    /// Counts a request.
     pub fn record_request(&mut self, now: MonoTime) {
         self.requests.add(now);
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// WindowCounts per step of the window, oldest first.
+/// Counts per step of the window, oldest first.
 #[derive(Clone, Debug, Default)]
 struct WindowCounts {
     steps: VecDeque<(MonoTime, u64)>,
--- a/crates/tc-policy/tests/budget.rs
+++ b/crates/tc-policy/tests/budget.rs
@@ -36,7 +36,7 @@
 /// Guards against a retry storm in an outage after a quiet period, because the unused part of the ratio accumulated
 /// without bound: a million calls succeed, then every call is retried.
 #[test]
-fn quiet_time_saves_up_no_storm() {
+fn quiet_period_allows_no_retry_storm() {
     let mut budget = ExtraCallBudget::new(0.1, 5.0);
     for _ in 0..1_000_000 {
         budget.record_call();
--- a/crates/tc-policy/tests/choice.rs
+++ b/crates/tc-policy/tests/choice.rs
@@ -193,7 +193,7 @@
     assert_eq!(second[holder], 0);
     assert!(
         second.contains(&1_000),
-        "all go to the second in order: {second:?}"
+        "all go to the second choice: {second:?}"
     );
     // Different prefixes are distributed over all upstreams.
     states = idle_states(6);
@@ -209,7 +209,7 @@
 /// Guards against a recovered upstream that gets no more calls: it was slow or ejected, so it is never selected, and
 /// its recovery is never measured.
 #[test]
-fn first_attempts_measure_every_near_upstream_now_and_then() {
+fn first_attempts_sometimes_measure_every_near_upstream() {
     let mut ask = ask();
     ask.attempt = Attempt(0);
     let mut states = idle_states(4);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn rendezvous_moves_only_the_keys_of_a_node_that_goes() {
+fn rendezvous_moves_only_the_keys_of_a_removed_node() {
     let nodes: Vec<String> = (0..10).map(|i| format!("kl-{i}")).collect();
     let rest = &nodes[1..];
     let mut per_node = [0; 10];
--- a/crates/tc-policy/tests/cold.rs
+++ b/crates/tc-policy/tests/cold.rs
@@ -63,7 +63,7 @@
 }
 
 /// Returns the maximum number of arrivals within any second.
-fn most_in_a_second(arrivals: &[MonoTime]) -> usize {
+fn max_arrivals_per_second(arrivals: &[MonoTime]) -> usize {
     let mut arrivals = arrivals.to_vec();
     arrivals.sort_unstable();
     let within = |start: &MonoTime| {
@@ -79,7 +79,7 @@
 /// Guards against a restarted failure domain whose engines crash again within a second: one of two engines starts with
 /// an empty cache and all slots free, so that it looks best for every prompt of a burst.
 #[test]
-fn a_burst_gives_a_cold_engine_no_more_than_a_home_may() {
+fn burst_to_a_cold_engine_stays_within_the_home_share() {
     let start = MonoTime::from_millis(10_000);
     let mut planner = home(&[
         engine(0, start.after(Duration::from_secs(3))),
@@ -87,14 +87,14 @@
     ]);
     let cold: UpstreamId = "e0".into();
     let chosen = (0..200).filter_map(|family| planner.choose(start, &ask(family)));
-    let of_cold = chosen.filter(|choice| choice.upstream == cold).count();
-    assert_eq!(of_cold as u32, limit().home_share());
+    let cold_count = chosen.filter(|choice| choice.upstream == cold).count();
+    assert_eq!(cold_count as u32, limit().home_share());
 }
 
 /// Guards against requests that exceed the limit or wait when all engines are cold: all of them start at once, more
 /// prompts arrive than the limit allows, and the least unsuitable engine would be chosen.
 #[test]
-fn when_all_engines_are_cold_what_they_do_not_bear_is_not_sent() {
+fn requests_beyond_the_limit_are_not_sent_when_all_engines_are_cold() {
     let start = MonoTime::from_millis(10_000);
     let until = start.after(Duration::from_secs(3));
     let mut planner = home(&[engine(0, until), engine(1, until)]);
@@ -104,7 +104,7 @@
     let alone = planner.choose_without_home(start, &ask(0), |_| true);
     assert!(
         alone.is_none(),
-        "whoever chooses alone leaves cold ones out"
+        "without the home, cold engines are not chosen"
     );
     assert!(planner.choose(until, &ask(0)).is_some());
 }
@@ -121,24 +121,24 @@
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Op {
     /// The home chooses an engine for a prompt.
-    First {
+    FirstHome {
         family: u8,
-        late_ms: u8,
+        delay_ms: u8,
     },
     /// A second instance that considers itself the home chooses.
-    Second {
+    SecondHome {
         family: u8,
-        late_ms: u8,
+        delay_ms: u8,
     },
     /// An instance that cannot reach a home chooses.
-    Alone {
+    WithoutHome {
         who: u8,
         family: u8,
-        late_ms: u8,
+        delay_ms: u8,
     },
     /// The second home restarts without its state.
-    Moved,
-    Wait {
+    SecondHomeRestarts,
+    Advance {
         ms: u8,
     },
 }
@@ -147,7 +147,7 @@
 struct Fleet {
     homes: [EnginePlanner; 2],
     members: Vec<Member>,
-    lone: Vec<(EnginePlanner, Vec<(UpstreamId, RecentSends)>)>,
+    without_home: Vec<(EnginePlanner, Vec<(UpstreamId, RecentSends)>)>,
     arrivals: Vec<(UpstreamId, MonoTime)>,
 }
 
@@ -156,7 +156,7 @@
         Self {
             homes: [home(engines), home(engines)],
             members: members(),
-            lone: (0..INSTANCES)
+            without_home: (0..INSTANCES)
                 .map(|_| (home(engines), Vec::new()))
                 .collect(),
             arrivals: Vec::new(),
@@ -165,20 +165,20 @@
 
     /// Sends through a home. Each request is answered immediately, so that neither queued prompts nor occupied slots
     /// favour another engine.
-    fn by_home(&mut self, which: usize, now: MonoTime, family: u8, late_ms: u8) {
+    fn send_by_home(&mut self, which: usize, now: MonoTime, family: u8, delay_ms: u8) {
         let home = &mut self.homes[which];
         if let Some(choice) = home.choose(now, &ask(u64::from(family))) {
             home.record(now, choice.run, EngineNews::FirstEvent(READ));
             home.record(now, choice.run, EngineNews::Ended);
-            let at = now.after(Duration::from_millis(late_ms.into()));
+            let at = now.after(Duration::from_millis(delay_ms.into()));
             self.arrivals.push((choice.upstream, at));
         }
     }
 
-    fn alone(&mut self, who: usize, now: MonoTime, family: u8, late_ms: u8) {
+    fn send_without_home(&mut self, who: usize, now: MonoTime, family: u8, delay_ms: u8) {
         let me: InstanceId = self.members[who].id.clone();
         let members = &self.members;
-        let (planner, sends) = &mut self.lone[who];
+        let (planner, sends) = &mut self.without_home[who];
         let may = |id: &UpstreamId| {
             let own = sends.iter().find(|(of, _)| of == id);
             let recent = own.map_or(0, |(_, sends)| sends.count(now));
@@ -191,15 +191,15 @@
         recent.record(now);
         sends.retain(|(of, _)| *of != choice.upstream);
         sends.push((choice.upstream.clone(), recent));
-        let at = now.after(Duration::from_millis(late_ms.into()));
+        let at = now.after(Duration::from_millis(delay_ms.into()));
         self.arrivals.push((choice.upstream, at));
     }
 
-    fn most_at_one(&self) -> usize {
+    fn max_per_second_at_one_upstream(&self) -> usize {
         let ids = self.arrivals.iter().map(|(id, _)| id);
         let at_one = ids.map(|id| {
             let at = self.arrivals.iter().filter(|(of, _)| of == id);
-            most_in_a_second(&at.map(|(_, at)| *at).collect::<Vec<_>>())
+            max_arrivals_per_second(&at.map(|(_, at)| *at).collect::<Vec<_>>())
         });
         at_one.max().unwrap_or_default()
     }
@@ -209,35 +209,38 @@
 /// own share, because each counts only its own sends. Two instances consider themselves the home, one of them restarts,
 /// others reach no home and choose by themselves, and requests arrive up to a quarter of a second late in any order.
 #[test]
-fn whoever_chooses_a_cold_engine_gets_no_more_than_it_bears() {
+fn cold_engine_stays_within_the_limit_for_all_choosers() {
     tc_fuzz::check(300, produce::<Vec<Op>>(), |ops: &Vec<Op>| {
         let start = MonoTime::from_millis(10_000);
         let engines = [engine(0, start.after(Duration::from_mins(1)))];
         let mut fleet = Fleet::new(&engines);
         let mut now = start;
-        let mut has_moved = false;
+        let mut has_restarted = false;
         for &op in ops {
             match op {
-                Op::First { family, late_ms } => fleet.by_home(0, now, family, late_ms),
-                Op::Second { family, late_ms } => fleet.by_home(1, now, family, late_ms),
-                Op::Alone {
+                Op::FirstHome { family, delay_ms } => fleet.send_by_home(0, now, family, delay_ms),
+                Op::SecondHome { family, delay_ms } => fleet.send_by_home(1, now, family, delay_ms),
+                Op::WithoutHome {
                     who,
                     family,
-                    late_ms,
+                    delay_ms,
                 } => {
-                    fleet.alone(usize::from(who) % INSTANCES, now, family, late_ms);
+                    fleet.send_without_home(usize::from(who) % INSTANCES, now, family, delay_ms);
                 }
                 // Only once: three homes within a second would require two moves in that second.
-                Op::Moved if !has_moved => {
-                    has_moved = true;
+                Op::SecondHomeRestarts if !has_restarted => {
+                    has_restarted = true;
                     fleet.homes[1] = home(&engines);
                 }
-                Op::Moved => {}
-                Op::Wait { ms } => now = now.after(Duration::from_millis(ms.into())),
+                Op::SecondHomeRestarts => {}
+                Op::Advance { ms } => now = now.after(Duration::from_millis(ms.into())),
             }
         }
-        let most = fleet.most_at_one();
-        assert!(most as u32 <= limit().total(), "{most} within a second");
+        let max_per_second = fleet.max_per_second_at_one_upstream();
+        assert!(
+            max_per_second as u32 <= limit().total(),
+            "{max_per_second} within a second"
+        );
     });
 }
 
@@ -245,7 +248,7 @@
 /// to be cold are limited: the home believes all engines to be warm, a burst of prompts with one shared part arrives,
 /// and instances without a home send to the same engine.
 #[test]
-fn an_engine_that_turned_cold_unheard_gets_no_more_while_others_have_had_less() {
+fn unreported_cold_engine_stays_within_the_limit() {
     let start = MonoTime::from_millis(10_000);
     let engines: Vec<EngineCandidate> = (0..67).map(|n| engine(n, MonoTime::default())).collect();
     let mut fleet = Fleet::new(&engines);
@@ -253,17 +256,20 @@
     for step in 0..2_000_u64 {
         let now = start.after(Duration::from_micros(1_100 * step));
         if step % 3 == 0 {
-            fleet.alone((step % INSTANCES as u64) as usize, now, 7, 0);
+            fleet.send_without_home((step % INSTANCES as u64) as usize, now, 7, 0);
         } else {
-            fleet.by_home(0, now, 7, (step % 200) as u8);
+            fleet.send_by_home(0, now, 7, (step % 200) as u8);
         }
     }
-    let most = fleet.most_at_one();
-    assert!(most as u32 <= limit().total(), "{most} within a second");
+    let max_per_second = fleet.max_per_second_at_one_upstream();
+    assert!(
+        max_per_second as u32 <= limit().total(),
+        "{max_per_second} within a second"
+    );
 }
 
 #[test]
-fn as_many_instances_as_told_may_send_alone_and_others_for_another_upstream() {
+fn senders_without_home_have_the_given_number_and_differ_by_upstream() {
     let members = members();
     let who = |upstream: &str| -> Vec<&InstanceId> {
         let ids = members.iter().map(|member| &member.id);
--- a/crates/tc-policy/tests/engines/choice.rs
+++ b/crates/tc-policy/tests/engines/choice.rs
@@ -6,11 +6,11 @@
 use crate::common::{ask, at, candidates, choose, id, ms, planner, read, spec, time_of};
 
 #[test]
-fn prompts_that_share_a_part_go_where_it_is_kept_while_that_engine_is_free() {
+fn prompts_go_to_the_free_engine_that_cached_their_shared_part() {
     let mut planner = planner(&["a", "a", "a"]);
-    let keeper = read(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
+    let holder = read(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
     let next = choose(&mut planner, at(200), &ask(&[(1, 5_000), (3, 500)]));
-    assert_eq!(next.upstream, keeper);
+    assert_eq!(next.upstream, holder);
     assert_eq!(next.fetch_from, None);
 }
 
@@ -18,14 +18,14 @@
 /// the engine that has the part cached was chosen whatever its queue: a prompt of 40,000 tokens is being read there
 /// when the next one with the same part arrives.
 #[test]
-fn a_busy_keeper_is_left_for_another_engine_that_fetches_what_it_keeps() {
+fn busy_engine_is_avoided_and_its_cached_part_fetched() {
     let mut planner = planner(&["a", "a", "a"]);
-    let keeper = read(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
+    let holder = read(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
     let long = choose(&mut planner, at(200), &ask(&[(1, 5_000), (3, 40_000)]));
-    assert_eq!(long.upstream, keeper);
+    assert_eq!(long.upstream, holder);
     let next = choose(&mut planner, at(210), &ask(&[(1, 5_000), (4, 500)]));
-    assert_ne!(next.upstream, keeper);
-    assert_eq!(next.fetch_from, Some(keeper));
+    assert_ne!(next.upstream, holder);
+    assert_eq!(next.fetch_from, Some(holder));
 }
 
 #[test]
@@ -53,7 +53,7 @@
 /// Guards against fetches from an engine that does not have the parts: the run that was to read them failed, or the
 /// engine restarted and lost its cache.
 #[test]
-fn what_was_not_read_or_belongs_to_a_life_before_is_not_kept() {
+fn unread_parts_and_parts_of_an_earlier_incarnation_are_not_cached() {
     let (mut planner, other) = planner_after_first_event();
     let mut left = candidates(&["a", "a"]);
     left.retain(|engine| !other.except.contains(&engine.id));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_engine_that_failed_pauses_while_there_is_another() {
+fn failed_engine_backs_off_while_there_is_another() {
     let mut planner = planner(&["a", "a"]);
     let failed = choose(&mut planner, at(100), &ask(&[(1, 500)]));
     planner.record(at(110), failed.run, EngineNews::Failed);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn full_engines_are_left_out_while_others_have_places() {
+fn full_engines_are_skipped_while_others_have_free_slots() {
     let mut planner = planner(&["a", "a"]);
     let mut chosen = std::collections::HashMap::new();
     for part in 0..16 {
@@ -106,12 +106,12 @@
     assert_eq!(chosen.values().max(), Some(&8), "{chosen:?}");
     assert!(
         planner.choose(at(100), &ask(&[(99, 100)])).is_some(),
-        "it says itself that it is full"
+        "a full engine refuses by itself"
     );
 }
 
 #[test]
-fn runs_without_news_are_forgotten_when_their_time_is_over() {
+fn runs_without_news_expire() {
     let mut planner = planner(&["a"]);
     choose(&mut planner, at(100), &ask(&[(1, 500)]));
     assert_eq!(planner.size(), (1, 1));
--- a/crates/tc-policy/tests/engines/fuzz.rs
+++ b/crates/tc-policy/tests/engines/fuzz.rs
@@ -15,7 +15,7 @@
     Choose {
         family: u8,
         own: u16,
-        away: u8,
+        cross_domain: u8,
         except: u8,
     },
     News {
@@ -23,16 +23,16 @@
         what: u8,
         took_ms: u8,
     },
-    NewsOfNobody(u64),
-    Listed(u8),
-    Wait(u16),
+    NewsOfUnknownRun(u64),
+    SetEngines(u8),
+    Advance(u16),
 }
 
 /// Guards against requests that go to an engine that left or was already tried, and engines that count as full for
 /// good, because the run and engine counts are wrong: asks in any order, news that arrive late, twice or never, and
 /// engines that leave and return.
 #[test]
-fn choices_are_among_the_listed_and_nothing_stays_counted() {
+fn choices_are_listed_engines_and_counts_return_to_zero() {
     tc_fuzz::check(2_000, produce::<Vec<Op>>(), |ops: &Vec<Op>| {
         let mut planner = EnginePlanner::new(spec());
         let all = candidates(&DOMAINS);
@@ -44,19 +44,21 @@
                 Op::Choose {
                     family,
                     own,
-                    away,
+                    cross_domain,
                     except,
                 } => {
                     let mut ask = ask(&[
                         (u64::from(family % 8), u32::from(family) * 20),
                         (u64::from(own) + 1_000, u32::from(own)),
                     ]);
-                    ask.inputs =
-                        vec![(DOMAINS[usize::from(away % 4)].into(), u64::from(away) << 14)];
+                    ask.inputs = vec![(
+                        DOMAINS[usize::from(cross_domain % 4)].into(),
+                        u64::from(cross_domain) << 14,
+                    )];
                     ask.except = vec![all[usize::from(except % 4)].id.clone()];
                     let choice = planner.choose(at(now), &ask);
-                    let fit = listed.iter().any(|engine| !ask.except.contains(&engine.id));
-                    assert_eq!(choice.is_some(), fit);
+                    let is_available = listed.iter().any(|engine| !ask.except.contains(&engine.id));
+                    assert_eq!(choice.is_some(), is_available);
                     let Some(choice) = choice else { continue };
                     assert!(listed.iter().any(|engine| engine.id == choice.upstream));
                     assert!(!ask.except.contains(&choice.upstream));
@@ -71,8 +73,8 @@
                     what,
                     took_ms,
                 } => {
-                    let runs_now: Vec<u64> = runs.keys().copied().collect();
-                    let Some(run) = runs_now.get(usize::from(which) % runs_now.len().max(1)) else {
+                    let run_ids: Vec<u64> = runs.keys().copied().collect();
+                    let Some(run) = run_ids.get(usize::from(which) % run_ids.len().max(1)) else {
                         continue;
                     };
                     let news = match what % 3 {
@@ -85,18 +87,18 @@
                         runs.remove(run);
                     }
                 }
-                Op::NewsOfNobody(run) if !runs.contains_key(&run) => {
+                Op::NewsOfUnknownRun(run) if !runs.contains_key(&run) => {
                     planner.record(at(now), run, EngineNews::Failed);
                 }
-                Op::NewsOfNobody(_) => {}
-                Op::Listed(bits) => {
+                Op::NewsOfUnknownRun(_) => {}
+                Op::SetEngines(bits) => {
                     listed = (0..4)
                         .filter(|i| bits >> i & 1 == 1)
                         .map(|i| all[i].clone())
                         .collect();
                     planner.set_engines(spec(), &listed);
                 }
-                Op::Wait(ms) => now += u64::from(ms),
+                Op::Advance(ms) => now += u64::from(ms),
             }
         }
         planner.set_engines(spec(), &all);
--- a/crates/tc-policy/tests/engines/load.rs
+++ b/crates/tc-policy/tests/engines/load.rs
@@ -14,12 +14,12 @@
 /// The bound: at a third of the capacity of nine engines, a single queue for all of them would delay fewer than one
 /// long prompt in a hundred; one in twenty-five allows for parts that are read for the first time.
 #[test]
-fn long_prompts_rarely_wait_for_others() {
+fn long_prompts_rarely_wait_behind_others() {
     let mut planner = planner(&["a", "a", "a", "b", "b", "b", "c", "c", "c"]);
     let mut free_at: HashMap<UpstreamId, u64> = HashMap::new();
     let mut reading: Vec<(u64, u64, u64)> = Vec::new();
-    let (mut long, mut waited, mut read_again) = (0, 0, 0);
-    let mut kept: HashMap<(UpstreamId, u64), bool> = HashMap::new();
+    let (mut long, mut delayed, mut reread_count) = (0, 0, 0);
+    let mut cached: HashMap<(UpstreamId, u64), bool> = HashMap::new();
     for number in 0..2_500_u64 {
         let now = 1_000 + number * 40;
         for (_, run, took) in reading.extract_if(.., |(ends, ..)| *ends <= now) {
@@ -38,25 +38,28 @@
             at(now),
             &ask(&[(family, shared), (10_000 + number, own as u32)]),
         );
-        let here = kept.contains_key(&(choice.upstream.clone(), family));
+        let here = cached.contains_key(&(choice.upstream.clone(), family));
         let fetched = choice
             .fetch_from
-            .is_some_and(|source| kept.contains_key(&(source, family)));
+            .is_some_and(|source| cached.contains_key(&(source, family)));
         let tokens = own as u32 + if here || fetched { 0 } else { shared };
-        read_again += u32::from(!here && !fetched && kept.keys().any(|(_, f)| *f == family));
+        reread_count += u32::from(!here && !fetched && cached.keys().any(|(_, f)| *f == family));
         let starts = free_at.get(&choice.upstream).copied().unwrap_or(0).max(now);
         let ends = starts + 20 + u64::from(tokens / TOKENS_PER_MS);
         free_at.insert(choice.upstream.clone(), ends);
-        kept.insert((choice.upstream, family), true);
+        cached.insert((choice.upstream, family), true);
         reading.push((ends, choice.run, ends - now));
         if is_long {
             long += 1;
-            waited += u32::from(starts > now + 100);
+            delayed += u32::from(starts > now + 100);
         }
     }
     assert!(
-        waited * 25 <= long,
-        "{waited} of {long} long prompts waited"
+        delayed * 25 <= long,
+        "{delayed} of {long} long prompts delayed"
+    );
+    assert!(
+        reread_count <= 50,
+        "{reread_count} times a part was read again"
     );
-    assert!(read_again <= 50, "{read_again} times a part was read again");
 }
--- a/crates/tc-policy/tests/estimates.rs
+++ b/crates/tc-policy/tests/estimates.rs
@@ -31,8 +31,8 @@
         let measured = estimators
             .quantile(&service, class, q)
             .expect("it is known");
-        let off = measured.as_secs_f64() / q - 1.0;
-        assert!(off.abs() < 0.02, "quantile {q} is {measured:?}");
+        let relative_error = measured.as_secs_f64() / q - 1.0;
+        assert!(relative_error.abs() < 0.02, "quantile {q} is {measured:?}");
     }
     assert!(estimators.stage(&service, class, 0.6).known);
     // Two generations later none of these records is left.
@@ -57,12 +57,12 @@
 /// deadline for a while, so admission refuses new ones. When the upstreams are fast again, no call runs that could
 /// update the estimate: estimates are fed only by calls that run, and calls run only if the estimate admits them.
 #[test]
-fn admission_recovers_after_a_slow_spell() {
+fn admission_recovers_after_a_slowdown() {
     let deadline = ms(500);
     let class = SizeClass::of(1_000, 0);
     // Whether the caller advances the time before each lookup, requests per second, and the maximum recovery time in
     // seconds.
-    for (tells_time, per_s, most_s) in [(true, 1, 30), (true, 100, 15), (false, 100, 30)] {
+    for (advances_time, per_s, max_s) in [(true, 1, 30), (true, 100, 15), (false, 100, 30)] {
         let mut estimators = Estimators::new();
         let service = ServiceName::from("generate");
         let mut now = MonoTime::from_millis(1);
@@ -70,11 +70,11 @@
             now = now.after(ms(100));
             estimators.record(now, &service, class, ms(5_000));
         }
-        let fast_again = now;
+        let recovered_at = now;
         let (mut admitted_in_a_row, mut refused) = (0, 0);
         while admitted_in_a_row < 20 {
             now = now.after(Duration::from_secs(1) / per_s);
-            if tells_time {
+            if advances_time {
                 estimators.advance(now);
             }
             let stage = estimators.stage(&service, class, 0.6);
@@ -85,18 +85,18 @@
                 admitted_in_a_row = 0;
                 refused += 1;
             }
-            let took = now.since(fast_again);
+            let took = now.since(recovered_at);
             assert!(
-                took < Duration::from_secs(most_s + 20),
+                took < Duration::from_secs(max_s + 20),
                 "{refused} refused in {took:?}"
             );
         }
-        assert!(refused > 0, "the slow spell was not noticed");
+        assert!(refused > 0, "the slowdown was not noticed");
     }
 }
 
 #[test]
-fn doubt_does_not_touch_estimates_that_are_fed() {
+fn estimates_with_new_records_do_not_decay() {
     let (mut estimators, service) = (Estimators::new(), ServiceName::from("generate"));
     let class = SizeClass::of(1_000, 0);
     let mut now = MonoTime::from_millis(1);
--- a/crates/tc-policy/tests/judge.rs
+++ b/crates/tc-policy/tests/judge.rs
@@ -48,26 +48,26 @@
     }
 }
 
-fn told(second: u32) -> ChainJudge {
+fn judge_with(second_waiting: u32) -> ChainJudge {
     let mut judge = ChainJudge::default();
     judge.note(at(0), &"first".into(), outlook(0));
-    judge.note(at(0), &"second".into(), outlook(second));
+    judge.note(at(0), &"second".into(), outlook(second_waiting));
     judge
 }
 
 #[test]
-fn a_chain_is_begun_when_the_last_of_its_homes_has_time_for_it() {
-    let begun = judge(&mut told(0), at(0), 1).expect("nothing waits");
+fn chain_starts_when_its_last_home_has_capacity() {
+    let begun = judge(&mut judge_with(0), at(0), 1).expect("nothing waits");
     assert!(!begun.is_late_return);
     assert_eq!(begun.in_time_for, Duration::from_millis(700));
-    assert!(judge(&mut told(900), at(0), 1).is_err());
+    assert!(judge(&mut judge_with(900), at(0), 1).is_err());
 }
 
 /// Guards against a burst of five seconds in which every request is refused once and answered late: a refused request
 /// returns when it was told to, counts as new, and takes the place of a new request that could still meet its deadline.
 #[test]
-fn who_comes_again_after_a_refusal_counts_from_when_he_came_first() {
-    let mut home = told(900);
+fn returning_request_counts_from_its_first_arrival() {
+    let mut home = judge_with(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     home.note(at(400), &"second".into(), outlook(0));
     home.note(at(400), &"first".into(), outlook(0));
@@ -75,7 +75,7 @@
     assert!(!again.is_late_return);
     assert_eq!(again.in_time_for, Duration::from_millis(400));
 
-    let mut home = told(900);
+    let mut home = judge_with(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     let free = HomeOutlook {
         free: 1.0,
@@ -89,14 +89,14 @@
 }
 
 #[test]
-fn another_request_is_not_taken_for_one_that_was_refused() {
-    let mut home = told(900);
+fn other_requests_do_not_count_as_returning() {
+    let mut home = judge_with(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     home.note(at(400), &"second".into(), outlook(0));
     let other = judge(&mut home, at(400), 2).expect("there is time");
     assert!(!other.is_late_return);
     // A refusal applies to one return only and expires.
-    let mut home = told(900);
+    let mut home = judge_with(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     let late = at(9_000);
     home.note(late, &"second".into(), outlook(0));
--- a/crates/tc-policy/tests/memory.rs
+++ b/crates/tc-policy/tests/memory.rs
@@ -9,7 +9,7 @@
 /// Guards against memory that grows with the number of requests served, because state per permit, ask or workspace is
 /// not released: a million asks and releases from workspaces and entries that come and go.
 #[test]
-fn home_is_flat_over_a_million_cycles() {
+fn home_memory_is_bounded_over_a_million_cycles() {
     let mut home = home(4);
     let mut now = MonoTime(1);
     let mut most_workspaces = 0;
@@ -55,5 +55,5 @@
         most = most.max(suspects.len());
     }
     // 256 crashes with 8 suspects each, 256 attributed crashes, 300 trials, 4,096 quarantined fingerprints.
-    assert!(most <= 257 * 9 + 256 + 301 + 4_097, "{most} kept");
+    assert!(most <= 257 * 9 + 256 + 301 + 4_097, "{most} entries");
 }
--- a/crates/tc-policy/tests/pick.rs
+++ b/crates/tc-policy/tests/pick.rs
@@ -26,7 +26,7 @@
 /// 88 instances with 12 requests each on 6 upstreams give a mean of 176 per upstream with a standard deviation of 12;
 /// the bound is four deviations.
 #[test]
-fn instances_that_know_little_spread_their_requests() {
+fn ties_are_spread_over_upstreams() {
     let (ids, domains) = (ids(6), ["a".into()]);
     let candidates = candidates(&ids, &domains);
     let mut counts = [0_i32; 6];
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn requests_that_share_a_prompt_meet_and_prompts_spread() {
+fn requests_with_a_shared_prompt_meet_and_prompts_spread() {
     let (ids, domains) = (ids(12), ["a".into(), "b".into()]);
     let candidates = candidates(&ids, &domains);
     let mut counts = [0_i32; 12];
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_hot_prompt_spills_before_its_upstream_is_far_above_the_mean() {
+fn hot_prompt_overflows_before_its_upstream_exceeds_the_load_bound() {
     let (ids, domains) = (ids(4), ["a".into()]);
     let mut candidates = candidates(&ids, &domains);
     let preference = PickPreference {
@@ -71,11 +71,14 @@
         candidates[chosen].load += 1.0;
     }
     let most = candidates.iter().map(|c| c.load).fold(0.0, f64::max);
-    assert!(most <= 6.0 * 1.5 + 3.0, "{most} of 24 on one of four");
+    assert!(
+        most <= 6.0 * 1.5 + 3.0,
+        "{most} of 24 requests on one of four"
+    );
 }
 
 #[test]
-fn a_slow_upstream_gets_less() {
+fn slow_upstream_gets_fewer_requests() {
     let (ids, domains) = (ids(2), ["a".into()]);
     let mut candidates = candidates(&ids, &domains);
     candidates[0].slowness = 5.0;
--- a/crates/tc-policy/tests/prompt_times.rs
+++ b/crates/tc-policy/tests/prompt_times.rs
@@ -15,7 +15,7 @@
 ///
 /// The mix has nine short prompts per long one; the tolerance is a fifth of the true time.
 #[test]
-fn a_mix_of_lengths_is_told_apart() {
+fn mixed_prompt_lengths_get_separate_estimates() {
     let mut times = PromptTimes::default();
     for number in 0..200_u64 {
         let (tokens, took) = if number % 10 == 0 {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn before_anything_is_measured_a_usual_time_is_expected() {
+fn default_estimate_applies_before_measurements() {
     let mut times = PromptTimes::default();
     assert_eq!(times.estimate(0), times.estimate(50_000));
     for _ in 0..20 {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_engine_that_slows_down_is_noticed_within_some_hundred_requests() {
+fn slowdown_is_noticed_within_hundreds_of_requests() {
     let mut times = PromptTimes::default();
     for _ in 0..1_000 {
         times.record(1_000, ms(50));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn any_measurements_give_a_time_that_does_not_fall_with_length() {
+fn estimate_never_decreases_with_length() {
     let input = produce::<Vec<(u16, u16)>>();
     tc_fuzz::check(2_000, input, |measured: &Vec<(u16, u16)>| {
         let mut times = PromptTimes::default();
--- a/crates/tc-policy/tests/retry_budget.rs
+++ b/crates/tc-policy/tests/retry_budget.rs
@@ -9,7 +9,7 @@
 /// In every window the retries stay within the ratio of the requests in that window, or in the step before it, plus the
 /// extra allowance. The model stores every timestamp; the budget stores counts per step.
 #[test]
-fn no_window_has_more_repeats_than_allowed() {
+fn no_window_has_more_retries_than_allowed() {
     tc_fuzz::check(2_000, produce::<Vec<(bool, u16)>>(), |steps| {
         let limits = RetryLimits {
             ratio: 0.2,
@@ -17,7 +17,7 @@
             window: Duration::from_secs(10),
         };
         let mut budget = RetryBudget::new(limits);
-        let (mut requests, mut repeats): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
         let mut now = 1_000;
         for (is_request, pause) in steps {
             now += u64::from(*pause % 700);
@@ -29,12 +29,12 @@
             if !budget.try_spend(MonoTime::from_millis(now)) {
                 continue;
             }
-            repeats.push(now);
+            retries.push(now);
             let within =
                 |times: &[u64], length: u64| times.iter().filter(|t| now - **t <= length).count();
             let allowed = 0.2 * within(&requests, 11_000) as f64 + 3.0;
-            let spent = within(&repeats, 10_000) as f64;
-            assert!(spent <= allowed, "{spent} repeats, {allowed} allowed");
+            let spent = within(&retries, 10_000) as f64;
+            assert!(spent <= allowed, "{spent} retries, {allowed} allowed");
         }
     });
 }
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_stage_beside_a_long_chain_is_begun_late_and_its_inputs_are_freed_when_all_read_them() {
+fn stage_beside_a_longer_chain_starts_late_and_inputs_are_released_after_the_last_reader() {
     let stages = [
         stage("read", &[], 8_000),
         stage("draw", &[0], 1_500_000),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn stages_without_pieces_take_no_time_and_hold_nothing_up() {
+fn stages_without_pieces_take_no_time_and_block_nothing() {
     let stages = [stage("read", &[], 8_000), stage("draw", &[0], 8_000)];
     let graph = StageGraph::new(&stages, &[0, 3]);
     assert_eq!(graph.startable(), [1]);
@@ -59,12 +59,12 @@
 }
 
 /// A service of upstreams that run one call at a time without failures.
-struct Service {
+struct SimulatedService {
     planner: BatchPlanner,
     ends: BTreeMap<(MonoTime, CallKey), (Duration, usize)>,
 }
 
-impl Service {
+impl SimulatedService {
     /// Calls take 200 ms plus 6 ms per piece and have at most `pieces` pieces.
     fn new(upstreams: usize, pieces: usize) -> Self {
         let spec = BatchSpec {
@@ -135,38 +135,38 @@
 }
 
 #[derive(Debug, Default)]
-struct Tally {
-    asked: usize,
+struct Counts {
+    requests: usize,
     in_time: usize,
-    refused_at_once: usize,
+    refused_early: usize,
     refused_late: usize,
     late: usize,
 }
 
 const AIM: Duration = ms(1_500);
-const LEAVES: Duration = ms(6_000);
+const CALLER_TIMEOUT: Duration = ms(6_000);
 
 struct Request {
-    came: MonoTime,
+    arrived_at: MonoTime,
 }
 
 /// Simulates two consecutive stages, of which the second has half the capacity of the first: a light load for 2 s, then
 /// 2.5 times the capacity of the second stage for 4 s. Entries receive the homes' outlooks with each answer; here every
 /// 50 ms.
-fn play(judges: bool) -> Tally {
+fn simulate(checks_feasibility: bool) -> Counts {
     let stages = [stage("first", &[], 8_000), stage("second", &[0], 8_000)];
-    let mut services = [Service::new(8, 30), Service::new(4, 60)];
+    let mut services = [SimulatedService::new(8, 30), SimulatedService::new(4, 60)];
     let mut running: [BTreeMap<JobKey, Request>; 2] = [BTreeMap::new(), BTreeMap::new()];
     let names: [ServiceName; 2] = ["first".into(), "second".into()];
-    let mut told = StageOutlooks::default();
-    let mut tally = Tally::default();
+    let mut outlooks = StageOutlooks::default();
+    let mut counts = Counts::default();
     // The second stage completes 4 calls of 60 pieces in 560 ms: 428 pieces or 107 requests per second.
     let mut due = 0.0;
     for tick in 0..8_000_u64 {
         let now = MonoTime::from_millis(1_000 + tick);
         if tick % 50 == 0 {
             for (name, service) in names.iter().zip(&services) {
-                told.note(now, name, service.planner.outlook(now));
+                outlooks.note(now, name, service.planner.outlook(now));
             }
         }
         due += match tick {
@@ -176,9 +176,9 @@
         };
         while due >= 1.0 {
             due -= 1.0;
-            tally.asked += 1;
+            counts.requests += 1;
             let graph = StageGraph::new(&stages, &[1, 4]);
-            let expected = told.expect(
+            let expected = outlooks.expect(
                 now,
                 &JudgedRequest {
                     graph: &graph,
@@ -187,8 +187,12 @@
                     rank: 0,
                 },
             );
-            if judges && graph.check_feasible(&expected, AIM, LEAVES).is_err() {
-                tally.refused_at_once += 1;
+            if checks_feasibility
+                && graph
+                    .check_feasible(&expected, AIM, CALLER_TIMEOUT)
+                    .is_err()
+            {
+                counts.refused_early += 1;
                 continue;
             }
             let following = graph.critical_path_after(0, &expected.in_time);
@@ -196,19 +200,19 @@
                 .planner
                 .push(now, job(0, 1, now, now, following))
             {
-                Ok(key) => drop(running[0].insert(key, Request { came: now })),
-                Err(_) => tally.refused_at_once += 1,
+                Ok(key) => drop(running[0].insert(key, Request { arrived_at: now })),
+                Err(_) => counts.refused_early += 1,
             }
         }
         for (key, made) in services[0].step(now) {
             let Some(request) = running[0].remove(&key) else {
                 continue;
             };
-            let new = job(1, 4, now, request.came, ms(0));
+            let new = job(1, 4, now, request.arrived_at, ms(0));
             let pushed = made.then(|| services[1].planner.push(now, new));
             match pushed {
                 Some(Ok(key)) => drop(running[1].insert(key, request)),
-                _ => tally.refused_late += 1,
+                _ => counts.refused_late += 1,
             }
         }
         for (key, made) in services[1].step(now) {
@@ -216,17 +220,23 @@
                 continue;
             };
             match made {
-                true if now.since(request.came) <= AIM => tally.in_time += 1,
-                true => tally.late += 1,
-                false => tally.refused_late += 1,
+                true if now.since(request.arrived_at) <= AIM => counts.in_time += 1,
+                true => counts.late += 1,
+                false => counts.refused_late += 1,
             }
         }
     }
-    tally
+    counts
 }
 
-fn job(stage: u32, pieces: u32, now: MonoTime, came: MonoTime, following: Duration) -> NewJob {
-    let aim = came.after(AIM).since(now).saturating_sub(following);
+fn job(
+    stage: u32,
+    pieces: u32,
+    now: MonoTime,
+    arrived_at: MonoTime,
+    following: Duration,
+) -> NewJob {
+    let aim = arrived_at.after(AIM).since(now).saturating_sub(following);
     NewJob {
         request: "r".into(),
         stage,
@@ -235,7 +245,7 @@
         result_bytes: 8_000,
         rank: 0,
         in_time_until: now.after(aim),
-        deadline: came.after(LEAVES),
+        deadline: arrived_at.after(CALLER_TIMEOUT),
         prefer: None,
         held_bytes: 0,
         is_last_reader: false,
@@ -250,24 +260,24 @@
 /// are late: the second of two stages is overloaded, but the requests pass the first, which has capacity, and wait or
 /// are refused at the second, because each stage decides by itself.
 #[test]
-fn a_burst_that_the_second_stage_cannot_carry_is_refused_before_the_first() {
-    let (alone, judged) = (play(false), play(true));
+fn burst_beyond_the_second_stage_is_refused_before_the_first() {
+    let (unchecked, checked) = (simulate(false), simulate(true));
     // In this setup the first stage has spare capacity, so admitting every request serves the most. The bounds limit
     // how much of that the check may cost; it saves every caller that would be refused late half a second.
     assert!(
-        judged.refused_late * 4 <= alone.refused_late,
-        "{judged:?} against {alone:?}"
+        checked.refused_late * 4 <= unchecked.refused_late,
+        "{checked:?} against {unchecked:?}"
     );
     assert!(
-        judged.in_time * 100 >= alone.in_time * 85,
-        "{judged:?} against {alone:?}"
+        checked.in_time * 100 >= unchecked.in_time * 85,
+        "{checked:?} against {unchecked:?}"
     );
 }
 
 /// Guards against a crash when an instance that is broken or has another version reports figures that are not valid
 /// numbers, and a wait is computed from them.
 #[test]
-fn no_numbers_that_a_home_tells_bring_an_entry_down() {
+fn invalid_figures_from_a_home_do_not_panic() {
     let stages = [stage("first", &[], 8_000), stage("second", &[0], 8_000)];
     let graph = StageGraph::new(&stages, &[1, 4]);
     let now = MonoTime::from_millis(1_000);
@@ -280,7 +290,7 @@
         1e-300,
         1e300,
     ] {
-        let mut told = StageOutlooks::default();
+        let mut outlooks = StageOutlooks::default();
         for service in ["first", "second"] {
             let outlook = HomeOutlook {
                 waiting: u32::MAX,
@@ -289,9 +299,9 @@
                 free: number,
                 ..HomeOutlook::default()
             };
-            told.note(now, &service.into(), outlook);
+            outlooks.note(now, &service.into(), outlook);
         }
-        let expected = told.expect(
+        let expected = outlooks.expect(
             now,
             &JudgedRequest {
                 graph: &graph,
@@ -301,6 +311,6 @@
             },
         );
         // Any decision is accepted, as long as there is no panic.
-        let _ = graph.check_feasible(&expected, AIM, LEAVES);
+        let _ = graph.check_feasible(&expected, AIM, CALLER_TIMEOUT);
     }
 }
--- a/crates/tc-policy/tests/suspects.rs
+++ b/crates/tc-policy/tests/suspects.rs
@@ -6,7 +6,7 @@
 use tc_policy::{SuspectPolicy, Suspects, Trial};
 use tc_protocol::{Fingerprint, Incarnation, MonoTime, UpstreamId};
 
-const GUILTY: Fingerprint = Fingerprint(0);
+const CULPRIT: Fingerprint = Fingerprint(0);
 
 const fn at(ms: u64) -> MonoTime {
     MonoTime::from_millis(ms)
@@ -25,7 +25,7 @@
 /// random over a few upstreams. Several requests were then in flight in the same two crashes, so counting crashes
 /// cannot tell them apart.
 #[test]
-fn two_upstreams_lost_and_no_innocent_refused() {
+fn at_most_two_upstreams_crash_and_no_innocent_is_refused() {
     let input = produce::<Vec<u8>>().with().len(1..400_usize);
     tc_fuzz::check(2_000, input, |choices: &Vec<u8>| {
         let mut suspects = Suspects::new(2);
@@ -37,7 +37,7 @@
         let all: Vec<Fingerprint> = (0..requests as u64).map(Fingerprint).collect();
         let mut now = at(1);
         suspects.record_crash(now, &upstream(9), Incarnation(1), &all);
-        let mut lost = 1;
+        let mut crash_count = 1;
         for step in 0..200 {
             now = at(10 * step + 10);
             let fp = Fingerprint(choose(requests) as u64);
@@ -52,18 +52,18 @@
                 continue;
             }
             match suspects.try_trial(now, fp) {
-                Trial::Quarantined { .. } => assert_eq!(fp, GUILTY, "an innocent is refused"),
+                Trial::Quarantined { .. } => assert_eq!(fp, CULPRIT, "an innocent is refused"),
                 Trial::Busy { .. } => {}
-                Trial::Run if fp == GUILTY => {
+                Trial::Run if fp == CULPRIT => {
                     let mut in_flight = std::mem::take(&mut running[place]);
                     in_flight.insert(fp);
-                    lost += 1;
+                    crash_count += 1;
                     let in_flight: Vec<Fingerprint> = in_flight.into_iter().collect();
                     // Two entries report the crash, each with its own calls, and one of them does so twice.
                     let (some, others) = in_flight.split_at(in_flight.len() / 2);
-                    let incarnation = Incarnation(lost);
-                    for told in [some, others, some] {
-                        suspects.record_crash(now, &upstream(place), incarnation, told);
+                    let incarnation = Incarnation(crash_count);
+                    for reported in [some, others, some] {
+                        suspects.record_crash(now, &upstream(place), incarnation, reported);
                     }
                 }
                 Trial::Run => {
@@ -71,65 +71,65 @@
                 }
             }
         }
-        assert!(lost <= 2, "{lost} upstreams lost");
-        for fp in all.into_iter().filter(|&fp| fp != GUILTY) {
+        assert!(crash_count <= 2, "{crash_count} upstreams crashed");
+        for fp in all.into_iter().filter(|&fp| fp != CULPRIT) {
             assert!(!is_quarantined(&mut suspects, now, fp), "{fp} is innocent");
         }
     });
 }
 
 #[test]
-fn same_death_counts_once() {
+fn same_crash_counts_once() {
     let mut suspects = Suspects::new(2);
     for _ in 0..5 {
-        suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[GUILTY]);
+        suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[CULPRIT]);
     }
-    assert!(suspects.is_suspect(GUILTY));
-    assert_eq!(suspects.try_trial(at(2), GUILTY), Trial::Run);
-    suspects.record_crash(at(3), &upstream(1), Incarnation(2), &[GUILTY]);
-    assert!(is_quarantined(&mut suspects, at(4), GUILTY));
-    assert_eq!(suspects.quarantined().collect::<Vec<_>>(), [GUILTY]);
+    assert!(suspects.is_suspect(CULPRIT));
+    assert_eq!(suspects.try_trial(at(2), CULPRIT), Trial::Run);
+    suspects.record_crash(at(3), &upstream(1), Incarnation(2), &[CULPRIT]);
+    assert!(is_quarantined(&mut suspects, at(4), CULPRIT));
+    assert_eq!(suspects.quarantined().collect::<Vec<_>>(), [CULPRIT]);
 }
 
 #[test]
-fn success_clears_and_a_late_word_of_the_same_death_changes_nothing() {
+fn success_clears_despite_a_late_report_of_the_same_crash() {
     let (mut suspects, innocent) = (Suspects::new(2), Fingerprint(7));
-    suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[GUILTY, innocent]);
+    suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[CULPRIT, innocent]);
     assert_eq!(suspects.try_trial(at(2), innocent), Trial::Run);
     suspects.clear(at(3), innocent);
-    suspects.record_crash(at(4), &upstream(1), Incarnation(1), &[GUILTY, innocent]);
+    suspects.record_crash(at(4), &upstream(1), Incarnation(1), &[CULPRIT, innocent]);
     assert!(!suspects.is_suspect(innocent));
-    assert!(suspects.is_suspect(GUILTY));
+    assert!(suspects.is_suspect(CULPRIT));
 }
 
 /// Guards against a suspect that is refused as busy for good: its trial runs at an entry that crashes, so the end of
 /// the trial is never reported and the trial would not expire.
 #[test]
-fn trial_whose_end_is_never_told_ends() {
+fn trial_without_a_reported_end_expires() {
     let mut suspects = Suspects::new(2);
-    suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[GUILTY]);
-    assert_eq!(suspects.try_trial(at(2), GUILTY), Trial::Run);
+    suspects.record_crash(at(1), &upstream(1), Incarnation(1), &[CULPRIT]);
+    assert_eq!(suspects.try_trial(at(2), CULPRIT), Trial::Run);
     assert!(matches!(
-        suspects.try_trial(at(3), GUILTY),
+        suspects.try_trial(at(3), CULPRIT),
         Trial::Busy { .. }
     ));
-    assert_eq!(suspects.try_trial(at(40_000), GUILTY), Trial::Run);
+    assert_eq!(suspects.try_trial(at(40_000), CULPRIT), Trial::Run);
 }
 
 #[test]
-fn adopted_quarantine_holds() {
+fn adopted_quarantine_is_enforced() {
     let mut suspects = Suspects::new(2);
-    suspects.adopt_quarantine(at(1), GUILTY);
-    assert!(is_quarantined(&mut suspects, at(2), GUILTY));
+    suspects.adopt_quarantine(at(1), CULPRIT);
+    assert!(is_quarantined(&mut suspects, at(2), CULPRIT));
     suspects.record_crash(
         at(3),
         &upstream(1),
         Incarnation(1),
-        &[GUILTY, Fingerprint(7)],
+        &[CULPRIT, Fingerprint(7)],
     );
     assert!(
         !suspects.is_suspect(Fingerprint(7)),
-        "the death is explained"
+        "the crash is attributed"
     );
 }
 
@@ -137,20 +137,20 @@
 fn a_lifted_fingerprint_runs_and_is_quarantined_again_after_as_many_crashes() {
     let mut suspects = Suspects::new(2);
     let crash = |suspects: &mut Suspects, number| {
-        suspects.record_crash(at(1), &upstream(number), Incarnation(1), &[GUILTY]);
+        suspects.record_crash(at(1), &upstream(number), Incarnation(1), &[CULPRIT]);
     };
     crash(&mut suspects, 0);
     crash(&mut suspects, 1);
-    assert!(is_quarantined(&mut suspects, at(1), GUILTY));
-    suspects.lift(at(2), GUILTY);
-    assert!(!suspects.is_suspect(GUILTY));
+    assert!(is_quarantined(&mut suspects, at(1), CULPRIT));
+    suspects.lift(at(2), CULPRIT);
+    assert!(!suspects.is_suspect(CULPRIT));
     assert_eq!(suspects.quarantined().count(), 0);
     crash(&mut suspects, 2);
-    assert_eq!(suspects.try_trial(at(2), GUILTY), Trial::Run);
+    assert_eq!(suspects.try_trial(at(2), CULPRIT), Trial::Run);
     crash(&mut suspects, 3);
-    assert!(is_quarantined(&mut suspects, at(2), GUILTY));
+    assert!(is_quarantined(&mut suspects, at(2), CULPRIT));
     suspects.lift(at(2), Fingerprint(99));
-    assert!(is_quarantined(&mut suspects, at(2), GUILTY));
+    assert!(is_quarantined(&mut suspects, at(2), CULPRIT));
 }
 
 /// Guards against requests that queue for each other after a single crash because each must run alone: forty requests
@@ -168,12 +168,12 @@
         assert_eq!(suspects.try_trial(at(2), fp), Trial::Run);
     }
     // The culprit crashes the next upstream; from then on it runs alone, and not at all after the third crash.
-    suspects.record_crash(at(3), &upstream(2), Incarnation(1), &[GUILTY]);
-    assert_eq!(suspects.try_trial(at(4), GUILTY), Trial::Run);
-    let second = suspects.try_trial(at(5), GUILTY);
+    suspects.record_crash(at(3), &upstream(2), Incarnation(1), &[CULPRIT]);
+    assert_eq!(suspects.try_trial(at(4), CULPRIT), Trial::Run);
+    let second = suspects.try_trial(at(5), CULPRIT);
     assert!(matches!(second, Trial::Busy { .. }), "{second:?}");
-    suspects.record_crash(at(6), &upstream(3), Incarnation(1), &[GUILTY]);
-    assert!(is_quarantined(&mut suspects, at(7), GUILTY));
-    assert!(is_quarantined(&mut suspects, at(590_000), GUILTY));
-    assert_eq!(suspects.try_trial(at(600_007), GUILTY), Trial::Run);
+    suspects.record_crash(at(6), &upstream(3), Incarnation(1), &[CULPRIT]);
+    assert!(is_quarantined(&mut suspects, at(7), CULPRIT));
+    assert!(is_quarantined(&mut suspects, at(590_000), CULPRIT));
+    assert_eq!(suspects.try_trial(at(600_007), CULPRIT), Trial::Run);
 }
