--- a/crates/tc-policy/examples/decision_rate.rs
+++ b/crates/tc-policy/examples/decision_rate.rs
@@ -1,4 +1,4 @@
-//! Prints decisions a second on one core: `cargo run --release -p tc-policy --example decision_rate`.
+//! Prints the decisions per second on one core: `cargo run --release -p tc-policy --example decision_rate`.
 
 use std::{
     hint::black_box,
@@ -6,19 +6,21 @@
 };
 
 use rand::{SeedableRng, rngs::StdRng};
-use tc_policy::{AskVerdict, Candidate, Home, HomeConfig, HomeEvent, NewAsk, choose};
+use tc_policy::{
+    AskVerdict, Home, HomeConfig, HomeEvent, NewAsk, UpstreamCandidate, choose_upstream,
+};
 use tc_protocol::{
     Ask, Attempt, Cost, Fingerprint, MonoTime, Outcome, PermitId, Release, RunState, Upstream,
     UpstreamState, UpstreamSummary, WorkspaceName,
 };
 
-/// Workspaces that ask.
+/// Number of workspaces that send asks.
 const WORKSPACES: usize = 10;
-/// Upstreams to choose from.
+/// Number of candidate upstreams.
 const CANDIDATES: usize = 12;
 /// Slots of the home's upstream.
 const SLOTS: u32 = 8;
-/// Decisions of one kind.
+/// Decisions per measurement.
 const ROUNDS: u32 = 1_000_000;
 
 fn main() {
@@ -76,7 +78,7 @@
     }
 }
 
-/// One ask that is granted at once, one release, one poll.
+/// Measures one ask that is granted immediately, one release and one poll per round.
 fn free_slots() -> Duration {
     let (mut home, asks) = (new_home(), new_asks());
     let mut now = MonoTime(1);
@@ -93,7 +95,7 @@
     started.elapsed()
 }
 
-/// One ask that is queued, one release, one poll that grants another.
+/// Measures one queued ask, one release and one poll that grants another ask per round.
 fn backlog() -> Duration {
     let (mut home, asks) = (new_home(), new_asks());
     let mut now = MonoTime(1);
@@ -124,10 +126,10 @@
 
 fn choices(with_prefix: bool) -> Duration {
     let states: Vec<UpstreamState> = (0..CANDIDATES).map(upstream).collect();
-    let candidates: Vec<Candidate<'_>> = states
+    let candidates: Vec<UpstreamCandidate<'_>> = states
         .iter()
         .enumerate()
-        .map(|(i, state)| Candidate {
+        .map(|(i, state)| UpstreamCandidate {
             state,
             summary: state.summary,
             leaving: state.leaving,
@@ -153,7 +155,7 @@
     let started = Instant::now();
     for round in 0..ROUNDS {
         ask.prefix = with_prefix.then_some(u64::from(round));
-        black_box(choose(&candidates, &ask, &mut random));
+        black_box(choose_upstream(&candidates, &ask, &mut random));
     }
     started.elapsed()
 }
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -76,11 +76,12 @@
             .collect();
         // A stage depends only on stages with a lower index.
         for stage in 0..stages {
-            if request.graph.is_over(stage) {
+            if request.graph.is_complete(stage) {
                 continue;
             }
             let outlook = self.outlook_of(now, request.graph, stage);
-            let until_arrival = |times: &[Duration]| request.graph.time_before(stage, times);
+            let until_arrival =
+                |times: &[Duration]| request.graph.critical_path_before(stage, times);
             let (in_time, late) = match outlook {
                 Some(outlook) => (
                     self.in_time_wait(
@@ -148,7 +149,7 @@
         let graph = request.graph;
         let rank_offset = RANK_OFFSET * u32::from(request.rank);
         let due = |stage: usize| {
-            let after = graph.time_after(stage, base_latencies);
+            let after = graph.critical_path_after(stage, base_latencies);
             request.until_aim.saturating_sub(after) + rank_offset
         };
         let incoming: f64 = self
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -18,7 +18,7 @@
     result_memory::ResultMemory,
     upstream::{BatchUpstream, UpstreamState},
 };
-use crate::{PacedSends, RepeatBudget};
+use crate::{PacedSends, RetryBudget};
 
 slotmap::new_key_type! {
     /// Identifies a call in progress.
@@ -68,7 +68,7 @@
     pub(super) result_memory: ResultMemory,
     pub(super) input_hold_time: InputHoldTime,
     pub(super) piece_times: PieceTimes,
-    pub(super) repeats: RepeatBudget,
+    pub(super) repeats: RetryBudget,
     /// Moving average of the duration of a call, in seconds.
     pub(super) typical_call_s: f64,
     /// Arrival rate of work that can be done on time.
@@ -81,7 +81,7 @@
 impl BatchPlanner {
     /// Creates a planner without upstreams. `repeats` limits how often pieces are sent again.
     #[must_use]
-    pub fn new(spec: BatchSpec, repeats: RepeatBudget) -> Self {
+    pub fn new(spec: BatchSpec, repeats: RetryBudget) -> Self {
         Self {
             spec,
             jobs: SlotMap::with_key(),
@@ -161,7 +161,7 @@
         if !self.can_meet_deadline(now, &job, wait, MAX_WAIT_FRACTION) {
             return Err(self.overloaded(now));
         }
-        self.repeats.note_request(now);
+        self.repeats.record_request(now);
         if !job.expected_late {
             self.demand.add(now, self.remaining_work(&job));
         }
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -1,6 +1,8 @@
-//! Pure decisions under load: queueing, concurrency, estimates, budgets, choice of upstream, limits.
+//! Decision logic for operation under load: queueing, concurrency, estimates, budgets, upstream selection and rate
+//! limits.
 //!
-//! No clock, no I/O: the time (`now`) and randomness are passed in, so a test can drive every decision.
+//! The crate has no clock and does no I/O. Callers pass in the time (`now`) and the randomness, so that tests control
+//! every decision.
 
 mod admission;
 mod backoffs;
@@ -15,8 +17,8 @@
 mod pick;
 mod prompt_times;
 mod rendezvous;
-mod repeats;
 mod retry;
+mod retry_budget;
 mod stage_graph;
 mod suspect;
 mod throttle;
@@ -29,18 +31,18 @@
     ChainQuery, DueHistogram, ExpectedStageTimes, FinishedJob, FollowingPieces, HomeOutlook,
     JobKey, NewJob, PlannerEffects, StageOutlooks,
 };
-pub use budget::Budget;
-pub use choice::{Candidate, Choice, choose};
-pub use cold::{ColdLimit, RecentSends, may_send_alone};
+pub use budget::ExtraCallBudget;
+pub use choice::{UpstreamCandidate, UpstreamChoice, choose_upstream};
+pub use cold::{ColdLimit, RecentSends, may_send_without_home};
 pub use engines::{EngineCandidate, EnginePlanner};
 pub use estimate::{Estimators, SizeClass, StageEstimate};
 pub use home::{AskKey, AskVerdict, HeldPermit, Home, HomeConfig, HomeEvent, NewAsk};
 pub use limit::{Demand, LimitHome, Share, ShareBucket};
-pub use pick::{PickCandidate, PickWish, pick_upstream};
+pub use pick::{PickCandidate, PickPreference, pick_upstream};
 pub use prompt_times::PromptTimes;
 pub use rendezvous::{rendezvous, rendezvous_score};
-pub use repeats::{RepeatBudget, RepeatLimits};
 pub use retry::retry_delay;
+pub use retry_budget::{RetryBudget, RetryLimits};
 pub use stage_graph::StageGraph;
 pub use suspect::{SuspectPolicy, Suspects, Trial};
 pub use throttle::Throttle;
--- a/crates/tc-policy/tests/estimates.rs
+++ b/crates/tc-policy/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates follow what is measured, and come back after a slow spell.
+//! Estimates follow the measurements and recover after a slowdown.
 
 use std::time::Duration;
 
@@ -31,11 +31,11 @@
         let measured = estimators
             .quantile(&service, class, q)
             .expect("it is known");
-        let off = measured.as_secs_f64() / q - 1.0;
-        assert!(off.abs() < 0.02, "quantile {q} is {measured:?}");
+        let relative_error = measured.as_secs_f64() / q - 1.0;
+        assert!(relative_error.abs() < 0.02, "quantile {q} is {measured:?}");
     }
     assert!(estimators.stage(&service, class, 0.6).known);
-    // Two generations later nothing of it is left.
+    // Two generations later none of these records is left.
     for i in 0..30 {
         estimators.record(
             MonoTime::from_millis(2_000 + i * 1_000),
@@ -53,16 +53,16 @@
     );
 }
 
-/// Symptom: after a slow spell the fleet is idle and refuses everything.
-/// Sequence: calls take longer than their deadline for a while; admission refuses all that come; the upstreams are
-/// fast again, but no call runs that could show it.
-/// Cause: estimates are fed only by calls that run, and calls run only if the estimate lets them.
+/// Guards against a fleet that is idle and refuses every request after a slowdown. Calls take longer than their
+/// deadline for a while, so admission refuses new ones. When the upstreams are fast again, no call runs that could
+/// update the estimate: estimates are fed only by calls that run, and calls run only if the estimate admits them.
 #[test]
-fn admission_recovers_after_a_slow_spell() {
+fn admission_recovers_after_a_slowdown() {
     let deadline = ms(500);
     let class = SizeClass::of(1_000, 0);
-    // Whether the caller tells the time before each lookup, requests a second, and seconds to recover at most.
-    for (tells_time, per_s, most_s) in [(true, 1, 30), (true, 100, 15), (false, 100, 30)] {
+    // Whether the caller advances the time before each lookup, requests per second, and the maximum recovery time in
+    // seconds.
+    for (advances_time, per_s, max_s) in [(true, 1, 30), (true, 100, 15), (false, 100, 30)] {
         let mut estimators = Estimators::new();
         let service = ServiceName::from("generate");
         let mut now = MonoTime::from_millis(1);
@@ -70,11 +70,11 @@
             now = now.after(ms(100));
             estimators.record(now, &service, class, ms(5_000));
         }
-        let fast_again = now;
+        let recovered_at = now;
         let (mut admitted_in_a_row, mut refused) = (0, 0);
         while admitted_in_a_row < 20 {
             now = now.after(Duration::from_secs(1) / per_s);
-            if tells_time {
+            if advances_time {
                 estimators.advance(now);
             }
             let stage = estimators.stage(&service, class, 0.6);
@@ -85,18 +85,18 @@
                 admitted_in_a_row = 0;
                 refused += 1;
             }
-            let took = now.since(fast_again);
+            let took = now.since(recovered_at);
             assert!(
-                took < Duration::from_secs(most_s + 20),
+                took < Duration::from_secs(max_s + 20),
                 "{refused} refused in {took:?}"
             );
         }
-        assert!(refused > 0, "the slow spell was not noticed");
+        assert!(refused > 0, "the slowdown was not noticed");
     }
 }
 
 #[test]
-fn doubt_does_not_touch_estimates_that_are_fed() {
+fn estimates_with_new_records_do_not_decay() {
     let (mut estimators, service) = (Estimators::new(), ServiceName::from("generate"));
     let class = SizeClass::of(1_000, 0);
     let mut now = MonoTime::from_millis(1);
@@ -133,14 +133,14 @@
     assert_eq!(admit(ms(120), &[steady, varied]), Ok(ms(120)));
     assert_eq!(admit(ms(0), &[]), Err(ms(100)));
     assert!(admit(ms(119), &[steady, varied]).is_err_and(|after| after >= ms(100)));
-    // The stage that varies gets most of the slack, and no stage gets more than there is.
+    // The stage with the higher variance gets most of the slack, and no stage gets more than is available.
     let first = slack_for(ms(500), &[varied, steady]);
     assert!(first > ms(270) && first < ms(280), "{first:?}");
     let first = slack_for(ms(500), &[steady, varied]);
     assert!(first < ms(5), "{first:?}");
     assert_eq!(slack_for(ms(100), &[StageEstimate::default(); 4]), ms(25));
     assert_eq!(slack_for(ms(100), &[varied]), ms(0));
-    // Hedges: only what is known, and only while a second call still fits.
+    // Only known stages are hedged, and only while a second call still fits.
     assert_eq!(hedge_after(&varied, ms(300)), Some(ms(200)));
     assert_eq!(hedge_after(&varied, ms(299)), None);
     let unknown = StageEstimate {
--- a/crates/tc-policy/tests/judge.rs
+++ b/crates/tc-policy/tests/judge.rs
@@ -1,4 +1,4 @@
-//! Whether a chain of stages is begun, and as what, at the home of its first stage.
+//! Admission of a chain of stages at the home of its first stage.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     judge.admit(now, &chain(fingerprint), 0, 0, &[CALL, CALL])
 }
 
-/// A home that makes 600 pieces a second and has this many waiting that can be in time.
+/// The outlook of a home that completes 600 pieces per second and has this many waiting that can meet their deadline.
 fn outlook(waiting: u32) -> HomeOutlook {
     let mut in_time = DueHistogram::default();
     in_time.add(Duration::from_millis(100), waiting);
@@ -52,27 +52,26 @@
     }
 }
 
-fn told(second: u32) -> ChainAdmission {
+fn judge_with(second_waiting: u32) -> ChainAdmission {
     let mut judge = ChainAdmission::default();
     judge.record(at(0), &"first".into(), outlook(0));
-    judge.record(at(0), &"second".into(), outlook(second));
+    judge.record(at(0), &"second".into(), outlook(second_waiting));
     judge
 }
 
 #[test]
-fn a_chain_is_begun_when_the_last_of_its_homes_has_time_for_it() {
-    let begun = judge(&mut told(0), at(0), 1).expect("nothing waits");
+fn chain_starts_when_its_last_home_has_capacity() {
+    let begun = judge(&mut judge_with(0), at(0), 1).expect("nothing waits");
     assert!(!begun.is_late_return);
     assert_eq!(begun.in_time_for, Duration::from_millis(700));
-    assert!(judge(&mut told(900), at(0), 1).is_err());
+    assert!(judge(&mut judge_with(900), at(0), 1).is_err());
 }
 
-/// Symptom: in a burst of five seconds every request is refused once and answered late. Sequence: a request is refused and comes
-/// again when it was told to; others come for the first time. Cause: who comes again counts as new, and takes the place of one
-/// that can still be in time.
+/// Guards against a burst of five seconds in which every request is refused once and answered late: a refused request
+/// returns when it was told to, counts as new, and takes the place of a new request that could still meet its deadline.
 #[test]
-fn who_comes_again_after_a_refusal_counts_from_when_he_came_first() {
-    let mut home = told(900);
+fn returning_request_counts_from_its_first_arrival() {
+    let mut home = judge_with(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     home.record(at(400), &"second".into(), outlook(0));
     home.record(at(400), &"first".into(), outlook(0));
@@ -80,7 +79,7 @@
     assert!(!again.is_late_return);
     assert_eq!(again.in_time_for, Duration::from_millis(400));
 
-    let mut home = told(900);
+    let mut home = judge_with(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     let free = HomeOutlook {
         spare_capacity: 1.0,
@@ -94,14 +93,14 @@
 }
 
 #[test]
-fn another_request_is_not_taken_for_one_that_was_refused() {
-    let mut home = told(900);
+fn other_requests_do_not_count_as_returning() {
+    let mut home = judge_with(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     home.record(at(400), &"second".into(), outlook(0));
     let other = judge(&mut home, at(400), 2).expect("there is time");
     assert!(!other.is_late_return);
-    // A refusal stands for one return only, and not for ever.
-    let mut home = told(900);
+    // A refusal applies to one return only and expires.
+    let mut home = judge_with(900);
     assert!(judge(&mut home, at(0), 1).is_err());
     let late = at(9_000);
     home.record(late, &"second".into(), outlook(0));
--- a/crates/tc-policy/tests/memory.rs
+++ b/crates/tc-policy/tests/memory.rs
@@ -1,4 +1,4 @@
-//! A million cycles with ever new names leave nothing behind.
+//! Memory stays bounded over a million cycles with new names all the time.
 
 mod support;
 
@@ -6,11 +6,10 @@
 use tc_policy::{AskVerdict, Suspects};
 use tc_protocol::{Fingerprint, Incarnation, MonoTime};
 
-/// Symptom: memory of an instance grows with the requests it has served.
-/// Sequence: a million asks and releases, from workspaces and entries that come and go.
-/// Cause: something is kept per permit, ask or workspace and not given back.
+/// Guards against memory that grows with the number of requests served, because state per permit, ask or workspace is
+/// not released: a million asks and releases from workspaces and entries that come and go.
 #[test]
-fn home_is_flat_over_a_million_cycles() {
+fn home_memory_is_bounded_over_a_million_cycles() {
     let mut home = home(4);
     let mut now = MonoTime(1);
     let mut most_workspaces = 0;
@@ -25,7 +24,7 @@
                 home.release(now, &answered(permit, ms(10)))
                     .expect("it is held");
             }
-            // One in 5,000 permits leaks, and ends when it expires.
+            // One in 5,000 permits is never released and expires.
             AskVerdict::Granted { .. } | AskVerdict::Queued(_) => {}
             other => panic!("{other:?}"),
         }
@@ -50,11 +49,11 @@
     for crash in 0..5_000_u64 {
         let now = MonoTime::from_millis(crash * 100);
         let fps: Vec<Fingerprint> = (0..8).map(|i| Fingerprint(crash * 8 + i)).collect();
-        suspects.died(now, &"generate-1".into(), Incarnation(crash), &fps);
+        suspects.record_crash(now, &"generate-1".into(), Incarnation(crash), &fps);
         suspects.try_trial(now, fps[0]);
         suspects.adopt_quarantine(now, Fingerprint(u64::MAX - crash));
         most = most.max(suspects.len());
     }
-    // 256 crashes of 8 suspects, 256 explained ones, 300 trials, 4,096 quarantined.
-    assert!(most <= 257 * 9 + 256 + 301 + 4_097, "{most} kept");
+    // 256 crashes with 8 suspects each, 256 attributed crashes, 300 trials, 4,096 quarantined fingerprints.
+    assert!(most <= 257 * 9 + 256 + 301 + 4_097, "{most} entries");
 }
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -1,10 +1,10 @@
-//! The stages before a request: order, and whether to begin them under a load that one of them cannot carry.
+//! Order of the stages that precede a request, and their admission when one of them is overloaded.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use tc_policy::{
     BatchPlanner, BatchUpstream, CallEnd, CallKey, ChainQuery, DueHistogram, HomeOutlook, JobKey,
-    NewJob, RepeatBudget, RepeatLimits, StageGraph, StageOutlooks,
+    NewJob, RetryBudget, RetryLimits, StageGraph, StageOutlooks,
 };
 use tc_protocol::{
     MonoTime, ServiceName,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_stage_beside_a_long_chain_is_begun_late_and_its_inputs_are_freed_when_all_read_them() {
+fn stage_beside_a_longer_chain_starts_late_and_inputs_are_released_after_the_last_reader() {
     let stages = [
         stage("read", &[], 8_000),
         stage("draw", &[0], 1_500_000),
@@ -33,36 +33,39 @@
     ];
     let mut graph = StageGraph::new(&stages, &[1, 1, 1, 1]);
     assert_eq!(graph.startable(), [0]);
-    graph.begin(0);
-    graph.done(0);
+    graph.mark_running(0);
+    graph.mark_done(0);
     assert_eq!(graph.startable(), [2], "the longer chain first");
-    graph.begin(2);
-    graph.done(2);
-    assert!(graph.read_by_all(2).is_empty(), "`draw` still reads `read`");
+    graph.mark_running(2);
+    graph.mark_done(2);
+    assert!(
+        graph.fully_read_inputs(2).is_empty(),
+        "`draw` still reads `read`"
+    );
     assert_eq!(graph.startable(), [1, 3], "both end together");
-    graph.begin(1);
-    graph.done(1);
-    assert_eq!(graph.read_by_all(1), [0]);
+    graph.mark_running(1);
+    graph.mark_done(1);
+    assert_eq!(graph.fully_read_inputs(1), [0]);
 }
 
 #[test]
-fn stages_without_pieces_take_no_time_and_hold_nothing_up() {
+fn stages_without_pieces_take_no_time_and_block_nothing() {
     let stages = [stage("read", &[], 8_000), stage("draw", &[0], 8_000)];
     let graph = StageGraph::new(&stages, &[0, 3]);
     assert_eq!(graph.startable(), [1]);
     let times = [ms(300), ms(400)];
-    assert_eq!(graph.time_of_all(&times), ms(400));
-    assert_eq!(StageGraph::new(&stages, &[]).time_of_all(&times), ms(0));
+    assert_eq!(graph.critical_path(&times), ms(400));
+    assert_eq!(StageGraph::new(&stages, &[]).critical_path(&times), ms(0));
 }
 
-/// A service of upstreams that make one call at a time, without failures.
-struct Service {
+/// A service of upstreams that run one call at a time without failures.
+struct SimulatedService {
     planner: BatchPlanner,
     ends: BTreeMap<(MonoTime, CallKey), (Duration, usize)>,
 }
 
-impl Service {
-    /// 200 ms a call and 6 ms a piece, `pieces` a call at most.
+impl SimulatedService {
+    /// Calls take 200 ms plus 6 ms per piece and have at most `pieces` pieces.
     fn new(upstreams: usize, pieces: usize) -> Self {
         let spec = BatchSpec {
             slots: 1,
@@ -74,7 +77,7 @@
             result_life: Duration::from_secs(4),
             link_bytes_per_s: 1.25e9,
         };
-        let repeats = RepeatBudget::new(RepeatLimits {
+        let repeats = RetryBudget::new(RetryLimits {
             ratio: 0.2,
             extra: 50.0,
             window: Duration::from_secs(10),
@@ -93,7 +96,8 @@
         }
     }
 
-    /// Ends what ends and begins what can be begun; jobs that are over, and whether they were made.
+    /// Ends the calls that are due and starts those that can start; returns the finished jobs and whether they
+    /// succeeded.
     fn step(&mut self, now: MonoTime) -> Vec<(JobKey, bool)> {
         let mut over = Vec::new();
         while let Some((&(at, key), &(_, pieces))) = self.ends.first_key_value()
@@ -131,37 +135,38 @@
 }
 
 #[derive(Debug, Default)]
-struct Tally {
-    asked: usize,
+struct Counts {
+    requests: usize,
     in_time: usize,
-    refused_at_once: usize,
+    refused_early: usize,
     refused_late: usize,
     late: usize,
 }
 
 const AIM: Duration = ms(1_500);
-const LEAVES: Duration = ms(6_000);
+const CALLER_TIMEOUT: Duration = ms(6_000);
 
 struct Request {
-    came: MonoTime,
+    arrived_at: MonoTime,
 }
 
-/// Two stages in a row of which the second carries half of what the first does, calm for 2 s, then 2.5 times what the
-/// second can carry for 4 s. Entries hear of the homes with each answer; here every 50 ms.
-fn play(judges: bool) -> Tally {
+/// Simulates two consecutive stages, of which the second has half the capacity of the first: a light load for 2 s, then
+/// 2.5 times the capacity of the second stage for 4 s. Entries receive the homes' outlooks with each answer; here every
+/// 50 ms.
+fn simulate(checks_feasibility: bool) -> Counts {
     let stages = [stage("first", &[], 8_000), stage("second", &[0], 8_000)];
-    let mut services = [Service::new(8, 30), Service::new(4, 60)];
+    let mut services = [SimulatedService::new(8, 30), SimulatedService::new(4, 60)];
     let mut running: [BTreeMap<JobKey, Request>; 2] = [BTreeMap::new(), BTreeMap::new()];
     let names: [ServiceName; 2] = ["first".into(), "second".into()];
-    let mut told = StageOutlooks::default();
-    let mut tally = Tally::default();
-    // The second stage makes 4 calls of 60 pieces in 560 ms: 428 pieces, 107 requests a second.
+    let mut outlooks = StageOutlooks::default();
+    let mut counts = Counts::default();
+    // The second stage completes 4 calls of 60 pieces in 560 ms: 428 pieces or 107 requests per second.
     let mut due = 0.0;
     for tick in 0..8_000_u64 {
         let now = MonoTime::from_millis(1_000 + tick);
         if tick % 50 == 0 {
             for (name, service) in names.iter().zip(&services) {
-                told.record(now, name, service.planner.outlook(now));
+                outlooks.record(now, name, service.planner.outlook(now));
             }
         }
         due += match tick {
@@ -171,9 +176,9 @@
         };
         while due >= 1.0 {
             due -= 1.0;
-            tally.asked += 1;
+            counts.requests += 1;
             let graph = StageGraph::new(&stages, &[1, 4]);
-            let expected = told.estimate(
+            let expected = outlooks.estimate(
                 now,
                 &ChainQuery {
                     graph: &graph,
@@ -182,28 +187,32 @@
                     rank: 0,
                 },
             );
-            if judges && graph.worth_beginning(&expected, AIM, LEAVES).is_err() {
-                tally.refused_at_once += 1;
+            if checks_feasibility
+                && graph
+                    .check_feasible(&expected, AIM, CALLER_TIMEOUT)
+                    .is_err()
+            {
+                counts.refused_early += 1;
                 continue;
             }
-            let following = graph.time_after(0, &expected.in_time);
+            let following = graph.critical_path_after(0, &expected.in_time);
             match services[0]
                 .planner
                 .push(now, job(0, 1, now, now, following))
             {
-                Ok(key) => drop(running[0].insert(key, Request { came: now })),
-                Err(_) => tally.refused_at_once += 1,
+                Ok(key) => drop(running[0].insert(key, Request { arrived_at: now })),
+                Err(_) => counts.refused_early += 1,
             }
         }
         for (key, made) in services[0].step(now) {
             let Some(request) = running[0].remove(&key) else {
                 continue;
             };
-            let new = job(1, 4, now, request.came, ms(0));
+            let new = job(1, 4, now, request.arrived_at, ms(0));
             let pushed = made.then(|| services[1].planner.push(now, new));
             match pushed {
                 Some(Ok(key)) => drop(running[1].insert(key, request)),
-                _ => tally.refused_late += 1,
+                _ => counts.refused_late += 1,
             }
         }
         for (key, made) in services[1].step(now) {
@@ -211,17 +220,23 @@
                 continue;
             };
             match made {
-                true if now.since(request.came) <= AIM => tally.in_time += 1,
-                true => tally.late += 1,
-                false => tally.refused_late += 1,
+                true if now.since(request.arrived_at) <= AIM => counts.in_time += 1,
+                true => counts.late += 1,
+                false => counts.refused_late += 1,
             }
         }
     }
-    tally
+    counts
 }
 
-fn job(stage: u32, pieces: u32, now: MonoTime, came: MonoTime, following: Duration) -> NewJob {
-    let aim = came.after(AIM).since(now).saturating_sub(following);
+fn job(
+    stage: u32,
+    pieces: u32,
+    now: MonoTime,
+    arrived_at: MonoTime,
+    following: Duration,
+) -> NewJob {
+    let aim = arrived_at.after(AIM).since(now).saturating_sub(following);
     NewJob {
         request: "r".into(),
         stage,
@@ -230,7 +245,7 @@
         result_bytes: 8_000,
         rank: 0,
         in_time_until: now.after(aim),
-        deadline: came.after(LEAVES),
+        deadline: arrived_at.after(CALLER_TIMEOUT),
         preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
@@ -241,29 +256,28 @@
     }
 }
 
-/// Symptom: in a burst most requests are refused after their first stage was made for them, and most of the rest are late.
-/// Sequence: the second of two stages is full; requests pass the first, which has room, and wait or are turned away at the
-/// second. Cause: each stage is judged by itself when the request comes to it.
+/// Guards against a burst in which most requests are refused after their first stage has run, and most of the others
+/// are late: the second of two stages is overloaded, but the requests pass the first, which has capacity, and wait or
+/// are refused at the second, because each stage decides by itself.
 #[test]
-fn a_burst_that_the_second_stage_cannot_carry_is_refused_before_the_first() {
-    let (alone, judged) = (play(false), play(true));
-    // The first stage has room to spare here, so trying costs nothing but itself: nearly as much is in time.
-    // Here the first stage has room to spare and costs nothing, so trying whatever comes serves the most. What the
-    // judgement may cost of that is bounded; what it saves is half a second of every caller that is refused late.
+fn burst_beyond_the_second_stage_is_refused_before_the_first() {
+    let (unchecked, checked) = (simulate(false), simulate(true));
+    // In this setup the first stage has spare capacity, so admitting every request serves the most. The bounds limit
+    // how much of that the check may cost; it saves every caller that would be refused late half a second.
     assert!(
-        judged.refused_late * 4 <= alone.refused_late,
-        "{judged:?} against {alone:?}"
+        checked.refused_late * 4 <= unchecked.refused_late,
+        "{checked:?} against {unchecked:?}"
     );
     assert!(
-        judged.in_time * 100 >= alone.in_time * 85,
-        "{judged:?} against {alone:?}"
+        checked.in_time * 100 >= unchecked.in_time * 85,
+        "{checked:?} against {unchecked:?}"
     );
 }
 
-/// Symptom: an instance ends by itself. Sequence: another one, of another version or broken, tells numbers that are none.
-/// Cause: a wait is computed from them as they are.
+/// Guards against a crash when an instance that is broken or has another version reports figures that are not valid
+/// numbers, and a wait is computed from them.
 #[test]
-fn no_numbers_that_a_home_tells_bring_an_entry_down() {
+fn invalid_figures_from_a_home_do_not_panic() {
     let stages = [stage("first", &[], 8_000), stage("second", &[0], 8_000)];
     let graph = StageGraph::new(&stages, &[1, 4]);
     let now = MonoTime::from_millis(1_000);
@@ -276,7 +290,7 @@
         1e-300,
         1e300,
     ] {
-        let mut told = StageOutlooks::default();
+        let mut outlooks = StageOutlooks::default();
         for service in ["first", "second"] {
             let outlook = HomeOutlook {
                 waiting: u32::MAX,
@@ -285,9 +299,9 @@
                 spare_capacity: number,
                 ..HomeOutlook::default()
             };
-            told.record(now, &service.into(), outlook);
+            outlooks.record(now, &service.into(), outlook);
         }
-        let expected = told.estimate(
+        let expected = outlooks.estimate(
             now,
             &ChainQuery {
                 graph: &graph,
@@ -296,7 +310,7 @@
                 rank: u8::MAX,
             },
         );
-        // Whatever it decides, it decides.
-        let _ = graph.worth_beginning(&expected, AIM, LEAVES);
+        // Any decision is accepted, as long as there is no panic.
+        let _ = graph.check_feasible(&expected, AIM, CALLER_TIMEOUT);
     }
 }
