--- a/crates/tc-fleet/src/homes/actor.rs
+++ b/crates/tc-fleet/src/homes/actor.rs
@@ -199,7 +199,7 @@
 
     fn load(&mut self, now: MonoTime, upstream: &UpstreamId, report: &LoadReport) {
         if let Some(slot) = self.slots.get_mut(upstream) {
-            slot.home_mut().load_reported(now, report);
+            slot.home_mut().record_load_report(now, report);
         }
         self.settle(now, upstream);
     }
@@ -255,7 +255,7 @@
             let may_eject = picture.may_eject(slot.summary(now).ejected);
             let home = slot.home_mut();
             home.set_service_median(now, picture.median_ms(), may_eject);
-            home.set_elsewhere(now, picture.elsewhere(id));
+            home.set_shortest_wait_elsewhere(now, picture.elsewhere(id));
         }
         self.wake(now);
     }
--- a/crates/tc-fleet/src/homes/slot.rs
+++ b/crates/tc-fleet/src/homes/slot.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use tc_policy::{AskKey, AskVerdict, HeldPermit, Home, HomeConfig, HomeEvent, NewAsk};
+use tc_policy::{
+    HeldPermit, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+};
 use tc_protocol::{
     Cost, Fingerprint, InstanceId, MonoTime, PermitId, RefusalReason, Release, ServiceName,
     Upstream, UpstreamId, UpstreamSummary, WorkspaceName,
@@ -80,7 +82,7 @@
 /// Where the one suspect call this upstream may have is.
 #[derive(PartialEq)]
 enum SuspectUse {
-    Waiting(AskKey),
+    Waiting(QueuedRequestKey),
     Running(PermitId),
 }
 
@@ -88,7 +90,7 @@
 pub(crate) struct Slot {
     pub(crate) known: KnownUpstream,
     home: Home,
-    waiters: HashMap<AskKey, Waiter>,
+    waiters: HashMap<QueuedRequestKey, Waiter>,
     // Two suspects on one upstream would both be blamed for its next crash, and an innocent one would be quarantined.
     suspect: Option<SuspectUse>,
     /// Another instance is its home now.
@@ -147,8 +149,8 @@
             reply,
         };
         let is_suspect = ask.suspect;
-        match self.home.ask(now, new_ask(ask)) {
-            AskVerdict::Granted { permit, expires_in } => {
+        match self.home.request_permit(now, new_ask(ask)) {
+            PermitDecision::Granted { permit, expires_in } => {
                 if is_suspect {
                     self.suspect = Some(SuspectUse::Running(permit));
                 }
@@ -159,21 +161,21 @@
                 };
                 self.answer(now, verdict, waiter.reply);
             }
-            AskVerdict::Queued(key) => {
+            PermitDecision::Queued(key) => {
                 if is_suspect {
                     self.suspect = Some(SuspectUse::Waiting(key));
                 }
                 self.waiters.insert(key, waiter);
                 on_queued();
             }
-            AskVerdict::Redirect { wait } => {
+            PermitDecision::Redirect { wait } => {
                 let verdict = HomeVerdict::Redirect {
                     wait,
                     better: better(),
                 };
                 self.answer(now, verdict, waiter.reply);
             }
-            AskVerdict::Refused {
+            PermitDecision::Refused {
                 reason,
                 retry_after,
             } => {
@@ -209,7 +211,7 @@
     }
 
     pub(crate) fn entry_gone(&mut self, now: MonoTime, entry: &InstanceId) {
-        let gone: Vec<AskKey> = self
+        let gone: Vec<QueuedRequestKey> = self
             .waiters
             .iter()
             .filter(|(_, w)| w.entry == *entry)
@@ -219,7 +221,7 @@
             self.waiters.remove(&key);
             self.end_suspect(&SuspectUse::Waiting(key));
         }
-        self.home.entry_gone(now, entry);
+        self.home.remove_entry(now, entry);
         let running: Vec<PermitId> = self.home.permits().map(|held| held.permit).collect();
         if let Some(SuspectUse::Running(permit)) = self.suspect
             && !running.contains(&permit)
@@ -249,26 +251,26 @@
         for event in self.home.poll(now) {
             match event {
                 HomeEvent::Granted {
-                    ask,
+                    request,
                     permit,
                     expires_in,
                     waited,
                 } => {
-                    self.grant_waiting(now, ask, permit, expires_in, waited);
+                    self.grant_waiting(now, request, permit, expires_in, waited);
                 }
-                HomeEvent::Dropped { ask, .. } if self.moved => {
-                    self.end_suspect(&SuspectUse::Waiting(ask));
-                    if let Some(waiter) = self.waiters.remove(&ask) {
+                HomeEvent::Dropped { request, .. } if self.moved => {
+                    self.end_suspect(&SuspectUse::Waiting(request));
+                    if let Some(waiter) = self.waiters.remove(&request) {
                         self.answer(now, self.moved_verdict(), waiter.reply);
                     }
                 }
                 HomeEvent::Dropped {
-                    ask,
+                    request,
                     reason,
                     retry_after,
                 } => {
-                    self.end_suspect(&SuspectUse::Waiting(ask));
-                    if let Some(waiter) = self.waiters.remove(&ask) {
+                    self.end_suspect(&SuspectUse::Waiting(request));
+                    if let Some(waiter) = self.waiters.remove(&request) {
                         let verdict = HomeVerdict::Refused {
                             reason,
                             retry_after,
@@ -288,7 +290,7 @@
     fn grant_waiting(
         &mut self,
         now: MonoTime,
-        ask: AskKey,
+        ask: QueuedRequestKey,
         permit: PermitId,
         expires_in: Duration,
         waited: Duration,
@@ -342,8 +344,8 @@
     }
 }
 
-fn new_ask(ask: HomeAsk) -> NewAsk {
-    NewAsk {
+fn new_ask(ask: HomeAsk) -> PermitRequest {
+    PermitRequest {
         entry: ask.entry,
         workspace: ask.workspace,
         weight: ask.weight,
--- a/crates/tc-fleet/src/limits.rs
+++ b/crates/tc-fleet/src/limits.rs
@@ -190,7 +190,7 @@
             Arc::clone(kept)
         }
         Some(kept) => {
-            lock(&kept.bucket).set_fleet(limits, live_entries);
+            lock(&kept.bucket).update_limits(limits, live_entries);
             let bucket = Arc::clone(&kept.bucket);
             Arc::new(LimitedWorkspace {
                 limits,
--- a/crates/tc-gateway/src/limits.rs
+++ b/crates/tc-gateway/src/limits.rs
@@ -6,7 +6,7 @@
 };
 
 use tc_fleet::{Mesh, UpstreamLimits};
-use tc_policy::{LoneSends, LoneShare};
+use tc_policy::{UncoordinatedSends, UncoordinatedShare};
 use tc_protocol::{
     MonoTime, UpstreamId,
     routing::{RateLimit, RoutedService},
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(crate) struct LimitedSends {
     limits: Arc<UpstreamLimits>,
-    lone: Mutex<LoneSends>,
+    lone: Mutex<UncoordinatedSends>,
 }
 
 impl LimitedSends {
@@ -42,7 +42,8 @@
         let Some(limit) = self.limits.get(id) else {
             return true;
         };
-        service.engine.is_none() && self.has_share(mesh, id, LoneShare::without_home(limit))
+        service.engine.is_none()
+            && self.has_share(mesh, id, UncoordinatedShare::without_home(limit))
     }
 
     /// Returns true if this instance may send to the engine while its home does not answer.
@@ -50,7 +51,7 @@
         let Some(limit) = self.limits.get(id) else {
             return true;
         };
-        self.has_share(mesh, id, LoneShare::beside_home(limit))
+        self.has_share(mesh, id, UncoordinatedShare::with_home_unreachable(limit))
     }
 
     /// Records a request that this instance sends without a grant.
@@ -79,13 +80,13 @@
         self.lock().retain(is_registered);
     }
 
-    fn has_share(&self, mesh: &Mesh, id: &UpstreamId, share: LoneShare) -> bool {
+    fn has_share(&self, mesh: &Mesh, id: &UpstreamId, share: UncoordinatedShare) -> bool {
         let (now, members) = (MonoTime::now(), mesh.members());
         self.lock()
             .may_send(now, &mesh.me().id, &members, id, share)
     }
 
-    fn lock(&self) -> MutexGuard<'_, LoneSends> {
+    fn lock(&self) -> MutexGuard<'_, UncoordinatedSends> {
         self.lone.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/tc-policy/examples/decision_rate.rs
+++ b/crates/tc-policy/examples/decision_rate.rs
@@ -6,7 +6,7 @@
 };
 
 use rand::{SeedableRng, rngs::StdRng};
-use tc_policy::{AskVerdict, Candidate, Home, HomeConfig, HomeEvent, NewAsk, choose};
+use tc_policy::{Candidate, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, choose};
 use tc_protocol::{
     Ask, Attempt, Cost, Fingerprint, MonoTime, Outcome, PermitId, Release, RunState, Upstream,
     UpstreamState, UpstreamSummary, WorkspaceName,
@@ -42,9 +42,9 @@
     })
 }
 
-fn new_asks() -> Vec<NewAsk> {
+fn new_asks() -> Vec<PermitRequest> {
     (0..WORKSPACES)
-        .map(|i| NewAsk {
+        .map(|i| PermitRequest {
             entry: "entry-1".into(),
             workspace: WorkspaceName::from(format!("workspace-{i}")),
             weight: 1,
@@ -83,8 +83,8 @@
     let started = Instant::now();
     for round in 0..ROUNDS as usize {
         now = now.after(Duration::from_micros(10));
-        let verdict = home.ask(now, asks[round % WORKSPACES].clone());
-        let AskVerdict::Granted { permit, .. } = verdict else {
+        let verdict = home.request_permit(now, asks[round % WORKSPACES].clone());
+        let PermitDecision::Granted { permit, .. } = verdict else {
             panic!("a slot is free");
         };
         home.release(now, &release(permit));
@@ -99,7 +99,8 @@
     let mut now = MonoTime(1);
     let mut running = Vec::new();
     for round in 0..20 * WORKSPACES {
-        if let AskVerdict::Granted { permit, .. } = home.ask(now, asks[round % WORKSPACES].clone())
+        if let PermitDecision::Granted { permit, .. } =
+            home.request_permit(now, asks[round % WORKSPACES].clone())
         {
             running.push(permit);
         }
@@ -109,7 +110,8 @@
         now = now.after(Duration::from_micros(10));
         let oldest = running.swap_remove(0);
         home.release(now, &release(oldest));
-        if let AskVerdict::Granted { permit, .. } = home.ask(now, asks[round % WORKSPACES].clone())
+        if let PermitDecision::Granted { permit, .. } =
+            home.request_permit(now, asks[round % WORKSPACES].clone())
         {
             running.push(permit);
         }
--- a/crates/tc-policy/src/batch/maker.rs
+++ b/crates/tc-policy/src/batch/maker.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{FailureDomain, MonoTime, UpstreamId};
 
-use crate::PacedSends;
+use crate::SendPacer;
 
 /// Pause after an upstream refused a call because it was full: about half a call, as calls of another home, or of this
 /// one's life before a restart, must end first. Each refused call spends as many repeats as it has pieces, so a shorter
@@ -46,7 +46,7 @@
     /// When the call in progress is expected to end.
     pub(super) busy_until: MonoTime,
     /// Set while the upstream announces a rate limit.
-    pub(super) limited: Option<PacedSends>,
+    pub(super) limited: Option<SendPacer>,
 }
 
 impl Maker {
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -18,7 +18,7 @@
     results::Results,
     waits::NEXT_CALL,
 };
-use crate::{PacedSends, RepeatBudget};
+use crate::{RepeatBudget, SendPacer};
 
 slotmap::new_key_type! {
     /// A call to an upstream that has not ended.
@@ -128,7 +128,7 @@
         limit_of: impl Fn(&UpstreamId) -> Option<RateLimit>,
     ) {
         for (id, maker) in &mut self.makers {
-            PacedSends::take_up(&mut maker.limited, now, limit_of(id));
+            SendPacer::update_limit(&mut maker.limited, now, limit_of(id));
         }
     }
 
--- a/crates/tc-policy/src/engines/engine.rs
+++ b/crates/tc-policy/src/engines/engine.rs
@@ -5,7 +5,7 @@
 use tc_protocol::{FailureDomain, MonoTime};
 
 use super::kept::KeptParts;
-use crate::{ColdLimit, PacedSends, RecentSends};
+use crate::{ColdLimit, RecentSends, SendPacer};
 
 /// First pause after a run failed; doubles with each failure in a row.
 const FIRST_PAUSE: Duration = Duration::from_millis(300);
@@ -36,7 +36,7 @@
     /// Time it takes against what is expected; 2 is half as fast.
     pub(super) speed: f64,
     /// Set while the engine announces a rate limit.
-    pub(super) limited: Option<PacedSends>,
+    pub(super) limited: Option<SendPacer>,
     failures: u32,
     not_before: MonoTime,
 }
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -9,7 +9,7 @@
 };
 
 use super::engine::Engine;
-use crate::{ColdLimit, PacedSends, PromptTimes, rendezvous::hashed_score};
+use crate::{ColdLimit, PromptTimes, SendPacer, rendezvous::hashed_score};
 
 slotmap::new_key_type! {
     /// A run at an engine that has not ended.
@@ -136,7 +136,7 @@
         limit_of: impl Fn(&UpstreamId) -> Option<RateLimit>,
     ) {
         for (id, engine) in &mut self.engines {
-            PacedSends::take_up(&mut engine.limited, now, limit_of(id));
+            SendPacer::update_limit(&mut engine.limited, now, limit_of(id));
         }
     }
 
--- a/crates/tc-policy/src/home/mod.rs
+++ b/crates/tc-policy/src/home/mod.rs
@@ -4,20 +4,20 @@
 //! only corrects it.
 
 mod concurrency;
-mod correct;
 mod foreign;
 mod health;
-mod machine;
 mod permits;
 mod queue;
+mod state;
+mod updates;
 mod view;
 
 use std::time::Duration;
 
 use tc_protocol::{Cost, Fingerprint, InstanceId, PermitId, RefusalReason, WorkspaceName};
 
-pub use machine::Home;
-pub use queue::AskKey;
+pub use queue::QueuedRequestKey;
+pub use state::Home;
 
 /// What a home starts with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 /// One ask for a permit, as the home needs it.
 #[derive(Clone, Debug)]
-pub struct NewAsk {
+pub struct PermitRequest {
     /// The instance that will call the upstream.
     pub entry: InstanceId,
     /// The workspace that is charged.
@@ -58,7 +58,7 @@
 
 /// The answer to an ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AskVerdict {
+pub enum PermitDecision {
     /// It may run now.
     Granted {
         /// The permit.
@@ -67,7 +67,7 @@
         expires_in: Duration,
     },
     /// It waits; [`Home::poll`] tells what becomes of it.
-    Queued(AskKey),
+    Queued(QueuedRequestKey),
     /// It cannot start here in time, or clearly later than elsewhere. Nothing of it is kept here.
     Redirect {
         /// Expected wait here.
@@ -88,7 +88,7 @@
     /// A waiting ask may run now.
     Granted {
         /// The ask.
-        ask: AskKey,
+        request: QueuedRequestKey,
         /// The permit.
         permit: PermitId,
         /// How long the permit lasts.
@@ -99,7 +99,7 @@
     /// A waiting ask is refused.
     Dropped {
         /// The ask.
-        ask: AskKey,
+        request: QueuedRequestKey,
         /// Why.
         reason: RefusalReason,
         /// When asking again may help.
--- a/crates/tc-policy/src/home/queue.rs
+++ b/crates/tc-policy/src/home/queue.rs
@@ -12,11 +12,11 @@
 use slotmap::SlotMap;
 use tc_protocol::{MonoTime, WorkspaceName};
 
-use super::{NewAsk, concurrency::millis};
+use super::{PermitRequest, concurrency::millis};
 
 slotmap::new_key_type! {
     /// Names a waiting ask of one home.
-    pub struct AskKey;
+    pub struct QueuedRequestKey;
 }
 
 slotmap::new_key_type! {
@@ -49,12 +49,12 @@
 const CREDIT_CALLS: f64 = 2.0;
 
 /// Order inside a workspace: priority, then least slack, then first come.
-type Order = (u8, MonoTime, AskKey);
+type Order = (u8, MonoTime, QueuedRequestKey);
 
 /// A waiting ask.
 #[derive(Debug)]
 pub(super) struct Waiting {
-    pub(super) ask: NewAsk,
+    pub(super) ask: PermitRequest,
     pub(super) flow: FlowKey,
     pub(super) since: MonoTime,
     pub(super) slack_ends: MonoTime,
@@ -107,8 +107,8 @@
 pub(super) struct FairQueue {
     flows: SlotMap<FlowKey, Flow>,
     by_name: HashMap<WorkspaceName, FlowKey>,
-    asks: SlotMap<AskKey, Waiting>,
-    slack_ends: BTreeSet<(MonoTime, AskKey)>,
+    asks: SlotMap<QueuedRequestKey, Waiting>,
+    slack_ends: BTreeSet<(MonoTime, QueuedRequestKey)>,
     /// Workspaces with waiting asks, by tag; tags are not negative, so their bits order as they do.
     backlogged: BTreeSet<(u64, FlowKey)>,
     backlogged_weight: u64,
@@ -160,7 +160,12 @@
     }
 
     /// Queues an ask.
-    pub(super) fn push(&mut self, now: MonoTime, flow: FlowKey, ask: NewAsk) -> AskKey {
+    pub(super) fn push(
+        &mut self,
+        now: MonoTime,
+        flow: FlowKey,
+        ask: PermitRequest,
+    ) -> QueuedRequestKey {
         let slack_ends = now.after(ask.slack);
         let priority = ask.priority;
         let key = self.asks.insert(Waiting {
@@ -182,7 +187,7 @@
     }
 
     /// Takes an ask out.
-    pub(super) fn remove(&mut self, key: AskKey) -> Option<Waiting> {
+    pub(super) fn remove(&mut self, key: QueuedRequestKey) -> Option<Waiting> {
         let waiting = self.asks.remove(key)?;
         self.slack_ends.remove(&(waiting.slack_ends, key));
         let flow = &mut self.flows[waiting.flow];
@@ -196,7 +201,7 @@
     }
 
     /// The next ask that may start when `free` of `limit` calls are free.
-    pub(super) fn next(&self, now: MonoTime, free: u32, limit: u32) -> Option<AskKey> {
+    pub(super) fn next(&self, now: MonoTime, free: u32, limit: u32) -> Option<QueuedRequestKey> {
         if free == 0 {
             return None;
         }
@@ -209,7 +214,7 @@
     }
 
     /// The ask that goes next whatever is free.
-    pub(super) fn first(&self) -> Option<AskKey> {
+    pub(super) fn first(&self) -> Option<QueuedRequestKey> {
         let &(_, flow) = self.backlogged.first()?;
         self.flows[flow].waiting.first().map(|&(_, _, key)| key)
     }
@@ -348,7 +353,7 @@
     }
 
     /// An ask whose slack is gone.
-    pub(super) fn too_late(&self, now: MonoTime) -> Option<AskKey> {
+    pub(super) fn too_late(&self, now: MonoTime) -> Option<QueuedRequestKey> {
         self.slack_ends
             .first()
             .filter(|&&(at, _)| at <= now)
@@ -356,7 +361,7 @@
     }
 
     /// The waiting asks for which `wanted` holds.
-    pub(super) fn keys(&self, wanted: impl Fn(&NewAsk) -> bool) -> Vec<AskKey> {
+    pub(super) fn keys(&self, wanted: impl Fn(&PermitRequest) -> bool) -> Vec<QueuedRequestKey> {
         self.asks
             .iter()
             .filter(|(_, w)| wanted(&w.ask))
--- a/crates/tc-policy/src/home/machine.rs
+++ b/crates/tc-policy/src/home/state.rs
@@ -5,7 +5,7 @@
 use tc_protocol::{Cost, Incarnation, MonoTime, Outcome, PermitId, RefusalReason, Release};
 
 use super::{
-    AskKey, AskVerdict, HeldPermit, HomeConfig, HomeEvent, NewAsk,
+    HeldPermit, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
     concurrency::{Limiter, millis},
     foreign::ForeignLoad,
     health::{Advice, Ended, Health},
@@ -28,7 +28,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use tc_policy::{AskVerdict, Home, HomeConfig, NewAsk};
+/// use tc_policy::{PermitDecision, Home, HomeConfig, PermitRequest};
 /// use tc_protocol::{Cost, Fingerprint, MonoTime};
 /// let mut home = Home::new(HomeConfig {
 ///     slots: 1,
@@ -36,7 +36,7 @@
 ///     grace: Duration::from_secs(1),
 ///     first_permit: 1,
 /// });
-/// let ask = NewAsk {
+/// let ask = PermitRequest {
 ///     entry: "kl-a-1".into(),
 ///     workspace: "lintas".into(),
 ///     weight: 1,
@@ -48,8 +48,8 @@
 ///     may_redirect: false,
 /// };
 /// let now = MonoTime::from_millis(1);
-/// assert!(matches!(home.ask(now, ask.clone()), AskVerdict::Granted { .. }));
-/// assert!(matches!(home.ask(now, ask), AskVerdict::Queued(_)));
+/// assert!(matches!(home.request_permit(now, ask.clone()), PermitDecision::Granted { .. }));
+/// assert!(matches!(home.request_permit(now, ask), PermitDecision::Queued(_)));
 /// ```
 #[derive(Debug)]
 pub struct Home {
@@ -94,7 +94,7 @@
     }
 
     /// Takes in an ask.
-    pub fn ask(&mut self, now: MonoTime, ask: NewAsk) -> AskVerdict {
+    pub fn request_permit(&mut self, now: MonoTime, ask: PermitRequest) -> PermitDecision {
         self.advance(now);
         if self.is_leaving() {
             return send_away(&ask, RefusalReason::NoUpstream, Duration::ZERO);
@@ -102,12 +102,12 @@
         let flow = self.queue.touch(now, &ask.workspace, ask.weight);
         if self.may_start(flow) {
             let (permit, expires_in) = self.grant(flow, &ask);
-            return AskVerdict::Granted { permit, expires_in };
+            return PermitDecision::Granted { permit, expires_in };
         }
         let wait = self.expected_wait(flow, &ask);
         let elsewhere = self.health.is_ejected() || self.is_clearly_later(wait);
         if ask.may_redirect && (elsewhere || wait > ask.slack) {
-            return AskVerdict::Redirect { wait };
+            return PermitDecision::Redirect { wait };
         }
         if ask.slack.is_zero() {
             return send_away(&ask, RefusalReason::TooLate, wait);
@@ -115,11 +115,11 @@
         if self.queue.waiting_of(flow) >= self.queue_per_workspace {
             return send_away(&ask, RefusalReason::QueueFull, wait);
         }
-        AskVerdict::Queued(self.queue.push(now, flow, ask))
+        PermitDecision::Queued(self.queue.push(now, flow, ask))
     }
 
     /// Takes a waiting ask back; `false` when it waits no more.
-    pub fn cancel(&mut self, now: MonoTime, ask: AskKey) -> bool {
+    pub fn cancel(&mut self, now: MonoTime, ask: QueuedRequestKey) -> bool {
         self.advance(now);
         self.queue.remove(ask).is_some()
     }
@@ -230,7 +230,7 @@
             && self.queue.next(self.now, free, limit).is_none()
     }
 
-    fn next_to_start(&self) -> Option<AskKey> {
+    fn next_to_start(&self) -> Option<QueuedRequestKey> {
         if !self.health.is_ejected() {
             return self.queue.next(self.now, self.free(), self.concurrency());
         }
@@ -249,18 +249,18 @@
         self.permits.len() < self.usable_slots()
     }
 
-    fn grant_waiting(&mut self, key: AskKey, waiting: &Waiting) -> HomeEvent {
+    fn grant_waiting(&mut self, key: QueuedRequestKey, waiting: &Waiting) -> HomeEvent {
         let waited = self.now.since(waiting.since);
         let (permit, expires_in) = self.grant(waiting.flow, &waiting.ask);
         HomeEvent::Granted {
-            ask: key,
+            request: key,
             permit,
             expires_in,
             waited,
         }
     }
 
-    fn grant(&mut self, flow: FlowKey, ask: &NewAsk) -> (PermitId, Duration) {
+    fn grant(&mut self, flow: FlowKey, ask: &PermitRequest) -> (PermitId, Duration) {
         let expires_in = ask.run_for + self.grace;
         let permit = self.permits.grant(Held {
             entry: ask.entry.clone(),
@@ -294,7 +294,12 @@
         }
     }
 
-    fn drop_ask(&mut self, key: AskKey, reason: RefusalReason, events: &mut Vec<HomeEvent>) {
+    fn drop_ask(
+        &mut self,
+        key: QueuedRequestKey,
+        reason: RefusalReason,
+        events: &mut Vec<HomeEvent>,
+    ) {
         let Some(waiting) = self.queue.remove(key) else {
             return;
         };
@@ -303,14 +308,14 @@
             _ => Duration::ZERO,
         };
         events.push(HomeEvent::Dropped {
-            ask: key,
+            request: key,
             reason,
             retry_after: retry_after(wait),
         });
     }
 
     /// When a new ask would start, as far as service time is known.
-    fn expected_wait(&self, flow: FlowKey, ask: &NewAsk) -> Duration {
+    fn expected_wait(&self, flow: FlowKey, ask: &PermitRequest) -> Duration {
         if self.health.is_ejected() {
             let probe = self.health.next_probe().unwrap_or(self.now);
             return probe.since(self.now).max(SHORTEST_RETRY_AFTER);
@@ -375,11 +380,11 @@
 }
 
 /// Redirects an ask that may be, refuses any other.
-fn send_away(ask: &NewAsk, reason: RefusalReason, wait: Duration) -> AskVerdict {
+fn send_away(ask: &PermitRequest, reason: RefusalReason, wait: Duration) -> PermitDecision {
     if ask.may_redirect && reason != RefusalReason::TooLate {
-        return AskVerdict::Redirect { wait };
+        return PermitDecision::Redirect { wait };
     }
-    AskVerdict::Refused {
+    PermitDecision::Refused {
         reason,
         retry_after: retry_after(wait),
     }
--- a/crates/tc-policy/src/home/correct.rs
+++ b/crates/tc-policy/src/home/updates.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{InstanceId, MonoTime, wire::LoadReport};
 
-use super::{HeldPermit, Home, concurrency::Limiter, machine::charge, permits::Held};
+use super::{HeldPermit, Home, concurrency::Limiter, permits::Held, state::charge};
 
 impl Home {
     /// Takes in a permit that an earlier home granted. Telling it twice changes nothing.
@@ -31,7 +31,7 @@
     }
 
     /// The entry is gone: its permits and asks end.
-    pub fn entry_gone(&mut self, now: MonoTime, entry: &InstanceId) {
+    pub fn remove_entry(&mut self, now: MonoTime, entry: &InstanceId) {
         self.advance(now);
         for permit in self.permits.of_entry(entry) {
             if let Some(held) = self.permits.remove(permit) {
@@ -46,7 +46,7 @@
     }
 
     /// Takes in the upstream's own, lagging report: its slots, whether it leaves, and load that is not ours.
-    pub fn load_reported(&mut self, now: MonoTime, report: &LoadReport) {
+    pub fn record_load_report(&mut self, now: MonoTime, report: &LoadReport) {
         self.advance(now);
         let before = self.report_incarnation.replace(report.incarnation);
         if before.is_some_and(|incarnation| incarnation != report.incarnation) {
@@ -91,7 +91,7 @@
 
     /// Takes in the shortest wait known at the service's other homes. Asks that would start clearly later here are
     /// redirected from then on; `None` (as at the start) turns that off.
-    pub fn set_elsewhere(&mut self, now: MonoTime, shortest_wait: Option<Duration>) {
+    pub fn set_shortest_wait_elsewhere(&mut self, now: MonoTime, shortest_wait: Option<Duration>) {
         self.advance(now);
         self.elsewhere = shortest_wait;
     }
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -34,7 +34,9 @@
 pub use cold::{ColdLimit, RecentSends, may_send_alone};
 pub use engines::{EngineCandidate, EnginePlanner};
 pub use estimate::{Estimators, SizeClass, StageEstimate};
-pub use home::{AskKey, AskVerdict, HeldPermit, Home, HomeConfig, HomeEvent, NewAsk};
+pub use home::{
+    HeldPermit, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+};
 pub use limit::{Demand, LimitHome, Share, ShareBucket};
 pub use pick::{PickCandidate, PickWish, pick_upstream};
 pub use prompt_times::PromptTimes;
@@ -44,4 +46,6 @@
 pub use stage_graph::StageGraph;
 pub use suspect::{SuspectPolicy, Suspects, Trial};
 pub use throttle::Throttle;
-pub use upstream_limit::{KnownLimits, LimitChange, LoneSends, LoneShare, PacedSends};
+pub use upstream_limit::{
+    KnownLimits, LimitChange, SendPacer, UncoordinatedSends, UncoordinatedShare,
+};
--- a/crates/tc-policy/src/limit/bucket.rs
+++ b/crates/tc-policy/src/limit/bucket.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{Limits, MonoTime};
 
-use super::{Demand, RISE_AFTER, Share, token::Tokens};
+use super::{Demand, RISE_AFTER, Share, token_bucket::TokenBucket};
 
 /// Hint when to try again when the concurrency is used up.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(100);
@@ -31,8 +31,8 @@
     limits: Limits,
     live_entries: usize,
     held: Option<Held>,
-    requests: Tokens,
-    cost: Tokens,
+    requests: TokenBucket,
+    cost: TokenBucket,
     in_flight: u32,
     /// Cost charged in advance for the requests in flight.
     charged: f64,
@@ -62,8 +62,8 @@
             limits,
             live_entries: live_entries.max(1),
             held: None,
-            requests: Tokens::default(),
-            cost: Tokens::default(),
+            requests: TokenBucket::default(),
+            cost: TokenBucket::default(),
             in_flight: 0,
             charged: 0.0,
             mean_cost: 0.0,
@@ -77,7 +77,7 @@
     ///
     /// A share given under higher limits or for fewer entries shrinks in proportion at once: a newcomer starts with
     /// its equal part, and until every share is renewed the sum would else exceed the limit by that part.
-    pub fn set_fleet(&mut self, limits: Limits, live_entries: usize) {
+    pub fn update_limits(&mut self, limits: Limits, live_entries: usize) {
         let live_entries = live_entries.max(1);
         let joined = (self.live_entries as f64 / live_entries as f64).min(1.0);
         if let Some(held) = &mut self.held {
@@ -129,7 +129,7 @@
         }
         let cost_wait = allowed.cost_per_s.and_then(|per_s| {
             // A request dearer than what can be saved up still starts, and later ones pay it back.
-            let needed = self.mean_cost.min(Tokens::burst(per_s));
+            let needed = self.mean_cost.min(TokenBucket::burst(per_s));
             self.cost.wait_for(needed.max(f64::MIN_POSITIVE), per_s)
         });
         let request_wait = allowed
--- a/crates/tc-policy/src/limit/mod.rs
+++ b/crates/tc-policy/src/limit/mod.rs
@@ -5,13 +5,13 @@
 
 mod bucket;
 mod home;
-mod token;
+mod token_bucket;
 
 use std::time::Duration;
 
 pub use bucket::ShareBucket;
 pub use home::LimitHome;
-pub(crate) use token::Tokens;
+pub(crate) use token_bucket::TokenBucket;
 
 /// How long a share lasts after it was received.
 pub(crate) const SHARE_LASTS: Duration = Duration::from_secs(2);
--- a/crates/tc-policy/src/limit/token.rs
+++ b/crates/tc-policy/src/limit/token_bucket.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::MonoTime;
 
-/// Tokens that may be saved up, in seconds of the rate. Short, so that the sum over entries stays near the limit.
+/// TokenBucket that may be saved up, in seconds of the rate. Short, so that the sum over entries stays near the limit.
 const BURST_S: f64 = 0.1;
 /// Longest wait told when no token is to come.
 const LONGEST_WAIT: Duration = Duration::from_secs(5);
@@ -12,14 +12,14 @@
 /// Least number of tokens that can be saved up, so that a low rate ever reaches one start.
 const LEAST_BURST: f64 = 1.0;
 
-/// Tokens that come in at a rate; may go below zero, which later ones pay back.
+/// TokenBucket that come in at a rate; may go below zero, which later ones pay back.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tokens {
+pub(crate) struct TokenBucket {
     level: f64,
     at: Option<MonoTime>,
 }
 
-impl Tokens {
+impl TokenBucket {
     /// No tokens yet.
     pub(crate) const fn empty(now: MonoTime) -> Self {
         Self {
--- a/crates/tc-policy/src/upstream_limit/pace.rs
+++ b/crates/tc-policy/src/upstream_limit/pacer.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{MonoTime, routing::RateLimit};
 
-use crate::limit::Tokens;
+use crate::limit::TokenBucket;
 
 /// Least rate of sends to an upstream whose limit is lower still: only an answer can say that the limit is gone.
 const LEAST_PER_S: f64 = 0.25;
@@ -14,32 +14,32 @@
 /// Begins without tokens: the upstream may just have had what it takes from an instance that paced its sends before.
 ///
 /// ```
-/// use tc_policy::PacedSends;
+/// use tc_policy::SendPacer;
 /// use tc_protocol::MonoTime;
-/// let mut sends = PacedSends::new(MonoTime::from_millis(0), 1.0);
+/// let mut sends = SendPacer::new(MonoTime::from_millis(0), 1.0);
 /// assert!(!sends.may_send(MonoTime::from_millis(500)));
 /// assert!(sends.may_send(MonoTime::from_millis(1_000)));
 /// sends.record(MonoTime::from_millis(1_000));
 /// assert!(!sends.may_send(MonoTime::from_millis(1_500)));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct PacedSends {
+pub struct SendPacer {
     per_s: f64,
-    tokens: Tokens,
+    tokens: TokenBucket,
 }
 
-impl PacedSends {
+impl SendPacer {
     /// Creates a pace of `per_s` sends per second.
     #[must_use]
     pub fn new(now: MonoTime, per_s: f64) -> Self {
         Self {
             per_s,
-            tokens: Tokens::empty(now),
+            tokens: TokenBucket::empty(now),
         }
     }
 
     /// Takes up a home's limit for an upstream: a new one begins without tokens, a changed one keeps them.
-    pub(crate) fn take_up(paced: &mut Option<Self>, now: MonoTime, limit: Option<RateLimit>) {
+    pub(crate) fn update_limit(paced: &mut Option<Self>, now: MonoTime, limit: Option<RateLimit>) {
         match (paced.as_mut(), limit) {
             (_, None) => *paced = None,
             (None, Some(limit)) => *paced = Some(Self::new(now, paced_rate(limit))),
--- a/crates/tc-policy/src/upstream_limit/lone.rs
+++ b/crates/tc-policy/src/upstream_limit/uncoordinated.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{InstanceId, Member, MonoTime, UpstreamId, routing::RateLimit};
 
-use super::pace::{PacedSends, paced_rate};
+use super::pacer::{SendPacer, paced_rate};
 use crate::may_send_alone;
 
 /// Part of the limit that instances share which cannot reach the home, while the home may go on granting.
@@ -16,20 +16,20 @@
 /// limit and not from the number of instances, as each one may have saved up one send.
 ///
 /// ```
-/// use tc_policy::LoneShare;
+/// use tc_policy::UncoordinatedShare;
 /// use tc_protocol::routing::RateLimit;
-/// let share = LoneShare::without_home(RateLimit::new(4.0).unwrap());
+/// let share = UncoordinatedShare::without_home(RateLimit::new(4.0).unwrap());
 /// assert_eq!((share.senders, share.per_s_each), (6, 4.0 / 6.0));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LoneShare {
+pub struct UncoordinatedShare {
     /// Instances that may send.
     pub senders: u32,
     /// Sends per second of each.
     pub per_s_each: f64,
 }
 
-impl LoneShare {
+impl UncoordinatedShare {
     /// Shares the whole limit, for services without a home.
     #[must_use]
     pub fn without_home(limit: RateLimit) -> Self {
@@ -38,7 +38,7 @@
 
     /// Shares a part of the limit among instances that cannot reach the home.
     #[must_use]
-    pub fn beside_home(limit: RateLimit) -> Self {
+    pub fn with_home_unreachable(limit: RateLimit) -> Self {
         Self::of(paced_rate(limit) * BESIDE_HOME, limit.per_s() / 2.0)
     }
 
@@ -53,11 +53,11 @@
 
 /// One instance's sends to limited upstreams without a grant.
 #[derive(Clone, Debug, Default)]
-pub struct LoneSends {
-    by_upstream: HashMap<UpstreamId, PacedSends>,
+pub struct UncoordinatedSends {
+    by_upstream: HashMap<UpstreamId, SendPacer>,
 }
 
-impl LoneSends {
+impl UncoordinatedSends {
     /// Returns true if this instance has a share of the upstream's limit and its pace allows another send.
     pub fn may_send(
         &mut self,
@@ -65,12 +65,12 @@
         me: &InstanceId,
         members: &[Member],
         upstream: &UpstreamId,
-        share: LoneShare,
+        share: UncoordinatedShare,
     ) -> bool {
         let paced = self
             .by_upstream
             .entry(upstream.clone())
-            .or_insert_with(|| PacedSends::new(now, share.per_s_each));
+            .or_insert_with(|| SendPacer::new(now, share.per_s_each));
         paced.set_rate(now, share.per_s_each);
         paced.may_send(now) && may_send_alone(me, members, upstream, share.senders)
     }
--- a/crates/tc-policy/tests/fairness.rs
+++ b/crates/tc-policy/tests/fairness.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use support::{
-    answered, ask, at, granted, home, ms,
+    answered, at, granted, home, ms, request,
     traffic::{Traffic, simulate},
 };
-use tc_policy::{AskVerdict, HomeEvent};
+use tc_policy::{HomeEvent, PermitDecision};
 
 /// Most a small workspace's p99 may rise under another's burst.
 const MOST_RISE: f64 = 1.25;
@@ -94,21 +94,22 @@
 fn idleness_earns_no_credit() {
     let mut home = home(1);
     let mut now = at(1);
-    granted(&mut home, now, ask("late"));
+    granted(&mut home, now, request("late"));
     now = at(2);
     let first = home.permits().next().expect("it runs").permit;
     home.release(now, &answered(first, ms(1)));
     for _ in 0..200 {
         now = now.after(ms(10));
-        let permit = granted(&mut home, now, ask("busy"));
+        let permit = granted(&mut home, now, request("busy"));
         now = now.after(ms(100));
         home.release(now, &answered(permit, ms(100)));
     }
-    let running = granted(&mut home, now, ask("busy"));
+    let running = granted(&mut home, now, request("busy"));
     let mut late = Vec::new();
     for _ in 0..20 {
         for workspace in ["late", "busy"] {
-            let AskVerdict::Queued(key) = home.ask(now, long_slack(workspace)) else {
+            let PermitDecision::Queued(key) = home.request_permit(now, long_slack(workspace))
+            else {
                 panic!("one slot, one running");
             };
             if workspace == "late" {
@@ -122,9 +123,12 @@
         now = now.after(ms(100));
         home.release(now, &answered(running, ms(100)));
         for event in home.poll(now) {
-            if let HomeEvent::Granted { ask, permit, .. } = event {
+            if let HomeEvent::Granted {
+                request, permit, ..
+            } = event
+            {
                 running = permit;
-                granted_to_late += usize::from(late.contains(&ask));
+                granted_to_late += usize::from(late.contains(&request));
             }
         }
     }
@@ -134,8 +138,8 @@
     );
 }
 
-fn long_slack(workspace: &str) -> tc_policy::NewAsk {
-    let mut new = ask(workspace);
+fn long_slack(workspace: &str) -> tc_policy::PermitRequest {
+    let mut new = request(workspace);
     new.slack = ms(60_000);
     new
 }
@@ -143,15 +147,15 @@
 #[test]
 fn inside_a_workspace_priority_then_least_slack_goes_first() {
     let mut home = home(1);
-    let running = granted(&mut home, at(1), ask("a"));
+    let running = granted(&mut home, at(1), request("a"));
     // Priority, slack in milliseconds, place in the order of grants.
     let table = [(3, 500, 3), (1, 900, 1), (3, 400, 2), (0, 950, 0)];
     let mut expected = [None; 4];
     for (priority, slack, place) in table {
-        let mut new = ask("a");
+        let mut new = request("a");
         new.priority = priority;
         new.slack = ms(slack);
-        let AskVerdict::Queued(key) = home.ask(at(1), new) else {
+        let PermitDecision::Queued(key) = home.request_permit(at(1), new) else {
             panic!("one slot, one running");
         };
         expected[place] = Some(key);
@@ -161,10 +165,15 @@
         let now = at(10 + place as u64 * 10);
         home.release(now, &answered(running, ms(10)));
         let events = home.poll(now);
-        let [HomeEvent::Granted { ask, permit, .. }] = events[..] else {
+        let [
+            HomeEvent::Granted {
+                request, permit, ..
+            },
+        ] = events[..]
+        else {
             panic!("one grant, not {events:?}");
         };
-        assert_eq!(Some(ask), key, "place {place}");
+        assert_eq!(Some(request), key, "place {place}");
         running = permit;
     }
 }
@@ -173,10 +182,10 @@
 fn nobody_starves_beyond_one_call_of_each_competitor() {
     for competitors in [1_u64, 2, 5, 10] {
         let mut home = home(1);
-        let mut running = granted(&mut home, at(1), ask("busy-0"));
+        let mut running = granted(&mut home, at(1), request("busy-0"));
         for competitor in 0..competitors {
             for _ in 0..50 {
-                home.ask(at(1), long_slack(&format!("busy-{competitor}")));
+                home.request_permit(at(1), long_slack(&format!("busy-{competitor}")));
             }
         }
         // Some calls run first, so that the newcomer comes back from idle.
@@ -187,16 +196,19 @@
             now = now.after(ms(100));
             home.release(now, &answered(running, ms(100)));
             if round == 10 {
-                newcomer = match home.ask(now, long_slack("newcomer")) {
-                    AskVerdict::Queued(key) => Some(key),
+                newcomer = match home.request_permit(now, long_slack("newcomer")) {
+                    PermitDecision::Queued(key) => Some(key),
                     other => panic!("others wait: {other:?}"),
                 };
             }
             for event in home.poll(now) {
-                if let HomeEvent::Granted { ask, permit, .. } = event {
+                if let HomeEvent::Granted {
+                    request, permit, ..
+                } = event
+                {
                     running = permit;
                     turns += u64::from(newcomer.is_some());
-                    newcomer = newcomer.filter(|&key| key != ask);
+                    newcomer = newcomer.filter(|&key| key != request);
                 }
             }
         }
--- a/crates/tc-policy/tests/health.rs
+++ b/crates/tc-policy/tests/health.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use support::{answered, ask, at, busy, granted, home, ms, release};
-use tc_policy::{AskVerdict, HeldPermit, Home, HomeEvent};
+use support::{answered, at, busy, granted, home, ms, release, request};
+use tc_policy::{HeldPermit, Home, HomeEvent, PermitDecision};
 use tc_protocol::{
     Fingerprint, Incarnation, MonoTime, Outcome, PermitId, RefusalReason, wire::LoadReport,
 };
@@ -22,9 +22,9 @@
     took: Duration,
 ) -> MonoTime {
     for _ in 0..calls {
-        let permit = match home.ask(now, ask("a")) {
-            AskVerdict::Granted { permit, .. } => permit,
-            AskVerdict::Queued(key) => {
+        let permit = match home.request_permit(now, request("a")) {
+            PermitDecision::Granted { permit, .. } => permit,
+            PermitDecision::Queued(key) => {
                 assert!(home.cancel(now, key));
                 return now;
             }
@@ -89,27 +89,27 @@
 fn one_probe_at_a_time_until_it_is_well() {
     let mut home = watched(8, true);
     let ejected = run(&mut home, at(1), 20, Outcome::Failed, ms(1));
-    let mut elsewhere = ask("a");
+    let mut elsewhere = request("a");
     elsewhere.may_redirect = true;
-    let verdict = home.ask(ejected, elsewhere.clone());
+    let verdict = home.request_permit(ejected, elsewhere.clone());
     assert!(
-        matches!(verdict, AskVerdict::Redirect { .. }),
+        matches!(verdict, PermitDecision::Redirect { .. }),
         "{verdict:?}"
     );
 
     // A probe that fails makes the next one come later.
     let first = ejected.after(ms(600));
     let probe = granted(&mut home, first, elsewhere.clone());
-    let verdict = home.ask(first, elsewhere.clone());
+    let verdict = home.request_permit(first, elsewhere.clone());
     assert!(
-        matches!(verdict, AskVerdict::Redirect { .. }),
+        matches!(verdict, PermitDecision::Redirect { .. }),
         "second probe: {verdict:?}"
     );
     home.release(first, &release(probe, Outcome::Failed, ms(1)));
     let soon = first.after(ms(600));
     assert!(matches!(
-        home.ask(soon, elsewhere.clone()),
-        AskVerdict::Redirect { .. }
+        home.request_permit(soon, elsewhere.clone()),
+        PermitDecision::Redirect { .. }
     ));
 
     // Two good ones bring it back with one call at once, which then grows.
@@ -129,32 +129,37 @@
 #[test]
 fn waiting_asks_go_elsewhere_or_through_as_probes() {
     let mut home = watched(1, true);
-    let mut running = granted(&mut home, at(1), ask("a"));
+    let mut running = granted(&mut home, at(1), request("a"));
     let mut now = at(1);
     for _ in 0..3 {
         home.release(now, &release(running, Outcome::Failed, ms(1)));
         now = now.after(ms(1));
-        running = granted(&mut home, now, ask("a"));
+        running = granted(&mut home, now, request("a"));
     }
-    let mut movable = ask("a");
+    let mut movable = request("a");
     movable.may_redirect = true;
-    let AskVerdict::Queued(movable) = home.ask(now, movable) else {
+    let PermitDecision::Queued(movable) = home.request_permit(now, movable) else {
         panic!("one slot, one running");
     };
-    let AskVerdict::Queued(fixed) = home.ask(now, ask("a")) else {
+    let PermitDecision::Queued(fixed) = home.request_permit(now, request("a")) else {
         panic!("one slot, one running");
     };
     home.release(now, &release(running, Outcome::Failed, ms(1)));
     assert!(home.summary(now).ejected);
     let events = home.poll(now);
-    let [HomeEvent::Dropped { ask, reason, .. }] = events[..] else {
+    let [
+        HomeEvent::Dropped {
+            request, reason, ..
+        },
+    ] = events[..]
+    else {
         panic!("one is dropped: {events:?}");
     };
-    assert_eq!((ask, reason), (movable, RefusalReason::NoUpstream));
+    assert_eq!((request, reason), (movable, RefusalReason::NoUpstream));
     let wake = home.next_wake().expect("the probe is due some time");
     let events = home.poll(wake);
     assert!(
-        matches!(events[..], [HomeEvent::Granted { ask, .. }] if ask == fixed),
+        matches!(events[..], [HomeEvent::Granted { request, .. }] if request == fixed),
         "{events:?}"
     );
 }
@@ -167,10 +172,10 @@
         slots: 8,
         ..LoadReport::default()
     };
-    home.load_reported(at(1), &report(1));
+    home.record_load_report(at(1), &report(1));
     let now = run(&mut home, at(1), 20, Outcome::Died, ms(10));
     assert!(home.summary(now).ejected);
-    home.load_reported(now, &report(2));
+    home.record_load_report(now, &report(2));
     assert!(!home.summary(now).ejected);
 }
 
@@ -181,7 +186,7 @@
 fn foreign_load_takes_room_once_two_reports_tell_of_it() {
     let mut home = home(8);
     let permits: Vec<_> = (0..4)
-        .map(|_| granted(&mut home, at(1), ask("a")))
+        .map(|_| granted(&mut home, at(1), request("a")))
         .collect();
     let report = LoadReport {
         running: 7,
@@ -189,9 +194,9 @@
         age_ms: 300,
         ..LoadReport::default()
     };
-    home.load_reported(at(1_000), &report);
+    home.record_load_report(at(1_000), &report);
     assert_eq!(home.summary(at(1_000)).concurrency, 8);
-    home.load_reported(at(1_200), &report);
+    home.record_load_report(at(1_200), &report);
     assert_eq!(home.summary(at(1_200)).concurrency, 5);
     // Our own calls that ended since the time the report speaks of are not foreign.
     for permit in permits {
@@ -201,10 +206,10 @@
         running: 4,
         ..report.clone()
     };
-    home.load_reported(at(1_400), &ours);
+    home.record_load_report(at(1_400), &ours);
     assert_eq!(home.summary(at(1_400)).concurrency, 8);
     // Fewer slots than configured hold at once.
-    home.load_reported(
+    home.record_load_report(
         at(1_500),
         &LoadReport {
             slots: 3,
@@ -224,7 +229,7 @@
     let mut lowest = 16;
     for _ in 0..40 {
         let batch: Vec<_> = (0..home.summary(now).concurrency)
-            .map(|_| granted(&mut home, now, ask("a")))
+            .map(|_| granted(&mut home, now, request("a")))
             .collect();
         let took = if batch.len() > 4 { ms(200) } else { ms(20) };
         now = now.after(took);
@@ -236,7 +241,7 @@
     assert!(lowest <= 6, "still {lowest} at once");
     for _ in 0..40 {
         let batch: Vec<_> = (0..home.summary(now).concurrency)
-            .map(|_| granted(&mut home, now, ask("a")))
+            .map(|_| granted(&mut home, now, request("a")))
             .collect();
         now = now.after(ms(20));
         for permit in batch {
@@ -250,7 +255,7 @@
 fn ask_goes_elsewhere_when_it_would_start_clearly_later_here() {
     let mut home = home(1);
     let now = run(&mut home, at(1), 8, Outcome::Answered, MEDIAN);
-    granted(&mut home, now, ask("a"));
+    granted(&mut home, now, request("a"));
     // Slack, shortest wait elsewhere, redirected.
     let table = [
         (50, None, true),
@@ -259,15 +264,15 @@
         (1_000, Some(10), true),
     ];
     for (slack, elsewhere, redirected) in table {
-        home.set_elsewhere(now, elsewhere.map(ms));
-        let mut new = ask("a");
+        home.set_shortest_wait_elsewhere(now, elsewhere.map(ms));
+        let mut new = request("a");
         new.slack = ms(slack);
         new.may_redirect = true;
-        let verdict = home.ask(now, new);
-        if let AskVerdict::Queued(key) = verdict {
+        let verdict = home.request_permit(now, new);
+        if let PermitDecision::Queued(key) = verdict {
             assert!(home.cancel(now, key));
         }
-        let went = matches!(verdict, AskVerdict::Redirect { wait } if wait >= MEDIAN);
+        let went = matches!(verdict, PermitDecision::Redirect { wait } if wait >= MEDIAN);
         assert_eq!(
             went, redirected,
             "slack {slack}, elsewhere {elsewhere:?}: {verdict:?}"
@@ -285,7 +290,7 @@
         let mut now = at(1);
         for call in 0..100 {
             let long = call >= 20;
-            let mut new = ask(if long { "long" } else { "short" });
+            let mut new = request(if long { "long" } else { "short" });
             new.estimate.busy_ms = if long { 1_000.0 } else { 100.0 };
             let took = ms(if long { 1_000 } else { 100 });
             let permit = granted(&mut home, now, new);
@@ -307,7 +312,7 @@
     let mut now = at(1);
     for call in 0..300 {
         let bad = call % 11 != 0;
-        let permit = granted(&mut home, now, ask(if bad { "bad" } else { "good" }));
+        let permit = granted(&mut home, now, request(if bad { "bad" } else { "good" }));
         now = now.after(ms(10));
         let outcome = if bad {
             Outcome::Failed
@@ -321,8 +326,8 @@
     }
     // When the others' calls fail too, it is the upstream.
     for call in 0..8 {
-        let new = ask(if call % 2 == 0 { "bad" } else { "good" });
-        if let AskVerdict::Granted { permit, .. } = home.ask(now, new) {
+        let new = request(if call % 2 == 0 { "bad" } else { "good" });
+        if let PermitDecision::Granted { permit, .. } = home.request_permit(now, new) {
             home.release(now, &release(permit, Outcome::Failed, ms(10)));
         }
     }
@@ -349,20 +354,20 @@
     home.adopt(now, adopted);
 
     let probe_due = now.after(ms(20_000));
-    let mut patient = ask("a");
+    let mut patient = request("a");
     patient.slack = ms(5_000);
-    let AskVerdict::Queued(waiting) = home.ask(probe_due, patient) else {
+    let PermitDecision::Queued(waiting) = home.request_permit(probe_due, patient) else {
         panic!("granted above the slots");
     };
     assert_eq!(home.poll(probe_due), []);
-    let wake = home.next_wake().expect("the ask's slack ends");
+    let wake = home.next_wake().expect("the request's slack ends");
     assert!(wake > probe_due, "nothing to do before the slot is free");
 
     let freed = probe_due.after(ms(100));
     home.release(freed, &answered(PermitId(900), MEDIAN));
     let events = home.poll(freed);
     assert!(
-        matches!(events[..], [HomeEvent::Granted { ask, .. }] if ask == waiting),
+        matches!(events[..], [HomeEvent::Granted { request, .. }] if request == waiting),
         "{events:?}"
     );
 }
--- a/crates/tc-policy/tests/home_fuzz/oracle.rs
+++ b/crates/tc-policy/tests/home_fuzz/oracle.rs
@@ -5,7 +5,9 @@
     time::Duration,
 };
 
-use tc_policy::{AskKey, AskVerdict, HeldPermit, Home, HomeConfig, HomeEvent, NewAsk};
+use tc_policy::{
+    HeldPermit, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+};
 use tc_protocol::{
     Fingerprint, Incarnation, InstanceId, MonoTime, Outcome, PermitId, RefusalReason, Release,
     wire::LoadReport,
@@ -13,7 +15,7 @@
 
 use crate::{
     op::Op,
-    support::{self, ask, busy, ms},
+    support::{self, busy, ms, request},
 };
 
 const GRACE: Duration = ms(50);
@@ -40,7 +42,7 @@
     home: Home,
     pub(crate) now: MonoTime,
     held: BTreeMap<PermitId, Held>,
-    waiting: HashMap<AskKey, Asked>,
+    waiting: HashMap<QueuedRequestKey, Asked>,
     slots: u32,
     reported_slots: u32,
     queue: usize,
@@ -84,7 +86,7 @@
                 estimate,
                 may_redirect,
             } => {
-                let mut new = ask(WORKSPACES[usize::from(who) % WORKSPACES.len()]);
+                let mut new = request(WORKSPACES[usize::from(who) % WORKSPACES.len()]);
                 new.entry = ENTRIES[usize::from(who / 16) % ENTRIES.len()].into();
                 new.priority = priority % 8;
                 new.slack = ms(u64::from(slack_ms));
@@ -125,7 +127,7 @@
             } => self.adopt(permit, who, expires_in_ms),
             Op::EntryGone(who) => {
                 let entry = InstanceId::from(ENTRIES[usize::from(who) % ENTRIES.len()]);
-                self.home.entry_gone(self.now, &entry);
+                self.home.remove_entry(self.now, &entry);
                 self.held.retain(|_, held| held.entry != entry);
                 self.waiting.retain(|_, asked| asked.entry != entry);
             }
@@ -142,7 +144,7 @@
                     leaving: is_rare(leaving),
                     ..LoadReport::default()
                 };
-                self.home.load_reported(self.now, &report);
+                self.home.record_load_report(self.now, &report);
                 self.reported_slots = if report.slots == 0 {
                     u32::MAX
                 } else {
@@ -181,7 +183,7 @@
         assert!(self.home.release(self.now, &release).is_none());
     }
 
-    fn ask(&mut self, new: NewAsk, workspace: &'static str) {
+    fn ask(&mut self, new: PermitRequest, workspace: &'static str) {
         let asked = Asked {
             entry: new.entry.clone(),
             workspace,
@@ -190,13 +192,15 @@
             may_redirect: new.may_redirect,
         };
         let no_slack = new.slack.is_zero();
-        match self.home.ask(self.now, new) {
-            AskVerdict::Granted { permit, expires_in } => self.granted(permit, expires_in, asked),
-            AskVerdict::Queued(key) => {
+        match self.home.request_permit(self.now, new) {
+            PermitDecision::Granted { permit, expires_in } => {
+                self.granted(permit, expires_in, asked)
+            }
+            PermitDecision::Queued(key) => {
                 assert!(self.waiting.insert(key, asked).is_none());
             }
-            AskVerdict::Redirect { .. } => assert!(asked.may_redirect),
-            AskVerdict::Refused { reason, .. } => match reason {
+            PermitDecision::Redirect { .. } => assert!(asked.may_redirect),
+            PermitDecision::Refused { reason, .. } => match reason {
                 RefusalReason::TooLate => assert!(no_slack, "refused with slack left"),
                 RefusalReason::QueueFull => {
                     let same = self.waiting.values().filter(|w| w.workspace == workspace);
@@ -278,17 +282,19 @@
         for event in self.home.poll(self.now) {
             match event {
                 HomeEvent::Granted {
-                    ask,
+                    request,
                     permit,
                     expires_in,
                     ..
                 } => {
-                    let asked = self.waiting.remove(&ask).expect("it waited");
+                    let asked = self.waiting.remove(&request).expect("it waited");
                     assert!(asked.slack_ends > self.now, "granted too late");
                     self.granted(permit, expires_in, asked);
                 }
-                HomeEvent::Dropped { ask, reason, .. } => {
-                    let asked = self.waiting.remove(&ask).expect("it waited");
+                HomeEvent::Dropped {
+                    request, reason, ..
+                } => {
+                    let asked = self.waiting.remove(&request).expect("it waited");
                     match reason {
                         RefusalReason::TooLate => assert!(asked.slack_ends <= self.now),
                         RefusalReason::NoUpstream => {
@@ -296,7 +302,7 @@
                             let ejected = self.home.summary(self.now).ejected;
                             assert!(leaving || (ejected && asked.may_redirect));
                         }
-                        other => panic!("{other:?} for a waiting ask"),
+                        other => panic!("{other:?} for a waiting request"),
                     }
                 }
                 HomeEvent::Expired { permit, entry } => {
--- a/crates/tc-policy/tests/limits.rs
+++ b/crates/tc-policy/tests/limits.rs
@@ -281,9 +281,9 @@
         expires_in: Duration::from_secs(2),
     };
     bucket.set_share(now, share);
-    bucket.set_fleet(limits(100.0, 10), 5);
+    bucket.update_limits(limits(100.0, 10), 5);
     assert_eq!(bucket.allowed(now).requests_per_s, Some(64.0));
-    bucket.set_fleet(limits(50.0, 5), 5);
+    bucket.update_limits(limits(50.0, 5), 5);
     assert_eq!(bucket.allowed(now).requests_per_s, Some(32.0));
     assert_eq!(bucket.allowed(now).concurrency, Some(3.0));
 }
--- a/crates/tc-policy/tests/memory.rs
+++ b/crates/tc-policy/tests/memory.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use support::{answered, ask, home, ms};
-use tc_policy::{AskVerdict, Suspects};
+use support::{answered, home, ms, request};
+use tc_policy::{PermitDecision, Suspects};
 use tc_protocol::{Fingerprint, Incarnation, MonoTime};
 
 /// Symptom: memory of an instance grows with the requests it has served.
@@ -16,17 +16,17 @@
     let mut most_workspaces = 0;
     for cycle in 0..1_000_000_u64 {
         now = now.after(ms(10));
-        let mut new = ask(["a", "b", "c"][(cycle % 3) as usize]);
+        let mut new = request(["a", "b", "c"][(cycle % 3) as usize]);
         if cycle % 100 == 0 {
             new.workspace = format!("workspace-{cycle}").into();
         }
-        match home.ask(now, new) {
-            AskVerdict::Granted { permit, .. } if cycle % 5_000 != 4_999 => {
+        match home.request_permit(now, new) {
+            PermitDecision::Granted { permit, .. } if cycle % 5_000 != 4_999 => {
                 home.release(now, &answered(permit, ms(10)))
                     .expect("it is held");
             }
             // One in 5,000 permits leaks, and ends when it expires.
-            AskVerdict::Granted { .. } | AskVerdict::Queued(_) => {}
+            PermitDecision::Granted { .. } | PermitDecision::Queued(_) => {}
             other => panic!("{other:?}"),
         }
         home.poll(now);
@@ -38,7 +38,7 @@
     assert!(most_workspaces <= 64, "{most_workspaces} workspaces kept");
     home.poll(now.after(ms(60_000)));
     let end = now.after(ms(120_000));
-    home.ask(end, ask("a"));
+    home.request_permit(end, request("a"));
     assert_eq!(home.known_workspaces(), 1);
     assert_eq!(home.summary(end).in_flight, 1);
 }
--- a/crates/tc-policy/tests/support/mod.rs
+++ b/crates/tc-policy/tests/support/mod.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{AskVerdict, Home, HomeConfig, NewAsk};
+use tc_policy::{Home, HomeConfig, PermitDecision, PermitRequest};
 use tc_protocol::{
     Cost, Fingerprint, Incarnation, Member, MemberState, MonoTime, Outcome, PermitId, Release,
     RunState,
@@ -46,8 +46,8 @@
     })
 }
 
-pub fn ask(workspace: &str) -> NewAsk {
-    NewAsk {
+pub fn request(workspace: &str) -> PermitRequest {
+    PermitRequest {
         entry: "entry-1".into(),
         workspace: workspace.into(),
         weight: 1,
@@ -82,11 +82,11 @@
     release(permit, Outcome::Answered, took)
 }
 
-/// The permit of an ask that must be granted at once.
+/// The permit of an request that must be granted at once.
 #[track_caller]
-pub fn granted(home: &mut Home, now: MonoTime, ask: NewAsk) -> PermitId {
-    match home.ask(now, ask) {
-        AskVerdict::Granted { permit, .. } => permit,
+pub fn granted(home: &mut Home, now: MonoTime, request: PermitRequest) -> PermitId {
+    match home.request_permit(now, request) {
+        PermitDecision::Granted { permit, .. } => permit,
         other => panic!("not granted: {other:?}"),
     }
 }
--- a/crates/tc-policy/tests/support/traffic.rs
+++ b/crates/tc-policy/tests/support/traffic.rs
@@ -3,10 +3,10 @@
 use std::{cmp::Reverse, collections::BinaryHeap, collections::HashMap, time::Duration};
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
-use tc_policy::{AskKey, AskVerdict, Home, HomeEvent};
+use tc_policy::{Home, HomeEvent, PermitDecision, QueuedRequestKey};
 use tc_protocol::{MonoTime, PermitId};
 
-use super::{answered, ask, home, ms};
+use super::{answered, home, ms, request};
 
 /// One workspace's calls: a Poisson process, with service times spread evenly by half around the mean.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 /// What became of the calls.
 #[derive(Debug, Default)]
 pub struct Observed {
-    /// Times from ask to end, in milliseconds, by workspace.
+    /// Times from request to end, in milliseconds, by workspace.
     pub took_ms: HashMap<&'static str, Vec<f64>>,
     pub refused: HashMap<&'static str, u32>,
     /// Service time given, by workspace, in milliseconds.
@@ -60,7 +60,7 @@
     traffic: &'a [Traffic],
     random: StdRng,
     events: BinaryHeap<Reverse<(MonoTime, Event)>>,
-    waiting: HashMap<AskKey, Call>,
+    waiting: HashMap<QueuedRequestKey, Call>,
     running: HashMap<PermitId, Call>,
     seen: Observed,
 }
@@ -120,13 +120,13 @@
             arrived: now,
             service: Duration::from_secs_f64(traffic.service_ms * spread / 1_000.0),
         };
-        let mut new = ask(traffic.name);
+        let mut new = request(traffic.name);
         new.weight = traffic.weight;
         new.slack = traffic.slack;
         new.estimate.busy_ms = traffic.service_ms;
-        match self.home.ask(now, new) {
-            AskVerdict::Granted { permit, .. } => self.starts(now, permit, call),
-            AskVerdict::Queued(key) => {
+        match self.home.request_permit(now, new) {
+            PermitDecision::Granted { permit, .. } => self.starts(now, permit, call),
+            PermitDecision::Queued(key) => {
                 self.waiting.insert(key, call);
             }
             _ => *self.seen.refused.entry(traffic.name).or_default() += 1,
@@ -154,12 +154,14 @@
 
     fn told(&mut self, now: MonoTime, event: &HomeEvent) {
         match event {
-            HomeEvent::Granted { ask, permit, .. } => {
-                let call = self.waiting.remove(ask).expect("it waits");
+            HomeEvent::Granted {
+                request, permit, ..
+            } => {
+                let call = self.waiting.remove(request).expect("it waits");
                 self.starts(now, *permit, call);
             }
-            HomeEvent::Dropped { ask, .. } => {
-                let call = self.waiting.remove(ask).expect("it waits");
+            HomeEvent::Dropped { request, .. } => {
+                let call = self.waiting.remove(request).expect("it waits");
                 let name = self.traffic[call.who].name;
                 *self.seen.refused.entry(name).or_default() += 1;
             }
--- a/crates/tc-policy/tests/upstream_limit/world.rs
+++ b/crates/tc-policy/tests/upstream_limit/world.rs
@@ -6,7 +6,9 @@
     Xoroshiro128PlusPlus,
     rand_core::{RngCore, SeedableRng},
 };
-use tc_policy::{EngineCandidate, EnginePlanner, KnownLimits, LoneSends, LoneShare};
+use tc_policy::{
+    EngineCandidate, EnginePlanner, KnownLimits, UncoordinatedSends, UncoordinatedShare,
+};
 use tc_protocol::{
     Member, MonoTime, UpstreamId,
     routing::{EngineAsk, EngineNews, EngineSpec, LimitNews, Prompt, RateLimit},
@@ -56,7 +58,7 @@
     member: Member,
     planner: EnginePlanner,
     known: KnownLimits,
-    lone: LoneSends,
+    lone: UncoordinatedSends,
     /// Count of changes of the limits that the planner has.
     limit_changes: u64,
     pub(crate) home: usize,
@@ -134,7 +136,7 @@
             member: member(number),
             planner,
             known: KnownLimits::default(),
-            lone: LoneSends::default(),
+            lone: UncoordinatedSends::default(),
             limit_changes: 0,
             home,
             next_home: None,
@@ -325,7 +327,7 @@
         let lone = std::cell::RefCell::new(lone);
         let choice = node.planner.choose_alone(now, &ask, |id| {
             known.get(id).is_none_or(|limit| {
-                let share = LoneShare::beside_home(limit);
+                let share = UncoordinatedShare::with_home_unreachable(limit);
                 lone.borrow_mut().may_send(now, me, &members, id, share)
             })
         })?;
@@ -341,14 +343,14 @@
         let Some(limit) = node.known.get(&upstream) else {
             return true;
         };
-        let each = |per_s: f64| LoneShare {
+        let each = |per_s: f64| UncoordinatedShare {
             senders: members.len() as u32,
             per_s_each: per_s,
         };
         let share = match way {
             Way::WholeEach => each(limit.per_s()),
             Way::PartEach => each(limit.per_s() / members.len() as f64),
-            Way::FewSenders | Way::HomePaced => LoneShare::without_home(limit),
+            Way::FewSenders | Way::HomePaced => UncoordinatedShare::without_home(limit),
         };
         let me = &node.member.id;
         let may = node.lone.may_send(now, me, &members, &upstream, share);
