--- a/crates/tc-policy/src/limit/bucket.rs
+++ b/crates/tc-policy/src/limit/bucket.rs
@@ -1,49 +1,49 @@
-//! An entry's enforcement of its share of one workspace's limits.
+//! Enforces an entry's share of one workspace's limits.
 
 use std::time::Duration;
 
 use tc_protocol::{Limits, MonoTime};
 
-use super::{Demand, RISE_AFTER, Share, token_bucket::TokenBucket};
+use super::{Demand, EQUAL_SHARE_DELAY, Share, token_bucket::TokenBucket};
 
-/// Hint when to try again when the concurrency is used up.
+/// Retry hint for a request refused by the concurrency limit.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Time over which demand is averaged, and for which a peak or a refusal counts.
+/// Window over which demand is averaged, and for which a peak or a refusal is remembered.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
-/// Weight of the latest request in the mean cost of one.
+/// Weight of the latest request in the moving average of the cost per request.
 const MEAN_COST_WEIGHT: f64 = 0.1;
-/// What marks in [`Demand::concurrency`] that more was wanted.
-const MORE_WANTED: f64 = 0.5;
+/// Added to [`Demand::concurrency`] if the concurrency limit refused requests.
+const UNMET_DEMAND: f64 = 0.5;
 
-/// The last share received.
+/// The most recent share.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldShare {
     share: Share,
-    until: MonoTime,
-    rise_at: MonoTime,
+    expires_at: MonoTime,
+    equal_share_from: MonoTime,
 }
 
-/// Starts and ends of one workspace's requests at one entry, kept within the entry's share.
+/// Keeps one workspace's requests at one entry within the entry's share.
 ///
-/// Over any time T the starts of all entries stay within `limit * (T + 0.1 s)` and one start per entry.
+/// Over any time T, all entries together start at most `limit * (T + 0.1 s)` requests plus one per entry.
 #[derive(Debug)]
 pub struct ShareBucket {
     limits: Limits,
     live_entries: usize,
-    held: Option<Held>,
+    held: Option<HeldShare>,
     requests: TokenBucket,
     cost: TokenBucket,
     in_flight: u32,
-    /// Cost charged in advance for the requests in flight.
+    /// Cost charged in advance for requests in flight.
     charged: f64,
     mean_cost: f64,
-    tried: Meter,
+    attempts: RateMeter,
     peak: Peak,
     refused_at: Option<MonoTime>,
 }
 
 impl ShareBucket {
-    /// A bucket that has an equal part of `limits` until its first share comes.
+    /// Creates a bucket that uses an equal share of `limits` until it receives its first share.
     ///
     /// ```
     /// use tc_policy::ShareBucket;
@@ -67,68 +67,69 @@
             in_flight: 0,
             charged: 0.0,
             mean_cost: 0.0,
-            tried: Meter::default(),
+            attempts: RateMeter::default(),
             peak: Peak::default(),
             refused_at: None,
         }
     }
 
-    /// Takes in changed limits or another number of live entries.
+    /// Updates the limits and the number of live entries.
     ///
-    /// A share given under higher limits or for fewer entries shrinks in proportion at once: a newcomer starts with
-    /// its equal part, and until every share is renewed the sum would else exceed the limit by that part.
+    /// A share that was granted under higher limits or for fewer entries shrinks in proportion at once. A new entry
+    /// starts with its equal share, so the sum would otherwise exceed the limit by that much until every share is
+    /// renewed.
     pub fn update_limits(&mut self, limits: Limits, live_entries: usize) {
         let live_entries = live_entries.max(1);
-        let joined = (self.live_entries as f64 / live_entries as f64).min(1.0);
+        let entry_ratio = (self.live_entries as f64 / live_entries as f64).min(1.0);
         if let Some(held) = &mut self.held {
             let (old, share) = (self.limits, &mut held.share);
             scale(
                 &mut share.requests_per_s,
                 old.requests_per_s,
                 limits.requests_per_s,
-                joined,
+                entry_ratio,
             );
             scale(
                 &mut share.cost_per_s,
                 old.cost_per_s,
                 limits.cost_per_s,
-                joined,
+                entry_ratio,
             );
             let (old, new) = (
                 old.concurrency.map(f64::from),
                 limits.concurrency.map(f64::from),
             );
-            scale(&mut share.concurrency, old, new, joined);
+            scale(&mut share.concurrency, old, new, entry_ratio);
         }
         self.limits = limits;
         self.live_entries = live_entries;
     }
 
-    /// Takes in a share from the limit home.
+    /// Stores a share granted by the limit home. A share with a zero lifetime is ignored.
     pub fn set_share(&mut self, now: MonoTime, share: Share) {
         if share.expires_in.is_zero() {
             return;
         }
         self.refill(now);
-        self.held = Some(Held {
+        self.held = Some(HeldShare {
             share,
-            until: now.after(share.expires_in),
-            rise_at: now.after(RISE_AFTER.max(share.expires_in)),
+            expires_at: now.after(share.expires_in),
+            equal_share_from: now.after(EQUAL_SHARE_DELAY.max(share.expires_in)),
         });
     }
 
-    /// Starts a request, or tells when trying again may help.
+    /// Starts a request, or returns how long to wait before trying again.
     pub fn try_start(&mut self, now: MonoTime) -> Result<(), Duration> {
-        self.tried.note(now);
+        self.attempts.note(now);
         let allowed = self.refill(now);
-        if let Some(most) = allowed.concurrency
-            && f64::from(self.in_flight) + 1.0 > most + 1e-9
+        if let Some(max) = allowed.concurrency
+            && f64::from(self.in_flight) + 1.0 > max + 1e-9
         {
             self.refused_at = Some(now);
             return Err(CONCURRENCY_RETRY_AFTER);
         }
         let cost_wait = allowed.cost_per_s.and_then(|per_s| {
-            // A request dearer than what can be saved up still starts, and later ones pay it back.
+            // A request that costs more than the burst size still starts; later requests pay the debt back.
             let needed = self.mean_cost.min(TokenBucket::burst(per_s));
             self.cost.wait_for(needed.max(f64::MIN_POSITIVE), per_s)
         });
@@ -146,7 +147,7 @@
         Ok(())
     }
 
-    /// Ends a request that used `cost_units`.
+    /// Ends a request and charges the `cost_units` it used.
     pub fn end(&mut self, now: MonoTime, cost_units: f64) {
         self.refill(now);
         if self.in_flight == 0 {
@@ -164,68 +165,71 @@
         };
     }
 
-    /// What the limit home is to be told.
+    /// Returns the demand to report to the limit home.
     #[must_use]
     pub fn demand(&self, now: MonoTime) -> Demand {
         let refused = self
             .refused_at
             .is_some_and(|at| now.since(at) < DEMAND_WINDOW);
-        let requests_per_s = self.tried.per_s(now);
+        let requests_per_s = self.attempts.per_s(now);
         Demand {
             requests_per_s,
             concurrency: f64::from(self.peak.get(now).max(self.in_flight))
-                + if refused { MORE_WANTED } else { 0.0 },
+                + if refused { UNMET_DEMAND } else { 0.0 },
             cost_per_s: requests_per_s * self.mean_cost,
             held: self
                 .held
-                .filter(|held| now < held.until)
+                .filter(|held| now < held.expires_at)
                 .map(|held| held.share),
         }
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// What this entry may use at `now`.
+    /// Returns what this entry may use at `now`.
     #[must_use]
     pub fn allowed(&self, now: MonoTime) -> Share {
         let n = self.live_entries as f64;
         let limits = &self.limits;
         let part = |limit: Option<f64>, held: fn(&Share) -> Option<f64>| {
             let limit = limit?;
-            Some(self.part_of(now, limit, limit / n, held))
+            Some(self.allowed_part(now, limit, limit / n, held))
         };
         let concurrency = limits.concurrency.map(f64::from);
         Share {
             requests_per_s: part(limits.requests_per_s, |s| s.requests_per_s),
             concurrency: part(concurrency, |s| s.concurrency).map(|c| (c + 1e-9).floor()),
             cost_per_s: part(limits.cost_per_s, |s| s.cost_per_s),
-            expires_in: self.held.map_or(Duration::ZERO, |h| h.until.since(now)),
+            expires_in: self
+                .held
+                .map_or(Duration::ZERO, |h| h.expires_at.since(now)),
         }
     }
 
-    /// An unexpired share; after it the equal part, but no rise to it before the home has set it aside.
-    fn part_of(
+    /// Returns the unexpired share, or the equal share after it expired. A share below the equal share is not raised to
+    /// it before the home has reserved the equal share.
+    fn allowed_part(
         &self,
         now: MonoTime,
         limit: f64,
-        equal: f64,
+        equal_share: f64,
         held: fn(&Share) -> Option<f64>,
     ) -> f64 {
         let Some(last) = &self.held else {
-            return equal;
+            return equal_share;
         };
         match held(&last.share) {
-            Some(share) if now < last.until => share.min(limit),
-            Some(share) if now < last.rise_at => share.min(equal),
-            _ => equal,
+            Some(share) if now < last.expires_at => share.min(limit),
+            Some(share) if now < last.equal_share_from => share.min(equal_share),
+            _ => equal_share,
         }
     }
 
-    /// Brings the tokens up to `now` and tells what is allowed. A rate that changes in between counts from here on.
+    /// Refills the token buckets up to `now` at the current rates, and returns what is allowed.
     fn refill(&mut self, now: MonoTime) -> Share {
         let allowed = self.allowed(now);
         if let Some(per_s) = allowed.requests_per_s {
@@ -238,22 +242,23 @@
     }
 }
 
-fn scale(share: &mut Option<f64>, old: Option<f64>, new: Option<f64>, joined: f64) {
+/// Scales a share down with its limit and with the number of entries.
+fn scale(share: &mut Option<f64>, old: Option<f64>, new: Option<f64>, entry_ratio: f64) {
     let (Some(value), Some(old), Some(new)) = (share, old, new) else {
         return;
     };
-    let lowered = if old > 0.0 { (new / old).min(1.0) } else { 1.0 };
-    *value *= lowered * joined;
+    let limit_ratio = if old > 0.0 { (new / old).min(1.0) } else { 1.0 };
+    *value *= limit_ratio * entry_ratio;
 }
 
-/// A rate averaged over [`DEMAND_WINDOW`].
+/// A rate as an exponential moving average over [`DEMAND_WINDOW`].
 #[derive(Clone, Copy, Debug, Default)]
-struct Meter {
+struct RateMeter {
     count: f64,
     at: MonoTime,
 }
 
-impl Meter {
+impl RateMeter {
     fn decayed(&self, now: MonoTime) -> f64 {
         let windows = now.since(self.at).as_secs_f64() / DEMAND_WINDOW.as_secs_f64();
         self.count * (-windows).exp()
@@ -269,7 +274,7 @@
     }
 }
 
-/// The highest number of the current and the previous [`DEMAND_WINDOW`].
+/// The maximum over the current and the previous [`DEMAND_WINDOW`].
 #[derive(Clone, Copy, Debug, Default)]
 struct Peak {
     started: MonoTime,
--- a/crates/tc-policy/src/limit/mod.rs
+++ b/crates/tc-policy/src/limit/mod.rs
@@ -1,7 +1,7 @@
 //! Fleet-wide limits of one workspace, enforced as expiring shares.
 //!
-//! The workspace's limit home ([`LimitHome`]) splits the limits by the entries' demand; each entry enforces its share
-//! in a [`ShareBucket`]. An entry without an unexpired share falls back to an equal part.
+//! The workspace's limit home ([`LimitHome`]) splits the limits by the entries' demand, and each entry enforces its
+//! share in a [`ShareBucket`]. An entry without an unexpired share falls back to an equal share.
 
 mod bucket;
 mod home;
@@ -13,36 +13,38 @@
 pub use home::LimitHome;
 pub(crate) use token_bucket::TokenBucket;
 
-/// How long a share lasts after it was received.
-pub(crate) const SHARE_LASTS: Duration = Duration::from_secs(2);
-/// How long the home takes a share as in use, delays on the way included.
-pub(crate) const SHARE_HELD: Duration = Duration::from_secs(3);
-/// How long after a share came an entry may rise from it to the equal part: by then the home has taken the share as
-/// expired, set the equal part aside, and every share given before has run out too.
-pub(crate) const RISE_AFTER: Duration = Duration::from_secs(6);
+/// How long a share is valid after the entry receives it.
+pub(crate) const SHARE_LIFETIME: Duration = Duration::from_secs(2);
+/// How long the home counts a share as in use, which includes network delays.
+pub(crate) const SHARE_RESERVED_FOR: Duration = Duration::from_secs(3);
+/// Time from receiving a share until the entry may raise its rate to the equal share.
+///
+/// By then the home counts the share as expired and has reserved the equal share, and every share granted before that
+/// has expired too.
+pub(crate) const EQUAL_SHARE_DELAY: Duration = Duration::from_secs(6);
 
-/// What an entry wants of a workspace's limits.
+/// One entry's demand on a workspace's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Requests a second tried, refused ones included.
+    /// Requests attempted per second, including refused ones.
     pub requests_per_s: f64,
-    /// Most requests in progress at once lately, and a half more if others were refused for that.
+    /// Recent peak of concurrent requests, plus 0.5 if the concurrency limit refused any.
     pub concurrency: f64,
-    /// Cost units a second wanted.
+    /// Cost units requested per second.
     pub cost_per_s: f64,
-    /// The share that the entry goes by; `None` when it has none that is not expired.
+    /// The unexpired share that the entry enforces, if any.
     pub held: Option<Share>,
 }
 
-/// One entry's part of a workspace's limits; an absent one does not bind.
+/// One entry's share of a workspace's limits. `None` means that there is no such limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Share {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: Option<f64>,
-    /// Requests in progress at once.
+    /// Concurrent requests.
     pub concurrency: Option<f64>,
-    /// Cost units a second.
+    /// Cost units per second.
     pub cost_per_s: Option<f64>,
-    /// How long it lasts. Zero: no new share, but keep what there is and use no more than these numbers of it.
+    /// Time until the share expires. Zero means that no new share was granted: the entry keeps the share it holds.
     pub expires_in: Duration,
 }
--- a/crates/tc-policy/src/upstream_limit/known.rs
+++ b/crates/tc-policy/src/upstream_limit/known.rs
@@ -1,4 +1,4 @@
-//! The limits known to one instance.
+//! The upstream rate limits known to one instance.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,8 +7,8 @@
     routing::{LimitNews, RateLimit},
 };
 
-/// Time for which other instances are told that a limit is gone.
-const LIFTED_NEWS_LIFE: Duration = Duration::from_secs(30);
+/// How long to gossip that a limit was lifted.
+const LIFTED_LIMIT_GOSSIP_TIME: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Debug)]
 struct Known {
@@ -17,7 +17,7 @@
     gossiped_at: MonoTime,
 }
 
-/// A limit that is another one than before.
+/// A change of an upstream's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
     /// The limit before.
@@ -26,7 +26,7 @@
     pub after: Option<RateLimit>,
 }
 
-/// The newest announcement of each upstream that has announced a limit.
+/// The latest announcement of each upstream that has announced a limit.
 ///
 /// ```
 /// use std::time::Duration;
@@ -48,7 +48,9 @@
 }
 
 impl KnownLimits {
-    /// Records that an answer given at `at` announced `limit`, or none; returns the change that it makes.
+    /// Records that an answer at `at` announced `limit`, or no limit. Returns the change if there is one.
+    ///
+    /// Announcements older than the recorded one are ignored.
     pub fn observe(
         &mut self,
         upstream: &UpstreamId,
@@ -91,20 +93,20 @@
         self.by_upstream.get(upstream)?.limit
     }
 
-    /// Returns how many upstreams are limited.
+    /// Returns the number of upstreams with a limit.
     #[must_use]
     pub fn limited(&self) -> usize {
         let known = self.by_upstream.values();
         known.filter(|known| known.limit.is_some()).count()
     }
 
-    /// Returns a number that rises with each change.
+    /// Returns a counter that increases with each change.
     #[must_use]
     pub const fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Returns what other instances are to be told of the upstream.
+    /// Returns the upstream's announcement for other instances.
     #[must_use]
     pub fn news_of(&self, now: MonoTime, upstream: &UpstreamId) -> Option<LimitNews> {
         let known = self.by_upstream.get(upstream)?;
@@ -117,7 +119,7 @@
         self.newest(now, most, |known| now.since(known.announced_at) < max_age)
     }
 
-    /// Returns at most `most` limits in force, the newest first.
+    /// Returns at most `most` limits in force, newest first.
     #[must_use]
     pub fn in_force(&self, now: MonoTime, most: usize) -> Vec<LimitNews> {
         self.newest(now, most, |known| known.limit.is_some())
@@ -140,12 +142,12 @@
         news.map(|(id, known)| known.news(now, id)).collect()
     }
 
-    /// Returns at most `most` announcements for other instances, those first that were not gossiped for longest.
+    /// Returns at most `most` announcements to gossip, least recently gossiped first.
     pub fn to_gossip(&mut self, now: MonoTime, most: usize) -> Vec<LimitNews> {
         let mut due: Vec<(&UpstreamId, &mut Known)> = self
             .by_upstream
             .iter_mut()
-            .filter(|(_, known)| known.is_news(now))
+            .filter(|(_, known)| known.should_gossip(now))
             .collect();
         due.sort_by_key(|(_, known)| known.gossiped_at);
         due.truncate(most);
@@ -164,8 +166,8 @@
 }
 
 impl Known {
-    fn is_news(&self, now: MonoTime) -> bool {
-        self.limit.is_some() || now.since(self.announced_at) < LIFTED_NEWS_LIFE
+    fn should_gossip(&self, now: MonoTime) -> bool {
+        self.limit.is_some() || now.since(self.announced_at) < LIFTED_LIMIT_GOSSIP_TIME
     }
 
     fn news(&self, now: MonoTime, upstream: &UpstreamId) -> LimitNews {
--- a/crates/tc-policy/src/upstream_limit/mod.rs
+++ b/crates/tc-policy/src/upstream_limit/mod.rs
@@ -1,8 +1,8 @@
-//! Rate limits that upstreams announce, kept over all instances together.
+//! Rate limits that upstreams announce, enforced across all instances.
 //!
-//! The home of a service paces its grants at the limit ([`SendPacer`]). Instances that send without a grant, as they cannot reach the
-//! home or the service has none, share a part of the limit among few senders ([`UncoordinatedSends`]). [`KnownLimits`] merges what
-//! answers and other instances say.
+//! The home of a service paces its grants at the limit ([`SendPacer`]). Instances send without a grant if they cannot
+//! reach the home or the service has none; a few of them share a part of the limit ([`UncoordinatedSends`]).
+//! [`KnownLimits`] merges the limits learned from answers and from other instances.
 
 mod known;
 mod pacer;
--- a/crates/tc-policy/src/upstream_limit/pacer.rs
+++ b/crates/tc-policy/src/upstream_limit/pacer.rs
@@ -1,4 +1,4 @@
-//! Sends paced at a limit.
+//! Paces sends at a rate limit.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::limit::TokenBucket;
 
-/// Least rate of sends to an upstream whose limit is lower still: only an answer can say that the limit is gone.
-const LEAST_PER_S: f64 = 0.25;
+/// Minimum send rate, even if the limit is lower: only an answer to a send can tell that the limit was lifted.
+const MIN_PER_S: f64 = 0.25;
 
-/// Sends of one instance to one upstream, paced at a rate.
+/// Paces one instance's sends to one upstream.
 ///
-/// Begins without tokens: the upstream may just have had what it takes from an instance that paced its sends before.
+/// Starts without tokens, because the instance that paced the sends before may just have used the limit up.
 ///
 /// ```
 /// use tc_policy::SendPacer;
@@ -29,7 +29,7 @@
 }
 
 impl SendPacer {
-    /// Creates a pace of `per_s` sends per second.
+    /// Creates a pacer for `per_s` sends per second.
     #[must_use]
     pub fn new(now: MonoTime, per_s: f64) -> Self {
         Self {
@@ -38,12 +38,13 @@
         }
     }
 
-    /// Takes up a home's limit for an upstream: a new one begins without tokens, a changed one keeps them.
-    pub(crate) fn update_limit(paced: &mut Option<Self>, now: MonoTime, limit: Option<RateLimit>) {
-        match (paced.as_mut(), limit) {
-            (_, None) => *paced = None,
-            (None, Some(limit)) => *paced = Some(Self::new(now, paced_rate(limit))),
-            (Some(paced), Some(limit)) => paced.set_rate(now, paced_rate(limit)),
+    /// Applies a changed limit to an optional pacer: a new pacer starts without tokens, an existing one keeps its
+    /// tokens.
+    pub(crate) fn update_limit(pacer: &mut Option<Self>, now: MonoTime, limit: Option<RateLimit>) {
+        match (pacer.as_mut(), limit) {
+            (_, None) => *pacer = None,
+            (None, Some(limit)) => *pacer = Some(Self::new(now, paced_rate(limit))),
+            (Some(pacer), Some(limit)) => pacer.set_rate(now, paced_rate(limit)),
         }
     }
 
@@ -53,19 +54,19 @@
         self.per_s
     }
 
-    /// Changes the rate; tokens that are there stay.
+    /// Changes the rate and keeps the accumulated tokens.
     pub fn set_rate(&mut self, now: MonoTime, per_s: f64) {
         self.tokens.refill(now, self.per_s);
         self.per_s = per_s;
     }
 
-    /// Returns true if a send keeps to the pace.
+    /// Returns true if the rate allows a send now.
     #[must_use]
     pub fn may_send(&self, now: MonoTime) -> bool {
         self.wait(now).is_zero()
     }
 
-    /// Returns the time until a send keeps to the pace.
+    /// Returns the time until the rate allows a send.
     #[must_use]
     pub fn wait(&self, now: MonoTime) -> Duration {
         let mut tokens = self.tokens;
@@ -80,7 +81,7 @@
     }
 }
 
-/// Returns the sends per second that keep to the limit.
+/// Returns the send rate for a limit.
 pub(super) fn paced_rate(limit: RateLimit) -> f64 {
-    limit.per_s().max(LEAST_PER_S)
+    limit.per_s().max(MIN_PER_S)
 }
--- a/crates/tc-policy/src/upstream_limit/uncoordinated.rs
+++ b/crates/tc-policy/src/upstream_limit/uncoordinated.rs
@@ -1,4 +1,4 @@
-//! Sends without a home's grant.
+//! Limits sends that a home did not grant.
 
 use std::collections::HashMap;
 
@@ -7,13 +7,13 @@
 use super::pacer::{SendPacer, paced_rate};
 use crate::may_send_alone;
 
-/// Part of the limit that instances share which cannot reach the home, while the home may go on granting.
-const BESIDE_HOME: f64 = 0.25;
+/// Part of the limit for instances that cannot reach the home. The home may still be granting sends at the full limit.
+const PART_BESIDE_HOME: f64 = 0.25;
 
 /// How instances that send without a grant share one upstream's limit.
 ///
-/// Each of `senders` instances, named by rendezvous hashing, paces its sends at `per_s_each`. The number of senders follows from the
-/// limit and not from the number of instances, as each one may have saved up one send.
+/// Rendezvous hashing selects `senders` instances, and each paces its sends at `per_s_each`. The number of senders
+/// depends on the limit and not on the number of instances, because each sender may have one send saved up.
 ///
 /// ```
 /// use tc_policy::UncoordinatedShare;
@@ -23,27 +23,27 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UncoordinatedShare {
-    /// Instances that may send.
+    /// Number of instances that may send.
     pub senders: u32,
-    /// Sends per second of each.
+    /// Sends per second of each sender.
     pub per_s_each: f64,
 }
 
 impl UncoordinatedShare {
-    /// Shares the whole limit, for services without a home.
+    /// Splits the whole limit, for services without a home.
     #[must_use]
     pub fn without_home(limit: RateLimit) -> Self {
         Self::of(paced_rate(limit), limit.per_s())
     }
 
-    /// Shares a part of the limit among instances that cannot reach the home.
+    /// Splits a part of the limit among instances that cannot reach the home.
     #[must_use]
     pub fn with_home_unreachable(limit: RateLimit) -> Self {
-        Self::of(paced_rate(limit) * BESIDE_HOME, limit.per_s() / 2.0)
+        Self::of(paced_rate(limit) * PART_BESIDE_HOME, limit.per_s() / 2.0)
     }
 
-    fn of(per_s: f64, more_senders: f64) -> Self {
-        let senders = 2 + more_senders as u32;
+    fn of(per_s: f64, extra_senders: f64) -> Self {
+        let senders = 2 + extra_senders as u32;
         Self {
             senders,
             per_s_each: per_s / f64::from(senders),
@@ -58,7 +58,7 @@
 }
 
 impl UncoordinatedSends {
-    /// Returns true if this instance has a share of the upstream's limit and its pace allows another send.
+    /// Returns true if this instance is one of the upstream's senders and its pacer allows another send.
     pub fn may_send(
         &mut self,
         now: MonoTime,
@@ -67,18 +67,18 @@
         upstream: &UpstreamId,
         share: UncoordinatedShare,
     ) -> bool {
-        let paced = self
+        let pacer = self
             .by_upstream
             .entry(upstream.clone())
             .or_insert_with(|| SendPacer::new(now, share.per_s_each));
-        paced.set_rate(now, share.per_s_each);
-        paced.may_send(now) && may_send_alone(me, members, upstream, share.senders)
+        pacer.set_rate(now, share.per_s_each);
+        pacer.may_send(now) && may_send_alone(me, members, upstream, share.senders)
     }
 
     /// Records a send.
     pub fn record(&mut self, now: MonoTime, upstream: &UpstreamId) {
-        if let Some(paced) = self.by_upstream.get_mut(upstream) {
-            paced.record(now);
+        if let Some(pacer) = self.by_upstream.get_mut(upstream) {
+            pacer.record(now);
         }
     }
 
