--- a/crates/tc-policy/src/home/concurrency.rs
+++ b/crates/tc-policy/src/home/concurrency.rs
@@ -1,26 +1,27 @@
-//! How many calls an upstream takes at once without slowing down: a limit by the gradient of service time.
+//! Adaptive concurrency limit of an upstream, based on the gradient of its service time.
 
 use std::time::Duration;
 
 use tc_protocol::{Cost, Outcome, Release};
 
-/// Service time against the unloaded one, as a factor, up to which the limit may grow. Batching upstreams slow each
-/// call as they fill up and still do more in all; only beyond this is it saturation.
-const TOLERANCE: f64 = 3.0;
-/// Least part of the limit kept by one step down.
-const SMALLEST_STEP_DOWN: f64 = 0.5;
-/// Fewest calls measured between two steps.
-const FEWEST_SAMPLES: u32 = 4;
-/// How fast the unloaded service time follows a lasting rise, per step.
+/// Ratio of the service time to the unloaded service time up to which the limit may grow. In batching upstreams each
+/// call slows down as load grows while total throughput still rises; only beyond this ratio is the upstream
+/// saturated.
+const SATURATION_FACTOR: f64 = 3.0;
+/// Smallest factor by which one step may reduce the limit.
+const MIN_DECREASE_FACTOR: f64 = 0.5;
+/// Minimum number of measured calls between two steps.
+const MIN_SAMPLES: u32 = 4;
+/// Weight per step with which the baseline follows a rise of the service time.
 const BASELINE_RISE: f64 = 0.02;
-/// How fast it follows a fall, per step.
+/// Weight per step with which the baseline follows a fall of the service time.
 const BASELINE_FALL: f64 = 0.5;
 
-/// The limit on calls at once, at least 1.
+/// The limit on concurrent calls, at least 1.
 #[derive(Debug)]
 pub(super) struct Limiter {
     limit: f64,
-    /// Service time per unit of work when not loaded, in milliseconds.
+    /// Unloaded service time per unit of work, in milliseconds.
     baseline: Option<f64>,
     sum_ms: f64,
     sum_work: f64,
@@ -29,7 +30,7 @@
 }
 
 impl Limiter {
-    /// Starts at all slots: they are what the upstream says it takes, and only a measurement says otherwise.
+    /// Creates a limiter that starts at all slots, the capacity that the upstream declares. Only measurements lower it.
     pub(super) const fn new(slots: u32) -> Self {
         Self {
             limit: if slots == 0 { 1.0 } else { slots as f64 },
@@ -41,12 +42,12 @@
         }
     }
 
-    /// Calls at once, within the slots.
+    /// Returns the limit, capped at the slots.
     pub(super) fn limit(&self, slots: u32) -> u32 {
         (self.limit as u32).min(slots).max(1)
     }
 
-    /// Follows changed slots; more slots are used at once.
+    /// Applies a changed number of slots. If the limit was at the old number, added slots are used immediately.
     pub(super) fn set_slots(&mut self, old: u32, new: u32) {
         if new > old && self.limit >= f64::from(old) {
             self.limit = f64::from(new);
@@ -54,7 +55,7 @@
         self.limit = self.limit.min(f64::from(new)).max(1.0);
     }
 
-    /// Measures a call that ended while `in_flight` ran, itself included.
+    /// Records a finished call; `in_flight` counts the calls that were running, including this one.
     pub(super) fn record(
         &mut self,
         release: &Release,
@@ -69,7 +70,7 @@
         self.sum_work += work(&release.cost, estimate);
         self.samples += 1;
         self.peak_in_flight = self.peak_in_flight.max(in_flight);
-        if self.samples >= FEWEST_SAMPLES.max(2 * self.limit as u32) {
+        if self.samples >= MIN_SAMPLES.max(2 * self.limit as u32) {
             self.step(slots);
         }
     }
@@ -77,16 +78,16 @@
     fn step(&mut self, slots: u32) {
         let recent = self.sum_ms / self.sum_work.max(f64::MIN_POSITIVE);
         let baseline = self.baseline.unwrap_or(recent);
-        let follow = if recent < baseline {
+        let weight = if recent < baseline {
             BASELINE_FALL
         } else {
             BASELINE_RISE
         };
-        let baseline = baseline + (recent - baseline) * follow;
+        let baseline = baseline + (recent - baseline) * weight;
         self.baseline = Some(baseline);
-        let gradient = TOLERANCE * baseline / recent.max(f64::MIN_POSITIVE);
+        let gradient = SATURATION_FACTOR * baseline / recent.max(f64::MIN_POSITIVE);
         if gradient < 1.0 {
-            self.lower(gradient.max(SMALLEST_STEP_DOWN));
+            self.lower(gradient.max(MIN_DECREASE_FACTOR));
         } else if f64::from(self.peak_in_flight) * 2.0 >= self.limit {
             self.limit = (self.limit + (self.limit / 4.0).max(1.0)).min(f64::from(slots.max(1)));
         }
@@ -96,21 +97,22 @@
         self.peak_in_flight = 0;
     }
 
-    /// Keeps only `part` of the limit.
-    pub(super) fn lower(&mut self, part: f64) {
-        self.limit = (self.limit * part).max(1.0);
+    /// Multiplies the limit by `factor`.
+    pub(super) fn lower(&mut self, factor: f64) {
+        self.limit = (self.limit * factor).max(1.0);
     }
 
-    /// Starts again from one call at once.
-    pub(super) const fn restart_low(&mut self) {
+    /// Restarts from one concurrent call.
+    pub(super) const fn restart_from_one(&mut self) {
         self.limit = 1.0;
         self.baseline = None;
     }
 }
 
-/// Work of a call that its time should be in proportion to: tokens where they are counted, else what was expected.
+/// Returns the amount of work to which a call's service time should be proportional: its cost units if tokens are
+/// counted, otherwise the estimated service time.
 ///
-/// With every call counted as one, a workspace whose calls are long would look like saturation.
+/// If every call counted as one unit, long calls of one workspace would look like saturation.
 fn work(cost: &Cost, estimate: &Cost) -> f64 {
     if cost.tokens_in > 0 || cost.tokens_out > 0 {
         return cost.units().max(1.0);
--- a/crates/tc-policy/src/home/foreign.rs
+++ b/crates/tc-policy/src/home/foreign.rs
@@ -1,4 +1,4 @@
-//! Load on an upstream that is not from permits of its home, as far as its lagging reports show it.
+//! Estimates the load on an upstream from calls that its home did not grant, based on the upstream's delayed reports.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,23 +6,23 @@
 
 /// Resolution of the history of calls in flight.
 const STEP: Duration = Duration::from_millis(250);
-/// Steps kept; reports older than this tell nothing.
-const STEPS: usize = 40;
-/// How long a report counts.
-const REPORT_LASTS: Duration = Duration::from_secs(5);
+/// Steps kept. Reports about an earlier time are ignored.
+const HISTORY_STEPS: usize = 40;
+/// How long a report is used.
+const REPORT_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Compares reports with what was in flight at the time they speak of.
+/// Compares each report with the home's own calls in flight at the time that the report describes.
 #[derive(Debug, Default)]
 pub(super) struct ForeignLoad {
-    /// Start of a step and most calls in flight in it.
+    /// Start of each step and the peak number of calls in flight during it.
     history: VecDeque<(MonoTime, u32)>,
     last: Option<(MonoTime, u32)>,
-    before: u32,
+    previous: u32,
 }
 
 impl ForeignLoad {
-    /// Notes the calls in flight.
-    pub(super) fn note(&mut self, now: MonoTime, in_flight: u32) {
+    /// Records the number of calls in flight.
+    pub(super) fn record(&mut self, now: MonoTime, in_flight: u32) {
         if let Some((started, peak)) = self.history.back_mut()
             && now.since(*started) < STEP
         {
@@ -30,38 +30,39 @@
             return;
         }
         self.history.push_back((now, in_flight));
-        if self.history.len() > STEPS {
+        if self.history.len() > HISTORY_STEPS {
             self.history.pop_front();
         }
     }
 
-    /// Takes in a report.
+    /// Processes a load report.
     pub(super) fn report(&mut self, now: MonoTime, report: &LoadReport, in_flight: u32) {
-        self.note(now, in_flight);
+        self.record(now, in_flight);
         let age = Duration::from_millis(report.age_ms) + STEP;
         let Some(&(oldest, _)) = self.history.front() else {
             return;
         };
-        // Without history as old as the report there is nothing to compare it with.
-        if now.since(oldest) < age && self.history.len() == STEPS {
+        // The history does not reach back to the time of the report, so there is nothing to compare it with.
+        if now.since(oldest) < age && self.history.len() == HISTORY_STEPS {
             return;
         }
-        let mut ours = 0;
+        let mut own_peak = 0;
         for &(started, peak) in self.history.iter().rev() {
-            ours = ours.max(peak);
+            own_peak = own_peak.max(peak);
             if now.since(started) >= age {
                 break;
             }
         }
-        let there = report.running.saturating_add(report.queued);
-        self.before = self.last.map_or(0, |(_, calls)| calls);
-        self.last = Some((now, there.saturating_sub(ours)));
+        let reported = report.running.saturating_add(report.queued);
+        self.previous = self.last.map_or(0, |(_, calls)| calls);
+        self.last = Some((now, reported.saturating_sub(own_peak)));
     }
 
-    /// Foreign calls: the fewer of the last two reports, so that one odd report changes nothing.
+    /// Returns the number of foreign calls: the smaller of the last two reports, so that a single outlier has no
+    /// effect.
     pub(super) fn calls(&self, now: MonoTime) -> u32 {
         match self.last {
-            Some((at, calls)) if now.since(at) < REPORT_LASTS => calls.min(self.before),
+            Some((at, calls)) if now.since(at) < REPORT_LIFETIME => calls.min(self.previous),
             _ => 0,
         }
     }
--- a/crates/tc-policy/src/home/mod.rs
+++ b/crates/tc-policy/src/home/mod.rs
@@ -1,7 +1,7 @@
-//! The home of one upstream: who may call it, and in what order.
+//! The home of one upstream, which decides who may call the upstream and in what order.
 //!
-//! The home grants every permit of its upstream, so it knows exactly what is in flight; the upstream's own load report
-//! only corrects it.
+//! The home grants all permits for its upstream, so it knows exactly which calls are in flight. The upstream's own load
+//! reports only correct that view.
 
 mod concurrency;
 mod foreign;
@@ -19,93 +19,93 @@
 pub use queue::QueuedRequestKey;
 pub use state::Home;
 
-/// What a home starts with.
+/// Initial configuration of a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HomeConfig {
-    /// Calls the upstream runs at once at most.
+    /// Maximum number of concurrent calls to the upstream.
     pub slots: u32,
-    /// Asks one workspace may have waiting.
+    /// Maximum number of waiting requests per workspace.
     pub queue_per_workspace: u32,
-    /// How long after the end of its call's time a permit ends that was not released.
+    /// Time after the end of a call's allowed run time at which an unreleased permit expires.
     pub grace: Duration,
-    /// First permit identifier; they count up from here, so that homes after each other do not give the same.
+    /// First permit identifier. Identifiers count up from here, so that successive homes do not reuse them.
     pub first_permit: u64,
 }
 
-/// One ask for a permit, as the home needs it.
+/// A request for a permit.
 #[derive(Clone, Debug)]
 pub struct PermitRequest {
     /// The instance that will call the upstream.
     pub entry: InstanceId,
     /// The workspace that is charged.
     pub workspace: WorkspaceName,
-    /// The workspace's share relative to others.
+    /// The workspace's weight relative to others.
     pub weight: u32,
-    /// 0 (most urgent) to 7.
+    /// From 0 (most urgent) to 7.
     pub priority: u8,
-    /// Longest it may wait.
+    /// How long the request may wait.
     pub slack: Duration,
     /// How long the call may run.
     pub run_for: Duration,
-    /// Estimated cost. `busy_ms` is the service time usual for a call of its size, or 0: a long call that was expected
-    /// to be long is no sign of a slow upstream.
+    /// Estimated cost. `busy_ms` is the typical service time of a call of this size, or 0 if unknown. A call that was
+    /// expected to take long does not indicate a slow upstream.
     pub estimate: Cost,
     /// Identifies the input.
     pub fingerprint: Fingerprint,
-    /// Whether the entry can ask elsewhere when told to.
+    /// Whether the entry can try another upstream.
     pub may_redirect: bool,
 }
 
-/// The answer to an ask.
+/// The answer to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitDecision {
-    /// It may run now.
+    /// The call may start now.
     Granted {
         /// The permit.
         permit: PermitId,
-        /// How long the permit lasts.
+        /// Time until the permit expires.
         expires_in: Duration,
     },
-    /// It waits; [`Home::poll`] tells what becomes of it.
+    /// The request waits; [`Home::poll`] returns its outcome.
     Queued(QueuedRequestKey),
-    /// It cannot start here in time, or clearly later than elsewhere. Nothing of it is kept here.
+    /// The call cannot start here in time, or can start clearly earlier elsewhere. The home keeps no state for it.
     Redirect {
         /// Expected wait here.
         wait: Duration,
     },
-    /// It is refused. Nothing of it is kept here.
+    /// The request is refused. The home keeps no state for it.
     Refused {
-        /// Why.
+        /// Why it is refused.
         reason: RefusalReason,
-        /// When asking again may help.
+        /// When a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// What became of a waiting ask or a permit.
+/// A change to a waiting request or a permit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HomeEvent {
-    /// A waiting ask may run now.
+    /// A waiting request is granted; its call may start now.
     Granted {
-        /// The ask.
+        /// The request.
         request: QueuedRequestKey,
         /// The permit.
         permit: PermitId,
-        /// How long the permit lasts.
+        /// Time until the permit expires.
         expires_in: Duration,
-        /// How long the ask waited.
+        /// How long the request waited.
         waited: Duration,
     },
-    /// A waiting ask is refused.
+    /// A waiting request is refused.
     Dropped {
-        /// The ask.
+        /// The request.
         request: QueuedRequestKey,
-        /// Why.
+        /// Why it is refused.
         reason: RefusalReason,
-        /// When asking again may help.
+        /// When a retry may succeed.
         retry_after: Duration,
     },
-    /// A permit ended without a release.
+    /// A permit expired without a release.
     Expired {
         /// The permit.
         permit: PermitId,
@@ -114,7 +114,7 @@
     },
 }
 
-/// A permit that is granted and not released.
+/// A permit that was granted and not yet released.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeldPermit {
     /// The permit.
@@ -123,7 +123,7 @@
     pub entry: InstanceId,
     /// The workspace that is charged.
     pub workspace: WorkspaceName,
-    /// How long it lasts.
+    /// Time until it expires.
     pub expires_in: Duration,
     /// Estimated cost.
     pub estimate: Cost,
--- a/crates/tc-policy/src/home/permits.rs
+++ b/crates/tc-policy/src/home/permits.rs
@@ -1,4 +1,4 @@
-//! The permits of one home.
+//! The outstanding permits of one home.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -9,9 +9,9 @@
 
 use super::queue::FlowKey;
 
-/// A permit that is granted and not released.
+/// The state of a permit that was granted and not yet released.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct PermitState {
     pub(super) entry: InstanceId,
     pub(super) flow: FlowKey,
     pub(super) since: MonoTime,
@@ -20,36 +20,36 @@
     pub(super) fingerprint: Fingerprint,
 }
 
-/// Permits by identifier and by expiry.
+/// Permits indexed by identifier and by expiry.
 #[derive(Debug, Default)]
 pub(super) struct Permits {
-    held: HashMap<PermitId, Held>,
+    held: HashMap<PermitId, PermitState>,
     expiries: BTreeSet<(MonoTime, PermitId)>,
-    next: u64,
+    next_id: u64,
 }
 
 impl Permits {
     pub(super) fn new(first: u64) -> Self {
         Self {
-            next: first,
+            next_id: first,
             ..Self::default()
         }
     }
 
     /// Adds a new permit.
-    pub(super) fn grant(&mut self, held: Held) -> PermitId {
-        // An adopted permit may bear a number that is still to come.
-        while self.held.contains_key(&PermitId(self.next)) {
-            self.next += 1;
+    pub(super) fn grant(&mut self, held: PermitState) -> PermitId {
+        // An adopted permit may have an identifier that this home has not reached yet.
+        while self.held.contains_key(&PermitId(self.next_id)) {
+            self.next_id += 1;
         }
-        let permit = PermitId(self.next);
-        self.next += 1;
+        let permit = PermitId(self.next_id);
+        self.next_id += 1;
         self.insert(permit, held);
         permit
     }
 
-    /// Adds a permit granted elsewhere.
-    pub(super) fn insert(&mut self, permit: PermitId, held: Held) {
+    /// Adds a permit that another home granted.
+    pub(super) fn insert(&mut self, permit: PermitId, held: PermitState) {
         self.expiries.insert((held.expires_at, permit));
         self.held.insert(permit, held);
     }
@@ -58,13 +58,13 @@
         self.held.contains_key(&permit)
     }
 
-    pub(super) fn remove(&mut self, permit: PermitId) -> Option<Held> {
+    pub(super) fn remove(&mut self, permit: PermitId) -> Option<PermitState> {
         let held = self.held.remove(&permit)?;
         self.expiries.remove(&(held.expires_at, permit));
         Some(held)
     }
 
-    /// A permit that has expired.
+    /// Returns an expired permit, if any.
     pub(super) fn expired(&self, now: MonoTime) -> Option<PermitId> {
         self.expiries
             .first()
@@ -76,7 +76,7 @@
         self.expiries.first().map(|&(at, _)| at)
     }
 
-    /// The permits of one instance.
+    /// Returns the permits held by one instance.
     pub(super) fn of_entry(&self, entry: &InstanceId) -> Vec<PermitId> {
         self.held
             .iter()
@@ -85,7 +85,7 @@
             .collect()
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (PermitId, &Held)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (PermitId, &PermitState)> {
         self.held.iter().map(|(&permit, held)| (permit, held))
     }
 
@@ -94,8 +94,8 @@
     }
 }
 
-impl Held {
-    /// How long it lasts from `now` on.
+impl PermitState {
+    /// Returns the time from `now` until the permit expires.
     pub(super) const fn expires_in(&self, now: MonoTime) -> Duration {
         self.expires_at.since(now)
     }
--- a/crates/tc-policy/src/home/queue.rs
+++ b/crates/tc-policy/src/home/queue.rs
@@ -1,8 +1,8 @@
 //! Weighted fair queueing over workspaces by cost, in virtual time.
 //!
-//! Every workspace has a tag: the cost it was charged, divided by its weight. The waiting workspace with the lowest
-//! tag goes next. Virtual time is the highest tag any grant started at; a workspace that comes back from idle starts
-//! a few calls before it, so it gets next to no credit for the time it used nothing.
+//! Every workspace has a tag: its accumulated charge divided by its weight. The waiting workspace with the lowest tag
+//! is served next. Virtual time is the highest tag at which any grant started. A workspace that returns from idle
+//! starts only a few calls behind virtual time, so it gets almost no credit for its idle time.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -15,46 +15,46 @@
 use super::{PermitRequest, concurrency::millis};
 
 slotmap::new_key_type! {
-    /// Names a waiting ask of one home.
+    /// Key of a waiting request at one home.
     pub struct QueuedRequestKey;
 }
 
 slotmap::new_key_type! {
-    /// Names a workspace known to one home.
+    /// Key of a workspace at one home.
     pub(super) struct FlowKey;
 }
 
-/// How long a workspace counts as active after it last asked or had a call running.
-const ACTIVE_FOR: Duration = Duration::from_secs(30);
-/// Time over which a workspace's calls at once are averaged.
-const BUSY_WINDOW: Duration = Duration::from_secs(10);
-/// Weight of the latest call in the mean service time of a workspace.
+/// How long a workspace counts as active after its last request or running call.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time over which a workspace's concurrent calls are averaged.
+const CONCURRENCY_WINDOW: Duration = Duration::from_secs(10);
+/// Weight of the latest call in the moving averages of service time and charge.
 const MEAN_WEIGHT: f64 = 0.1;
-/// Calls this much longer than those of the others, as a factor, need more headroom.
-const LONG_FACTOR: f64 = 2.0;
-/// Headroom in square roots of the others' calls at once, towards calls that are as short.
-const HEADROOM_SHORT: f64 = 1.0;
-/// The same towards long calls; kept free beside the others' calls that run.
-const HEADROOM_LONG: f64 = 2.5;
-/// Calls at once below which nothing is kept free.
-const LEAST_LIMIT_WITH_HEADROOM: u32 = 3;
-/// Least charge for a call, so that calls estimated at nothing still take turns.
-const LEAST_CHARGE: f64 = 1.0;
-
-/// Calls that a workspace which used less than its share may start before it takes turns with the others.
+/// Calls longer than the other workspaces' calls by this factor need more headroom.
+const LONG_CALL_FACTOR: f64 = 2.0;
+/// Headroom against calls that are not long, as a multiple of the square root of the others' concurrent calls.
+const SHORT_CALL_HEADROOM: f64 = 1.0;
+/// The same against long calls, in addition to the slots that the others' running calls use.
+const LONG_CALL_HEADROOM: f64 = 2.5;
+/// Concurrency limit below which there is no headroom.
+const MIN_LIMIT_FOR_HEADROOM: u32 = 3;
+/// Smallest charge for a call, so that calls with an estimate of zero still take turns.
+const MIN_CHARGE: f64 = 1.0;
+
+/// Number of calls that a workspace below its share may start before it takes turns with the others.
 ///
-/// With none, each call of a small workspace that arrives close after another one waits for a turn of the workspace
-/// that bursts, though the small one uses a fraction of its share, seen as a p99 of five starts. More than a few would
-/// let a workspace that returns from idle hold all others up.
+/// With no credit, a call of a small workspace that closely follows another one waits for a turn of a bursting
+/// workspace, although the small one uses only a fraction of its share. This showed as a p99 wait of five call
+/// starts. With more than a few calls of credit, a workspace that returns from idle would delay all others.
 const CREDIT_CALLS: f64 = 2.0;
 
-/// Order inside a workspace: priority, then least slack, then first come.
-type Order = (u8, MonoTime, QueuedRequestKey);
+/// Order within a workspace: by priority, then by the end of the slack, then by arrival.
+type RequestOrder = (u8, MonoTime, QueuedRequestKey);
 
-/// A waiting ask.
+/// A waiting request.
 #[derive(Debug)]
-pub(super) struct Waiting {
-    pub(super) ask: PermitRequest,
+pub(super) struct QueuedRequest {
+    pub(super) request: PermitRequest,
     pub(super) flow: FlowKey,
     pub(super) since: MonoTime,
     pub(super) slack_ends: MonoTime,
@@ -66,50 +66,50 @@
     weight: u32,
     tag: f64,
     running: u32,
-    waiting: BTreeSet<Order>,
+    waiting: BTreeSet<RequestOrder>,
     last_active: MonoTime,
-    busy: Busy,
-    /// Mean time its calls hold a permit; zero while unknown.
+    mean_concurrency: MeanConcurrency,
+    /// Mean time for which the workspace's calls hold a permit; zero if unknown.
     mean_ms: f64,
 }
 
-/// Calls at once, averaged over [`BUSY_WINDOW`].
+/// Exponential moving average of concurrent calls over [`CONCURRENCY_WINDOW`].
 #[derive(Clone, Copy, Debug, Default)]
-struct Busy {
+struct MeanConcurrency {
     average: f64,
     at: MonoTime,
 }
 
-impl Busy {
+impl MeanConcurrency {
     fn at(&self, now: MonoTime, running: u32) -> f64 {
         let running = f64::from(running);
-        let windows = now.since(self.at).as_secs_f64() / BUSY_WINDOW.as_secs_f64();
+        let windows = now.since(self.at).as_secs_f64() / CONCURRENCY_WINDOW.as_secs_f64();
         running + (self.average - running) * (-windows).exp()
     }
 
-    fn note(&mut self, now: MonoTime, running_until_now: u32) {
+    fn record(&mut self, now: MonoTime, running_until_now: u32) {
         self.average = self.at(now, running_until_now);
         self.at = now;
     }
 }
 
-/// What runs of the workspaces that are below their share.
+/// Running calls of the workspaces below their share.
 #[derive(Clone, Copy, Debug, Default)]
-struct Others {
+struct FlowsBelowShare {
     running: u32,
-    busy: f64,
-    sum_ms: f64,
+    mean_concurrency: f64,
+    sum_of_means_ms: f64,
     measured: u32,
 }
 
-/// The waiting asks and what each workspace was charged.
+/// The waiting requests, and the charges of each workspace.
 #[derive(Debug, Default)]
 pub(super) struct FairQueue {
     flows: SlotMap<FlowKey, Flow>,
     by_name: HashMap<WorkspaceName, FlowKey>,
-    asks: SlotMap<QueuedRequestKey, Waiting>,
+    requests: SlotMap<QueuedRequestKey, QueuedRequest>,
     slack_ends: BTreeSet<(MonoTime, QueuedRequestKey)>,
-    /// Workspaces with waiting asks, by tag; tags are not negative, so their bits order as they do.
+    /// Workspaces with waiting requests, by tag. Tags are not negative, so their bit patterns sort like the numbers.
     backlogged: BTreeSet<(u64, FlowKey)>,
     backlogged_weight: u64,
     known_weight: u64,
@@ -118,13 +118,18 @@
     /// Mean charge of a call.
     charge_per_call: f64,
     running: u32,
-    swept: MonoTime,
+    last_removal: MonoTime,
 }
 
 impl FairQueue {
-    /// The workspace's flow, made if need be.
-    pub(super) fn touch(&mut self, now: MonoTime, name: &WorkspaceName, weight: u32) -> FlowKey {
-        self.sweep(now);
+    /// Returns the workspace's flow and updates its weight. Inserts the flow if it does not exist.
+    pub(super) fn get_or_insert_flow(
+        &mut self,
+        now: MonoTime,
+        name: &WorkspaceName,
+        weight: u32,
+    ) -> FlowKey {
+        self.remove_idle(now);
         let weight = weight.max(1);
         let Some(&key) = self.by_name.get(name) else {
             self.known_weight += u64::from(weight);
@@ -135,7 +140,7 @@
                 running: 0,
                 waiting: BTreeSet::new(),
                 last_active: now,
-                busy: Busy {
+                mean_concurrency: MeanConcurrency {
                     average: 0.0,
                     at: now,
                 },
@@ -154,22 +159,22 @@
         key
     }
 
-    /// Weight a workspace is known with; 1 when it is not.
+    /// Returns the weight of a workspace, or 1 if it is unknown.
     pub(super) fn weight_of(&self, name: &WorkspaceName) -> u32 {
         self.by_name.get(name).map_or(1, |&k| self.flows[k].weight)
     }
 
-    /// Queues an ask.
+    /// Queues a request.
     pub(super) fn push(
         &mut self,
         now: MonoTime,
         flow: FlowKey,
-        ask: PermitRequest,
+        request: PermitRequest,
     ) -> QueuedRequestKey {
-        let slack_ends = now.after(ask.slack);
-        let priority = ask.priority;
-        let key = self.asks.insert(Waiting {
-            ask,
+        let slack_ends = now.after(request.slack);
+        let priority = request.priority;
+        let key = self.requests.insert(QueuedRequest {
+            request,
             flow,
             since: now,
             slack_ends,
@@ -186,13 +191,13 @@
         key
     }
 
-    /// Takes an ask out.
-    pub(super) fn remove(&mut self, key: QueuedRequestKey) -> Option<Waiting> {
-        let waiting = self.asks.remove(key)?;
+    /// Removes a request.
+    pub(super) fn remove(&mut self, key: QueuedRequestKey) -> Option<QueuedRequest> {
+        let waiting = self.requests.remove(key)?;
         self.slack_ends.remove(&(waiting.slack_ends, key));
         let flow = &mut self.flows[waiting.flow];
         flow.waiting
-            .remove(&(waiting.ask.priority, waiting.slack_ends, key));
+            .remove(&(waiting.request.priority, waiting.slack_ends, key));
         if flow.waiting.is_empty() {
             self.backlogged.remove(&(flow.tag.to_bits(), waiting.flow));
             self.backlogged_weight -= u64::from(flow.weight);
@@ -200,7 +205,7 @@
         Some(waiting)
     }
 
-    /// The next ask that may start when `free` of `limit` calls are free.
+    /// Returns the next request that may start if `free` of `limit` calls are free.
     pub(super) fn next(&self, now: MonoTime, free: u32, limit: u32) -> Option<QueuedRequestKey> {
         if free == 0 {
             return None;
@@ -208,31 +213,32 @@
         self.backlogged
             .iter()
             .map(|&(_, flow)| flow)
-            .find(|&flow| self.may_take(now, flow, free, limit))
+            .find(|&flow| self.may_start(now, flow, free, limit))
             .and_then(|flow| self.flows[flow].waiting.first())
             .map(|&(_, _, key)| key)
     }
 
-    /// The ask that goes next whatever is free.
+    /// Returns the next request regardless of free calls.
     pub(super) fn first(&self) -> Option<QueuedRequestKey> {
         let &(_, flow) = self.backlogged.first()?;
         self.flows[flow].waiting.first().map(|&(_, _, key)| key)
     }
 
-    /// Whether this workspace may take one of the `free` calls.
-    pub(super) fn may_take(&self, now: MonoTime, flow: FlowKey, free: u32, limit: u32) -> bool {
-        // The headroom is never more than half; while more is free, there is no need to look at every workspace.
+    /// Returns true if this workspace may start one of the `free` calls.
+    pub(super) fn may_start(&self, now: MonoTime, flow: FlowKey, free: u32, limit: u32) -> bool {
+        // The headroom is at most half the limit, so it need not be computed while more than that is free.
         free > limit / 2 || free > self.headroom(now, flow, limit)
     }
 
-    /// Calls that must stay free when this workspace starts one.
+    /// Returns how many calls must remain free after this workspace starts one.
     ///
-    /// Order alone is fair only among those that wait. A workspace that bursts while the others pause would fill every
-    /// slot, and each call of a small workspace would first wait for one of its calls to end, seen as a p99 of several
-    /// service times when the large workspace's calls are long. So a workspace at its share of the slots leaves some
-    /// to the others that were active lately: as many as their calls at once vary by, the square root of their mean.
+    /// Queue order is fair only among waiting requests. A workspace that bursts while the others pause would fill
+    /// every slot, and each call of a small workspace would first wait for a call of the large one to end. With long
+    /// calls of the large workspace, this showed as a p99 of several service times. So a workspace that has reached
+    /// its share leaves some slots to the other recently active workspaces: about the standard deviation of their
+    /// concurrent calls, which is the square root of the mean.
     fn headroom(&self, now: MonoTime, flow: FlowKey, limit: u32) -> u32 {
-        if self.flows.len() < 2 || limit < LEAST_LIMIT_WITH_HEADROOM {
+        if self.flows.len() < 2 || limit < MIN_LIMIT_FOR_HEADROOM {
             return 0;
         }
         let flow = &self.flows[flow];
@@ -240,31 +246,33 @@
             return 0;
         }
         let others = self.below_share(now, limit);
-        let varies_by = others.busy.sqrt();
-        if flow.mean_ms * f64::from(others.measured) > LONG_FACTOR * others.sum_ms {
-            return ((varies_by * HEADROOM_LONG).ceil() as u32).clamp(1, limit / 2);
+        let deviation = others.mean_concurrency.sqrt();
+        if flow.mean_ms * f64::from(others.measured) > LONG_CALL_FACTOR * others.sum_of_means_ms {
+            return ((deviation * LONG_CALL_HEADROOM).ceil() as u32).clamp(1, limit / 2);
         }
-        let kept = ((varies_by * HEADROOM_SHORT).ceil() as u32).clamp(1, limit.div_ceil(4));
-        kept.saturating_sub(others.running)
+        let headroom =
+            ((deviation * SHORT_CALL_HEADROOM).ceil() as u32).clamp(1, limit.div_ceil(4));
+        headroom.saturating_sub(others.running)
     }
 
-    fn below_share(&self, now: MonoTime, limit: u32) -> Others {
-        let mut others = Others::default();
+    /// Sums up the workspaces that are below their share.
+    fn below_share(&self, now: MonoTime, limit: u32) -> FlowsBelowShare {
+        let mut others = FlowsBelowShare::default();
         for flow in self.flows.values() {
             if !self.is_below_share(flow, limit) {
                 continue;
             }
             others.running += flow.running;
-            others.busy += flow.busy.at(now, flow.running);
+            others.mean_concurrency += flow.mean_concurrency.at(now, flow.running);
             if flow.mean_ms > 0.0 {
-                others.sum_ms += flow.mean_ms;
+                others.sum_of_means_ms += flow.mean_ms;
                 others.measured += 1;
             }
         }
         others
     }
 
-    /// Whether the workspace may start one more call within its share of the upstream's calls at once.
+    /// Returns true if the workspace can start another call within its share of the concurrency limit.
     fn is_below_share(&self, flow: &Flow, limit: u32) -> bool {
         let share = u64::from(limit) * u64::from(flow.weight);
         u64::from(flow.running) < share.div_ceil(self.known_weight.max(1))
@@ -274,10 +282,10 @@
     pub(super) fn start(&mut self, now: MonoTime, flow: FlowKey, units: f64) {
         let state = &mut self.flows[flow];
         state.last_active = now;
-        state.busy.note(now, state.running);
+        state.mean_concurrency.record(now, state.running);
         state.running += 1;
         self.running += 1;
-        let charge = units.max(LEAST_CHARGE);
+        let charge = units.max(MIN_CHARGE);
         self.charge_per_call += (charge - self.charge_per_call) * MEAN_WEIGHT;
         let credit = CREDIT_CALLS * self.charge_per_call / f64::from(state.weight);
         let start = state.tag.max(self.virtual_time - credit);
@@ -286,11 +294,11 @@
         self.retag(flow, tag);
     }
 
-    /// Ends a call that ran for `ran`, and corrects its charge by `correction` units.
+    /// Records the end of a call that ran for `ran`, and adjusts its charge by `correction` units.
     pub(super) fn end(&mut self, now: MonoTime, flow: FlowKey, ran: Duration, correction: f64) {
         let state = &mut self.flows[flow];
         state.last_active = now;
-        state.busy.note(now, state.running);
+        state.mean_concurrency.record(now, state.running);
         let ran_ms = millis(ran);
         state.mean_ms = if state.mean_ms > 0.0 {
             state.mean_ms + (ran_ms - state.mean_ms) * MEAN_WEIGHT
@@ -301,7 +309,7 @@
         self.running = self.running.saturating_sub(1);
         let tag = (state.tag + correction / f64::from(state.weight)).max(0.0);
         self.retag(flow, tag);
-        if self.running == 0 && self.asks.is_empty() {
+        if self.running == 0 && self.requests.is_empty() {
             self.virtual_time = self.virtual_time.max(self.highest_tag);
         }
     }
@@ -316,10 +324,15 @@
         self.highest_tag = self.highest_tag.max(tag);
     }
 
-    /// Asks that go before a new one of this workspace, those of other workspaces in their turn included.
-    pub(super) fn ahead(&self, flow: FlowKey, priority: u8, slack_ends: MonoTime) -> usize {
+    /// Estimates how many requests, including those of other workspaces, are served before a new request.
+    pub(super) fn requests_ahead(
+        &self,
+        flow: FlowKey,
+        priority: u8,
+        slack_ends: MonoTime,
+    ) -> usize {
         let state = &self.flows[flow];
-        let own = state
+        let own_requests = state
             .waiting
             .iter()
             .take_while(|&&(p, ends, _)| (p, ends) <= (priority, slack_ends))
@@ -328,61 +341,61 @@
         if state.waiting.is_empty() {
             weights += u64::from(state.weight);
         }
-        let turns = (own + 1) as f64 * weights as f64 / f64::from(state.weight);
-        (turns.ceil() as usize - 1).min(self.asks.len())
+        let turns = (own_requests + 1) as f64 * weights as f64 / f64::from(state.weight);
+        (turns.ceil() as usize - 1).min(self.requests.len())
     }
 
-    /// Asks waiting of one workspace.
+    /// Returns the number of waiting requests of one workspace.
     pub(super) fn waiting_of(&self, flow: FlowKey) -> usize {
         self.flows[flow].waiting.len()
     }
 
-    /// Asks waiting.
+    /// Returns the number of waiting requests.
     pub(super) fn len(&self) -> usize {
-        self.asks.len()
+        self.requests.len()
     }
 
-    /// Workspaces known.
+    /// Returns the number of known workspaces.
     pub(super) fn flows(&self) -> usize {
         self.flows.len()
     }
 
-    /// When the next ask's slack is gone.
+    /// Returns when the slack of the next request ends.
     pub(super) fn next_slack_end(&self) -> Option<MonoTime> {
         self.slack_ends.first().map(|&(at, _)| at)
     }
 
-    /// An ask whose slack is gone.
-    pub(super) fn too_late(&self, now: MonoTime) -> Option<QueuedRequestKey> {
+    /// Returns a request whose slack has ended, if any.
+    pub(super) fn expired(&self, now: MonoTime) -> Option<QueuedRequestKey> {
         self.slack_ends
             .first()
             .filter(|&&(at, _)| at <= now)
             .map(|&(_, key)| key)
     }
 
-    /// The waiting asks for which `wanted` holds.
+    /// Returns the waiting requests that match `wanted`.
     pub(super) fn keys(&self, wanted: impl Fn(&PermitRequest) -> bool) -> Vec<QueuedRequestKey> {
-        self.asks
+        self.requests
             .iter()
-            .filter(|(_, w)| wanted(&w.ask))
+            .filter(|(_, w)| wanted(&w.request))
             .map(|(key, _)| key)
             .collect()
     }
 
-    pub(super) fn name_of(&self, flow: FlowKey) -> &WorkspaceName {
+    pub(super) fn workspace_of(&self, flow: FlowKey) -> &WorkspaceName {
         &self.flows[flow].workspace
     }
 
-    /// Forgets workspaces that are idle, so that memory stays flat over any number of them.
-    fn sweep(&mut self, now: MonoTime) {
-        if now.since(self.swept) < ACTIVE_FOR / 8 {
+    /// Removes idle workspaces, so that memory does not grow with the number of workspaces ever seen.
+    fn remove_idle(&mut self, now: MonoTime) {
+        if now.since(self.last_removal) < IDLE_TIMEOUT / 8 {
             return;
         }
-        self.swept = now;
+        self.last_removal = now;
         let (by_name, known_weight) = (&mut self.by_name, &mut self.known_weight);
         self.flows.retain(|_, flow| {
             let idle = flow.running == 0 && flow.waiting.is_empty();
-            let keep = !idle || now.since(flow.last_active) < ACTIVE_FOR;
+            let keep = !idle || now.since(flow.last_active) < IDLE_TIMEOUT;
             if !keep {
                 by_name.remove(&flow.workspace);
                 *known_weight -= u64::from(flow.weight);
--- a/crates/tc-policy/src/home/state.rs
+++ b/crates/tc-policy/src/home/state.rs
@@ -1,4 +1,4 @@
-//! The home's state machine.
+//! The state machine that grants permits.
 
 use std::time::Duration;
 
@@ -8,23 +8,24 @@
     HeldPermit, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
     concurrency::{Limiter, millis},
     foreign::ForeignLoad,
-    health::{Advice, Ended, Health},
-    permits::{Held, Permits},
-    queue::{FairQueue, FlowKey, Waiting},
+    health::{EndedCall, Health, HealthAction},
+    permits::{PermitState, Permits},
+    queue::{FairQueue, FlowKey, QueuedRequest},
 };
 
-/// Part of its concurrency that a slow or failing upstream keeps at each judgement.
-const LOWER_TO: f64 = 0.5;
-/// Shortest hint when to ask again.
-const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// Longest hint when to ask again.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Wait here against the best elsewhere, as a factor, from which an ask is redirected.
-const CLEARLY_LATER_FACTOR: f64 = 2.0;
-/// Wait here above the best elsewhere from which an ask is redirected, so that small waits send nobody around.
-const CLEARLY_LATER_BY: Duration = Duration::from_millis(10);
-
-/// Grants the permits of one upstream.
+/// Factor by which each evaluation lowers the concurrency of a slow or failing upstream.
+const LOWER_FACTOR: f64 = 0.5;
+/// Shortest retry hint.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// Longest retry hint.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// A request is redirected if the wait here exceeds the shortest wait elsewhere by this factor and
+/// [`REDIRECT_WAIT_MARGIN`].
+const REDIRECT_WAIT_FACTOR: f64 = 2.0;
+/// Added to the scaled wait elsewhere, so that short waits cause no redirects.
+const REDIRECT_WAIT_MARGIN: Duration = Duration::from_millis(10);
+
+/// Grants the permits for one upstream.
 ///
 /// ```
 /// use std::time::Duration;
@@ -36,7 +37,7 @@
 ///     grace: Duration::from_secs(1),
 ///     first_permit: 1,
 /// });
-/// let ask = PermitRequest {
+/// let request = PermitRequest {
 ///     entry: "kl-a-1".into(),
 ///     workspace: "lintas".into(),
 ///     weight: 1,
@@ -48,8 +49,8 @@
 ///     may_redirect: false,
 /// };
 /// let now = MonoTime::from_millis(1);
-/// assert!(matches!(home.request_permit(now, ask.clone()), PermitDecision::Granted { .. }));
-/// assert!(matches!(home.request_permit(now, ask), PermitDecision::Queued(_)));
+/// assert!(matches!(home.request_permit(now, request.clone()), PermitDecision::Granted { .. }));
+/// assert!(matches!(home.request_permit(now, request), PermitDecision::Queued(_)));
 /// ```
 #[derive(Debug)]
 pub struct Home {
@@ -65,13 +66,13 @@
     pub(super) health: Health,
     pub(super) foreign: ForeignLoad,
     pub(super) report_incarnation: Option<Incarnation>,
-    pub(super) elsewhere: Option<Duration>,
+    pub(super) shortest_wait_elsewhere: Option<Duration>,
     pub(super) now: MonoTime,
     pub(super) unknown_releases: u64,
 }
 
 impl Home {
-    /// A home with nothing in flight.
+    /// Creates a home with no calls in flight.
     #[must_use]
     pub fn new(cfg: HomeConfig) -> Self {
         Self {
@@ -87,44 +88,46 @@
             health: Health::default(),
             foreign: ForeignLoad::default(),
             report_incarnation: None,
-            elsewhere: None,
+            shortest_wait_elsewhere: None,
             now: MonoTime::default(),
             unknown_releases: 0,
         }
     }
 
-    /// Takes in an ask.
-    pub fn request_permit(&mut self, now: MonoTime, ask: PermitRequest) -> PermitDecision {
+    /// Handles a request for a permit.
+    pub fn request_permit(&mut self, now: MonoTime, request: PermitRequest) -> PermitDecision {
         self.advance(now);
         if self.is_leaving() {
-            return send_away(&ask, RefusalReason::NoUpstream, Duration::ZERO);
+            return redirect_or_refuse(&request, RefusalReason::NoUpstream, Duration::ZERO);
         }
-        let flow = self.queue.touch(now, &ask.workspace, ask.weight);
+        let flow = self
+            .queue
+            .get_or_insert_flow(now, &request.workspace, request.weight);
         if self.may_start(flow) {
-            let (permit, expires_in) = self.grant(flow, &ask);
+            let (permit, expires_in) = self.grant(flow, &request);
             return PermitDecision::Granted { permit, expires_in };
         }
-        let wait = self.expected_wait(flow, &ask);
-        let elsewhere = self.health.is_ejected() || self.is_clearly_later(wait);
-        if ask.may_redirect && (elsewhere || wait > ask.slack) {
+        let wait = self.expected_wait(flow, &request);
+        let starts_earlier_elsewhere = self.health.is_ejected() || self.is_clearly_later(wait);
+        if request.may_redirect && (starts_earlier_elsewhere || wait > request.slack) {
             return PermitDecision::Redirect { wait };
         }
-        if ask.slack.is_zero() {
-            return send_away(&ask, RefusalReason::TooLate, wait);
+        if request.slack.is_zero() {
+            return redirect_or_refuse(&request, RefusalReason::TooLate, wait);
         }
         if self.queue.waiting_of(flow) >= self.queue_per_workspace {
-            return send_away(&ask, RefusalReason::QueueFull, wait);
+            return redirect_or_refuse(&request, RefusalReason::QueueFull, wait);
         }
-        PermitDecision::Queued(self.queue.push(now, flow, ask))
+        PermitDecision::Queued(self.queue.push(now, flow, request))
     }
 
-    /// Takes a waiting ask back; `false` when it waits no more.
-    pub fn cancel(&mut self, now: MonoTime, ask: QueuedRequestKey) -> bool {
+    /// Cancels a waiting request. Returns `false` if it is no longer waiting.
+    pub fn cancel(&mut self, now: MonoTime, request: QueuedRequestKey) -> bool {
         self.advance(now);
-        self.queue.remove(ask).is_some()
+        self.queue.remove(request).is_some()
     }
 
-    /// Ends a permit. `None` when it is unknown, which is counted and harmless.
+    /// Ends a permit. Returns `None` if it is unknown, which is counted and otherwise ignored.
     pub fn release(&mut self, now: MonoTime, release: &Release) -> Option<HeldPermit> {
         self.advance(now);
         let in_flight = self.permits.len();
@@ -132,40 +135,41 @@
             self.unknown_releases += 1;
             return None;
         };
-        let correction = self.settled_units(release, &held.estimate) - charge(&held.estimate);
+        let correction = self.final_charge(release, &held.estimate) - charge(&held.estimate);
         self.queue
             .end(now, held.flow, now.since(held.since), correction);
         let slots = self.usable_slots();
         self.limiter
             .record(release, &held.estimate, in_flight, slots);
-        let advice = self.health.record(
+        let action = self.health.record(
             now,
-            &Ended {
+            &EndedCall {
                 release,
                 flow: held.flow,
                 expected_ms: held.estimate.busy_ms,
             },
         );
-        self.follow(advice);
-        self.note_in_flight();
-        Some(self.described(release.permit, &held))
+        self.apply_health_action(action);
+        self.record_in_flight();
+        Some(self.held_permit(release.permit, &held))
     }
 
-    /// What became of waiting asks and permits by `now`. Call it after every change and at [`Home::next_wake`].
+    /// Returns the changes to waiting requests and permits up to `now`. Must be called after every change and at
+    /// [`Home::next_wake`].
     pub fn poll(&mut self, now: MonoTime) -> Vec<HomeEvent> {
         self.advance(now);
         let mut events = Vec::new();
         self.expire_permits(&mut events);
-        while let Some(key) = self.queue.too_late(self.now) {
-            self.drop_ask(key, RefusalReason::TooLate, &mut events);
+        while let Some(key) = self.queue.expired(self.now) {
+            self.drop_request(key, RefusalReason::TooLate, &mut events);
         }
         if self.is_leaving() {
             for key in self.queue.keys(|_| true) {
-                self.drop_ask(key, RefusalReason::NoUpstream, &mut events);
+                self.drop_request(key, RefusalReason::NoUpstream, &mut events);
             }
         } else if self.health.is_ejected() {
-            for key in self.queue.keys(|ask| ask.may_redirect) {
-                self.drop_ask(key, RefusalReason::NoUpstream, &mut events);
+            for key in self.queue.keys(|request| request.may_redirect) {
+                self.drop_request(key, RefusalReason::NoUpstream, &mut events);
             }
         }
         while let Some(key) = self.next_to_start()
@@ -176,7 +180,7 @@
         events
     }
 
-    /// When [`Home::poll`] has to be called even if nothing changes before.
+    /// Returns when [`Home::poll`] must be called if nothing changes before.
     #[must_use]
     pub fn next_wake(&self) -> Option<MonoTime> {
         let probe = self
@@ -207,7 +211,7 @@
         self.slots.min(reported).max(1)
     }
 
-    /// Calls it may run at once now, from permits of this home.
+    /// Returns how many calls with this home's permits may run concurrently now.
     pub(super) fn concurrency(&self) -> u32 {
         let limit = self.limiter.limit(self.usable_slots());
         let slots_left = self
@@ -220,13 +224,13 @@
         self.concurrency().saturating_sub(self.permits.len())
     }
 
-    /// Whether an ask of this workspace may start now, before all that wait.
+    /// Returns true if a new request of this workspace may start now, ahead of all that wait.
     fn may_start(&self, flow: FlowKey) -> bool {
         if self.health.is_ejected() {
             return self.queue.len() == 0 && self.may_probe();
         }
         let (free, limit) = (self.free(), self.concurrency());
-        self.queue.may_take(self.now, flow, free, limit)
+        self.queue.may_start(self.now, flow, free, limit)
             && self.queue.next(self.now, free, limit).is_none()
     }
 
@@ -237,10 +241,11 @@
         self.queue.first().filter(|_| self.may_probe())
     }
 
-    /// Whether a probe of an ejected upstream may start now.
+    /// Returns true if a probe of an ejected upstream may start now.
     ///
-    /// Its slots may be full though it gets no ordinary calls: permits of an earlier home are adopted, and slots are
-    /// taken away. A probe above them is refused there as by a full upstream, which tells nothing of its health.
+    /// The slots may be full although the upstream gets no ordinary calls, because permits of an earlier home are
+    /// adopted and the number of slots can shrink. The upstream would refuse a probe beyond its slots, which says
+    /// nothing about its health.
     fn may_probe(&self) -> bool {
         self.health.probe_due(self.now) && self.has_slot()
     }
@@ -249,9 +254,9 @@
         self.permits.len() < self.usable_slots()
     }
 
-    fn grant_waiting(&mut self, key: QueuedRequestKey, waiting: &Waiting) -> HomeEvent {
+    fn grant_waiting(&mut self, key: QueuedRequestKey, waiting: &QueuedRequest) -> HomeEvent {
         let waited = self.now.since(waiting.since);
-        let (permit, expires_in) = self.grant(waiting.flow, &waiting.ask);
+        let (permit, expires_in) = self.grant(waiting.flow, &waiting.request);
         HomeEvent::Granted {
             request: key,
             permit,
@@ -260,21 +265,21 @@
         }
     }
 
-    fn grant(&mut self, flow: FlowKey, ask: &PermitRequest) -> (PermitId, Duration) {
-        let expires_in = ask.run_for + self.grace;
-        let permit = self.permits.grant(Held {
-            entry: ask.entry.clone(),
+    fn grant(&mut self, flow: FlowKey, request: &PermitRequest) -> (PermitId, Duration) {
+        let expires_in = request.run_for + self.grace;
+        let permit = self.permits.grant(PermitState {
+            entry: request.entry.clone(),
             flow,
             since: self.now,
             expires_at: self.now.after(expires_in),
-            estimate: ask.estimate,
-            fingerprint: ask.fingerprint,
+            estimate: request.estimate,
+            fingerprint: request.fingerprint,
         });
-        self.queue.start(self.now, flow, charge(&ask.estimate));
+        self.queue.start(self.now, flow, charge(&request.estimate));
         if self.health.is_ejected() {
             self.health.probe_started(permit);
         }
-        self.note_in_flight();
+        self.record_in_flight();
         (permit, expires_in)
     }
 
@@ -290,11 +295,11 @@
                 permit,
                 entry: held.entry,
             });
-            self.note_in_flight();
+            self.record_in_flight();
         }
     }
 
-    fn drop_ask(
+    fn drop_request(
         &mut self,
         key: QueuedRequestKey,
         reason: RefusalReason,
@@ -304,7 +309,7 @@
             return;
         };
         let wait = match reason {
-            RefusalReason::TooLate => self.expected_wait(waiting.flow, &waiting.ask),
+            RefusalReason::TooLate => self.expected_wait(waiting.flow, &waiting.request),
             _ => Duration::ZERO,
         };
         events.push(HomeEvent::Dropped {
@@ -314,55 +319,60 @@
         });
     }
 
-    /// When a new ask would start, as far as service time is known.
-    fn expected_wait(&self, flow: FlowKey, ask: &PermitRequest) -> Duration {
+    /// Estimates how long a new request would wait, based on the median service time.
+    fn expected_wait(&self, flow: FlowKey, request: &PermitRequest) -> Duration {
         if self.health.is_ejected() {
             let probe = self.health.next_probe().unwrap_or(self.now);
-            return probe.since(self.now).max(SHORTEST_RETRY_AFTER);
+            return probe.since(self.now).max(MIN_RETRY_AFTER);
         }
-        let slack_ends = self.now.after(ask.slack);
-        let ahead = self.queue.ahead(flow, ask.priority, slack_ends) as f64;
+        let slack_ends = self.now.after(request.slack);
+        let requests_ahead = self
+            .queue
+            .requests_ahead(flow, request.priority, slack_ends) as f64;
         let per_start = self.health.median_ms(self.now) / f64::from(self.concurrency());
-        Duration::from_secs_f64((ahead + 1.0) * per_start / 1_000.0)
+        Duration::from_secs_f64((requests_ahead + 1.0) * per_start / 1_000.0)
     }
 
     fn is_clearly_later(&self, wait: Duration) -> bool {
-        self.elsewhere.is_some_and(|elsewhere| {
-            wait > elsewhere.mul_f64(CLEARLY_LATER_FACTOR) + CLEARLY_LATER_BY
-        })
+        self.shortest_wait_elsewhere
+            .is_some_and(|shortest_wait_elsewhere| {
+                wait > shortest_wait_elsewhere.mul_f64(REDIRECT_WAIT_FACTOR) + REDIRECT_WAIT_MARGIN
+            })
     }
 
-    /// Units a call is finally charged. One that ended without a result often tells no cost, yet it took the
-    /// upstream's time: it is charged its estimate by the part of a usual service time that it ran.
-    fn settled_units(&self, release: &Release, estimate: &Cost) -> f64 {
-        let told = release.cost.units();
+    /// Returns the units a finished call is charged.
+    ///
+    /// A call that ended without a result often reports no cost, yet it used the upstream's time. It is charged its
+    /// estimate in proportion to the part of a typical service time that it ran.
+    fn final_charge(&self, release: &Release, estimate: &Cost) -> f64 {
+        let reported = release.cost.units();
         match release.outcome {
-            Outcome::Answered | Outcome::Rejected | Outcome::Unused => told,
+            Outcome::Answered | Outcome::Rejected | Outcome::Unused => reported,
             Outcome::Failed | Outcome::Died | Outcome::TimedOut | Outcome::Cancelled => {
-                let usual = self.health.median_ms(self.now).max(1.0);
-                let part = (millis(release.took) / usual).min(1.0);
-                told.max(charge(estimate) * part)
+                let typical_ms = self.health.median_ms(self.now).max(1.0);
+                let part = (millis(release.took) / typical_ms).min(1.0);
+                reported.max(charge(estimate) * part)
             }
         }
     }
 
-    pub(super) fn follow(&mut self, advice: Advice) {
-        match advice {
-            Advice::Keep | Advice::Eject => {}
-            Advice::Lower => self.limiter.lower(LOWER_TO),
-            Advice::Return => self.limiter.restart_low(),
+    pub(super) fn apply_health_action(&mut self, action: HealthAction) {
+        match action {
+            HealthAction::Keep | HealthAction::Eject => {}
+            HealthAction::LowerConcurrency => self.limiter.lower(LOWER_FACTOR),
+            HealthAction::Readmit => self.limiter.restart_from_one(),
         }
     }
 
-    pub(super) fn note_in_flight(&mut self) {
-        self.foreign.note(self.now, self.permits.len());
+    pub(super) fn record_in_flight(&mut self) {
+        self.foreign.record(self.now, self.permits.len());
     }
 
-    pub(super) fn described(&self, permit: PermitId, held: &Held) -> HeldPermit {
+    pub(super) fn held_permit(&self, permit: PermitId, held: &PermitState) -> HeldPermit {
         HeldPermit {
             permit,
             entry: held.entry.clone(),
-            workspace: self.queue.name_of(held.flow).clone(),
+            workspace: self.queue.workspace_of(held.flow).clone(),
             expires_in: held.expires_in(self.now),
             estimate: held.estimate,
             fingerprint: held.fingerprint,
@@ -370,18 +380,22 @@
     }
 }
 
-/// Units charged when a call starts.
+/// Returns the units charged when a call starts.
 pub(super) fn charge(estimate: &Cost) -> f64 {
     estimate.units()
 }
 
 fn retry_after(wait: Duration) -> Duration {
-    wait.clamp(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER)
+    wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
 
-/// Redirects an ask that may be, refuses any other.
-fn send_away(ask: &PermitRequest, reason: RefusalReason, wait: Duration) -> PermitDecision {
-    if ask.may_redirect && reason != RefusalReason::TooLate {
+/// Redirects a request if it may be redirected and is not too late, and refuses it otherwise.
+fn redirect_or_refuse(
+    request: &PermitRequest,
+    reason: RefusalReason,
+    wait: Duration,
+) -> PermitDecision {
+    if request.may_redirect && reason != RefusalReason::TooLate {
         return PermitDecision::Redirect { wait };
     }
     PermitDecision::Refused {
--- a/crates/tc-policy/src/home/view.rs
+++ b/crates/tc-policy/src/home/view.rs
@@ -1,41 +1,41 @@
-//! What a home tells of itself.
+//! Read access to a home's state.
 
 use tc_protocol::{MonoTime, UpstreamSummary};
 
 use super::{HeldPermit, Home};
 
 impl Home {
-    /// The permits that are granted and not released, with the time each had left when the home last changed.
+    /// Returns the granted and unreleased permits, with the time each had left when the home last changed.
     pub fn permits(&self) -> impl Iterator<Item = HeldPermit> + '_ {
         self.permits
             .iter()
-            .map(|(permit, held)| self.described(permit, held))
+            .map(|(permit, held)| self.held_permit(permit, held))
     }
 
-    /// Load as told to entries.
+    /// Returns the load summary that entries receive.
     #[must_use]
     pub fn summary(&self, now: MonoTime) -> UpstreamSummary {
         let (in_flight, concurrency) = (self.permits.len(), self.concurrency());
         let waiting = self.queue.len() as u32;
-        let before = (in_flight + waiting + 1).saturating_sub(concurrency);
+        let ahead = (in_flight + waiting + 1).saturating_sub(concurrency);
         let service_ms = self.health.median_ms(now);
         UpstreamSummary {
             in_flight,
             concurrency,
             waiting,
-            wait_ms: f64::from(before) * service_ms / f64::from(concurrency),
+            wait_ms: f64::from(ahead) * service_ms / f64::from(concurrency),
             service_ms,
             ejected: self.health.is_ejected(),
         }
     }
 
-    /// Releases of permits that were unknown.
+    /// Returns the number of releases of unknown permits.
     #[must_use]
     pub const fn unknown_releases(&self) -> u64 {
         self.unknown_releases
     }
 
-    /// Workspaces kept in memory; bounded by those active lately.
+    /// Returns the number of workspaces in memory, which is bounded by the recently active ones.
     #[must_use]
     pub fn known_workspaces(&self) -> usize {
         self.queue.flows()
