--- a/crates/tc-policy/tests/upstream_limit/fuzz.rs
+++ b/crates/tc-policy/tests/upstream_limit/fuzz.rs
@@ -5,9 +5,9 @@
 use bolero::{TypeGenerator, generator::produce};
 
 use crate::{
+    arrivals::{SETTLE_TIME, max_per_window, peak_in_window},
     faults::Fault,
-    judge::{CONTACT, allowed, most_in_window},
-    world::{Way, World},
+    simulation::{Simulation, Strategy},
 };
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
@@ -43,23 +43,36 @@
     }
 }
 
-/// Guards against orders of faults that nobody thought of.
+/// Guards against exceeding the limit under sequences of faults that the scenarios do not cover.
 #[test]
 fn limit_holds_through_any_faults() {
     tc_fuzz::check(400, produce::<Input>(), |input| {
         let instances = 2 + usize::from(input.instances % 7);
         let limit = f64::from(1 + input.limit % 40) / 4.0;
-        let mut world = World::new(Way::HomePaced, instances, limit * 4.0 + 20.0, input.seed);
-        world.announce(Some(limit));
-        world.run(Duration::from_secs(4));
+        let mut simulation = Simulation::new(
+            Strategy::HomePaced,
+            instances,
+            limit * 4.0 + 20.0,
+            input.seed,
+        );
+        simulation.announce(Some(limit));
+        simulation.run(Duration::from_secs(4));
         for op in input.ops {
             if let Some(fault) = op.fault() {
-                world.strike(fault);
+                simulation.inject(fault);
             }
-            world.run(Duration::from_secs(4));
+            simulation.run(Duration::from_secs(4));
         }
-        let first = world.first_announced.expect("it was announced");
-        let most = most_in_window(&world.arrivals, first.after(CONTACT), world.now);
-        assert!(most <= allowed(limit), "{most} of {}", allowed(limit));
+        let first = simulation.first_announced.expect("it was announced");
+        let peak = peak_in_window(
+            &simulation.arrivals,
+            first.after(SETTLE_TIME),
+            simulation.now,
+        );
+        assert!(
+            peak <= max_per_window(limit),
+            "{peak} of {}",
+            max_per_window(limit)
+        );
     });
 }
--- a/crates/tc-policy/tests/upstream_limit/main.rs
+++ b/crates/tc-policy/tests/upstream_limit/main.rs
@@ -1,13 +1,14 @@
-//! A fleet in simulated time before an upstream that announces a rate limit.
+//! Simulates a fleet, in simulated time, that calls an upstream with an announced rate limit.
 //!
-//! What is simulated: instances whose views of the home differ for a while, homes that are killed, freeze or move, reports and gossip
-//! that take time, answers that overtake each other. What is real: the planner, the known limits, the shares without a home.
+//! Simulated: instances whose views of the home differ for a while, homes that are killed, freeze or move, delayed
+//! reports and gossip, and answers that arrive out of order. Real: the planner, the known limits, and the
+//! uncoordinated sends.
 
+mod arrivals;
 mod faults;
 mod fuzz;
-mod judge;
 mod scenarios;
+mod simulation;
+mod strategies;
 #[path = "../support/mod.rs"]
 mod support;
-mod ways;
-mod world;
--- a/crates/tc-policy/tests/upstream_limit/world.rs
+++ b/crates/tc-policy/tests/upstream_limit/simulation.rs
@@ -1,4 +1,4 @@
-//! Instances, their views, and one limited upstream.
+//! Simulated instances, their views of the home, and one upstream with a rate limit.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
     routing::{EngineAsk, EngineNews, EngineSpec, LimitNews, Prompt, RateLimit},
 };
 
-use crate::judge::{Arrival, PASSED_ON};
+use crate::arrivals::{Arrival, COUNT_DELAY};
 use crate::support::member;
 
 const SPEC: EngineSpec = EngineSpec {
@@ -25,58 +25,58 @@
 const GOSSIP_EVERY: Duration = Duration::from_millis(200);
 const LIMITS_PER_DATAGRAM: usize = 4;
 const LIMITS_PER_ASK: usize = 32;
-const REPORT_TIME: Duration = Duration::from_millis(10);
+const REPORT_DELAY: Duration = Duration::from_millis(10);
 
-/// How requests are let through to the limited upstream.
+/// How the fleet limits requests to the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
-    /// The home paces its grants; few senders share a part while it does not answer.
+pub(crate) enum Strategy {
+    /// The home paces its grants. While it does not answer, a few senders share a part of the limit.
     HomePaced,
-    /// Few senders share the limit; the home grants nothing.
+    /// A few senders share the limit without a home.
     FewSenders,
-    /// Each instance has its part of the limit.
-    PartEach,
-    /// Each instance has the whole limit.
-    WholeEach,
+    /// Each instance uses an equal part of the limit.
+    EqualPart,
+    /// Each instance uses the whole limit.
+    WholeLimit,
 }
 
-/// A run that a home granted, by its number there.
+/// A run granted by a home, with its number at that home.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     home: usize,
     run: u64,
 }
 
-/// How a request got leave to be sent.
+/// Why a request may be sent.
 #[derive(Clone, Copy, Debug)]
-enum Leave {
+enum Permission {
     Granted(Grant),
-    Alone,
+    Ungranted,
 }
 
-pub(crate) struct Node {
+pub(crate) struct Instance {
     member: Member,
     planner: EnginePlanner,
     known: KnownLimits,
-    lone: UncoordinatedSends,
-    /// Count of changes of the limits that the planner has.
+    uncoordinated: UncoordinatedSends,
+    /// Change counter of the limits that the planner uses.
     limit_changes: u64,
     pub(crate) home: usize,
     pub(crate) next_home: Option<(MonoTime, usize)>,
     pub(crate) silent_until: MonoTime,
-    pub(crate) excused_until: MonoTime,
-    told_at: Option<MonoTime>,
+    pub(crate) uncounted_until: MonoTime,
+    informed_at: Option<MonoTime>,
 }
 
 enum Event {
     Arrive {
         sender: usize,
-        leave: Leave,
+        permission: Permission,
     },
     Answer {
         sender: usize,
         limit: Option<RateLimit>,
-        leave: Leave,
+        permission: Permission,
     },
     Report {
         home: usize,
@@ -84,47 +84,52 @@
     },
 }
 
-/// See the module.
-pub(crate) struct World {
+/// The simulated fleet and upstream.
+pub(crate) struct Simulation {
     pub(crate) now: MonoTime,
     pub(crate) arrivals: Vec<Arrival>,
     pub(crate) refused: usize,
     pub(crate) first_announced: Option<MonoTime>,
-    way: Way,
+    strategy: Strategy,
     limit: Option<RateLimit>,
     requests_per_s: f64,
     pub(crate) burst: u32,
     due: f64,
-    pub(crate) nodes: Vec<Node>,
+    pub(crate) instances: Vec<Instance>,
     events: VecDeque<(MonoTime, Event)>,
     pub(crate) rng: Xoroshiro128PlusPlus,
     upstream: UpstreamId,
 }
 
-impl World {
-    pub(crate) fn new(way: Way, instances: usize, requests_per_s: f64, seed: u64) -> Self {
-        let mut world = Self {
+impl Simulation {
+    pub(crate) fn new(
+        strategy: Strategy,
+        instances: usize,
+        requests_per_s: f64,
+        seed: u64,
+    ) -> Self {
+        let mut simulation = Self {
             now: MonoTime::from_millis(10_000),
             arrivals: Vec::new(),
             refused: 0,
             first_announced: None,
-            way,
+            strategy,
             limit: None,
             requests_per_s,
             burst: 1,
             due: 0.0,
-            nodes: Vec::new(),
+            instances: Vec::new(),
             events: VecDeque::new(),
             rng: Xoroshiro128PlusPlus::seed_from_u64(seed),
             upstream: "limited".into(),
         };
-        world.nodes = (0..instances)
-            .map(|number| world.start(number, 0))
+        simulation.instances = (0..instances)
+            .map(|number| simulation.start(number, 0))
             .collect();
-        world
+        simulation
     }
 
-    pub(crate) fn start(&self, number: usize, home: usize) -> Node {
+    pub(crate) fn start(&self, number: usize, home: usize) -> Instance {
         let mut planner = EnginePlanner::new(SPEC);
         let engine = EngineCandidate {
             id: self.upstream.clone(),
@@ -132,17 +137,17 @@
             cold_until: MonoTime::default(),
         };
         planner.set_engines(SPEC, &[engine]);
-        Node {
+        Instance {
             member: member(number),
             planner,
             known: KnownLimits::default(),
-            lone: UncoordinatedSends::default(),
+            uncoordinated: UncoordinatedSends::default(),
             limit_changes: 0,
             home,
             next_home: None,
             silent_until: MonoTime::default(),
-            excused_until: MonoTime::default(),
-            told_at: None,
+            uncounted_until: MonoTime::default(),
+            informed_at: None,
         }
     }
 
@@ -154,37 +159,37 @@
         let end = self.now.after(time);
         while self.now < end {
             self.now = self.now.after(STEP);
-            self.take_up_views();
+            self.update_views();
             self.deliver();
             self.gossip();
             self.send_requests();
         }
     }
 
-    fn take_up_views(&mut self) {
+    fn update_views(&mut self) {
         let now = self.now;
-        for node in &mut self.nodes {
-            if let Some((at, home)) = node.next_home
+        for instance in &mut self.instances {
+            if let Some((at, home)) = instance.next_home
                 && at <= now
-                && node.silent_until <= now
+                && instance.silent_until <= now
             {
-                node.home = home;
-                node.next_home = None;
+                instance.home = home;
+                instance.next_home = None;
             }
         }
     }
 
     fn is_silent(&self, number: usize) -> bool {
-        self.nodes[number].silent_until > self.now
+        self.instances[number].silent_until > self.now
     }
 
     fn at(&mut self, after: Duration, event: Event) {
         let at = self.now.after(after);
-        let place = self.events.partition_point(|(due, _)| *due <= at);
-        self.events.insert(place, (at, event));
+        let index = self.events.partition_point(|(due, _)| *due <= at);
+        self.events.insert(index, (at, event));
     }
 
-    fn some_ms(&mut self, least: u64, most: u64) -> Duration {
+    fn random_ms(&mut self, least: u64, most: u64) -> Duration {
         let spread = u64::from(self.rng.next_u32()) % (most - least);
         Duration::from_millis(least + spread)
     }
@@ -195,12 +200,12 @@
                 return;
             };
             match event {
-                Event::Arrive { sender, leave } => self.arrive(sender, leave),
+                Event::Arrive { sender, permission } => self.arrive(sender, permission),
                 Event::Answer {
                     sender,
                     limit,
-                    leave,
-                } => self.answer(sender, limit, leave),
+                    permission,
+                } => self.answer(sender, limit, permission),
                 Event::Report { home, news } => {
                     if !self.is_silent(home) {
                         self.receive(home, &news);
@@ -210,70 +215,74 @@
         }
     }
 
-    fn arrive(&mut self, sender: usize, leave: Leave) {
-        let node = &self.nodes[sender];
-        let knew = node
-            .told_at
-            .is_some_and(|at| at.after(PASSED_ON) <= self.now);
+    fn arrive(&mut self, sender: usize, permission: Permission) {
+        let instance = &self.instances[sender];
+        let is_informed = instance
+            .informed_at
+            .is_some_and(|at| at.after(COUNT_DELAY) <= self.now);
         self.arrivals.push(Arrival {
             at: self.now,
-            counts: knew && node.excused_until <= self.now,
+            is_counted: is_informed && instance.uncounted_until <= self.now,
         });
         let limit = self.limit;
         if limit.is_some() {
             self.first_announced.get_or_insert(self.now);
         }
-        // Answers overtake each other.
-        let time = self.some_ms(20, 400);
+        // Answers can arrive out of order.
+        let time = self.random_ms(20, 400);
         self.at(
             time,
             Event::Answer {
                 sender,
                 limit,
-                leave,
+                permission,
             },
         );
     }
 
-    fn answer(&mut self, sender: usize, limit: Option<RateLimit>, leave: Leave) {
+    fn answer(&mut self, sender: usize, limit: Option<RateLimit>, permission: Permission) {
         let now = self.now;
-        if let Leave::Granted(Grant { home, run }) = leave {
-            self.nodes[home].planner.note(now, run, EngineNews::Ended);
+        if let Permission::Granted(Grant { home, run }) = permission {
+            self.instances[home]
+                .planner
+                .note(now, run, EngineNews::Ended);
         }
         if self.is_silent(sender) {
             return;
         }
         let upstream = self.upstream.clone();
-        let node = &mut self.nodes[sender];
-        node.known.observe(&upstream, limit, now);
+        let instance = &mut self.instances[sender];
+        instance.known.observe(&upstream, limit, now);
         if limit.is_some() {
-            node.told_at.get_or_insert(now);
+            instance.informed_at.get_or_insert(now);
         }
-        let news = node.known.recent(now, Duration::from_secs(1), 16);
-        let home = node.home;
-        self.at(REPORT_TIME, Event::Report { home, news });
+        let news = instance.known.recent(now, Duration::from_secs(1), 16);
+        let home = instance.home;
+        self.at(REPORT_DELAY, Event::Report { home, news });
     }
 
     fn receive(&mut self, number: usize, news: &[LimitNews]) {
         let now = self.now;
         for news in news {
             let at = now.before(news.age);
-            self.nodes[number]
+            self.instances[number]
                 .known
                 .observe(&news.upstream, news.limit, at);
         }
     }
 
     fn gossip(&mut self) {
-        let turn = self.now.since(MonoTime::default()).as_millis() / STEP.as_millis();
+        let step = self.now.since(MonoTime::default()).as_millis() / STEP.as_millis();
         let every = GOSSIP_EVERY.as_millis() / STEP.as_millis();
-        for number in 0..self.nodes.len() {
-            if turn % every != number as u128 % every || self.is_silent(number) {
+        for number in 0..self.instances.len() {
+            if step % every != number as u128 % every || self.is_silent(number) {
                 continue;
             }
-            let to = self.rng.next_u32() as usize % self.nodes.len();
+            let to = self.rng.next_u32() as usize % self.instances.len();
             let now = self.now;
-            let news = self.nodes[number].known.to_gossip(now, LIMITS_PER_DATAGRAM);
+            let news = self.instances[number]
+                .known
+                .to_gossip(now, LIMITS_PER_DATAGRAM);
             if !self.is_silent(to) {
                 self.receive(to, &news);
             }
@@ -284,7 +293,7 @@
         self.due += self.requests_per_s * f64::from(self.burst) * STEP.as_secs_f64();
         while self.due >= 1.0 {
             self.due -= 1.0;
-            let sender = self.rng.next_u32() as usize % self.nodes.len();
+            let sender = self.rng.next_u32() as usize % self.instances.len();
             if !self.is_silent(sender) {
                 self.request(sender);
             }
@@ -292,76 +301,89 @@
     }
 
     fn request(&mut self, sender: usize) {
-        let sent = match self.way {
-            Way::HomePaced => self.by_home(sender),
-            _ => self.by_itself(sender).then_some(Leave::Alone),
+        let sent = match self.strategy {
+            Strategy::HomePaced => self.send_through_home(sender),
+            _ => self
+                .send_uncoordinated(sender)
+                .then_some(Permission::Ungranted),
         };
         match sent {
-            Some(leave) => {
-                let way = self.some_ms(1, 40);
-                self.at(way, Event::Arrive { sender, leave });
+            Some(permission) => {
+                let delay = self.random_ms(1, 40);
+                self.at(delay, Event::Arrive { sender, permission });
             }
             None => self.refused += 1,
         }
     }
 
-    fn by_home(&mut self, sender: usize) -> Option<Leave> {
+    fn send_through_home(&mut self, sender: usize) -> Option<Permission> {
         let (now, ask) = (self.now, ask());
-        let home = self.nodes[sender].home;
+        let home = self.instances[sender].home;
         if !self.is_silent(home) {
-            let limits = self.nodes[sender].known.in_force(now, LIMITS_PER_ASK);
+            let limits = self.instances[sender].known.in_force(now, LIMITS_PER_ASK);
             self.receive(home, &limits);
-            let node = &mut self.nodes[home];
-            node.take_limits(now);
-            let choice = node.planner.choose(now, &ask)?;
+            let instance = &mut self.instances[home];
+            instance.update_planner_limits(now);
+            let choice = instance.planner.choose(now, &ask)?;
             let run = choice.run;
-            if let Some(news) = node.known.news_of(now, &choice.upstream) {
+            if let Some(news) = instance.known.news_of(now, &choice.upstream) {
                 self.receive(sender, &[news]);
             }
-            return Some(Leave::Granted(Grant { home, run }));
+            return Some(Permission::Granted(Grant { home, run }));
         }
         let members = self.members();
-        let node = &mut self.nodes[sender];
-        node.take_limits(now);
-        let (known, lone, me) = (&node.known, &mut node.lone, &node.member.id);
-        let lone = std::cell::RefCell::new(lone);
-        let choice = node.planner.choose_alone(now, &ask, |id| {
+        let instance = &mut self.instances[sender];
+        instance.update_planner_limits(now);
+        let (known, uncoordinated, me) = (
+            &instance.known,
+            &mut instance.uncoordinated,
+            &instance.member.id,
+        );
+        let uncoordinated = std::cell::RefCell::new(uncoordinated);
+        let choice = instance.planner.choose_alone(now, &ask, |id| {
             known.get(id).is_none_or(|limit| {
                 let share = UncoordinatedShare::with_home_unreachable(limit);
-                lone.borrow_mut().may_send(now, me, &members, id, share)
+                uncoordinated
+                    .borrow_mut()
+                    .may_send(now, me, &members, id, share)
             })
         })?;
-        node.planner.note(now, choice.run, EngineNews::Ended);
-        node.lone.record(now, &choice.upstream);
-        Some(Leave::Alone)
+        instance.planner.note(now, choice.run, EngineNews::Ended);
+        instance.uncoordinated.record(now, &choice.upstream);
+        Some(Permission::Ungranted)
     }
 
-    fn by_itself(&mut self, sender: usize) -> bool {
+    fn send_uncoordinated(&mut self, sender: usize) -> bool {
         let (now, members) = (self.now, self.members());
-        let (way, upstream) = (self.way, self.upstream.clone());
-        let node = &mut self.nodes[sender];
-        let Some(limit) = node.known.get(&upstream) else {
+        let (strategy, upstream) = (self.strategy, self.upstream.clone());
+        let instance = &mut self.instances[sender];
+        let Some(limit) = instance.known.get(&upstream) else {
             return true;
         };
         let each = |per_s: f64| UncoordinatedShare {
             senders: members.len() as u32,
             per_s_each: per_s,
         };
-        let share = match way {
-            Way::WholeEach => each(limit.per_s()),
-            Way::PartEach => each(limit.per_s() / members.len() as f64),
-            Way::FewSenders | Way::HomePaced => UncoordinatedShare::without_home(limit),
+        let share = match strategy {
+            Strategy::WholeLimit => each(limit.per_s()),
+            Strategy::EqualPart => each(limit.per_s() / members.len() as f64),
+            Strategy::FewSenders | Strategy::HomePaced => UncoordinatedShare::without_home(limit),
         };
-        let me = &node.member.id;
-        let may = node.lone.may_send(now, me, &members, &upstream, share);
+        let me = &instance.member.id;
+        let may = instance
+            .uncoordinated
+            .may_send(now, me, &members, &upstream, share);
         if may {
-            node.lone.record(now, &upstream);
+            instance.uncoordinated.record(now, &upstream);
         }
         may
     }
 
     fn members(&self) -> Vec<Member> {
-        self.nodes.iter().map(|node| node.member.clone()).collect()
+        self.instances
+            .iter()
+            .map(|instance| instance.member.clone())
+            .collect()
     }
 }
 
@@ -379,8 +401,8 @@
     }
 }
 
-impl Node {
-    fn take_limits(&mut self, now: MonoTime) {
+impl Instance {
+    fn update_planner_limits(&mut self, now: MonoTime) {
         if self.known.changes() != self.limit_changes {
             self.limit_changes = self.known.changes();
             let known = &self.known;
