--- a/crates/tc-policy/tests/fairness.rs
+++ b/crates/tc-policy/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! One workspace's burst is not another's delay, and capacity is shared by weight.
+//! Tests that one workspace's burst does not delay others, and that capacity is shared by weight.
 
 mod support;
 
@@ -10,8 +10,8 @@
 };
 use tc_policy::{HomeEvent, PermitDecision};
 
-/// Most a small workspace's p99 may rise under another's burst.
-const MOST_RISE: f64 = 1.25;
+/// Largest allowed ratio of the small workspaces' p99 with and without another workspace's burst.
+const MAX_P99_RATIO: f64 = 1.25;
 
 const fn traffic(name: &'static str, calls_per_s: f64, service_ms: f64) -> Traffic {
     Traffic {
@@ -23,14 +23,15 @@
     }
 }
 
-/// Symptom: small workspaces' p99 grows to several times its usual value while a large one bursts.
-/// Sequence: the small ones pause for a moment; the large one, with ten times its share of calls waiting, takes every
-/// slot; the next small call is first in the queue, but has to wait until one of the large calls ends.
-/// Cause: the order of a queue is fair only among those that wait, not against what runs already.
+/// Guards against the small workspaces' p99 growing to several times its normal value while a large one bursts.
+///
+/// Queue order is fair only among waiting requests, not against running calls. When the small workspaces pause for a
+/// moment, the large one, with ten times its share of calls waiting, takes every slot. The next small call is first
+/// in the queue, but has to wait until one of the large calls ends.
 #[test]
-fn burst_leaves_p99_of_small_workspaces() {
-    // Slots, calls a second of each small workspace, service time of the bursting one (small ones have 100 ms),
-    // seconds to run: about 1,500 small calls, so that 15 of them are beyond the p99.
+fn burst_keeps_p99_of_small_workspaces() {
+    // Slots, calls per second of each small workspace, service time of the bursting one (100 ms for the small ones),
+    // and seconds to run. This gives about 1,500 small calls, so that 15 of them are beyond the p99.
     let cases = [
         (8, 1.0, 100.0, 400),
         (8, 2.0, 100.0, 200),
@@ -42,18 +43,18 @@
         (32, 8.0, 1_000.0, 50),
     ];
     for (slots, rate, service_ms, seconds) in cases {
-        let lasts = Duration::from_secs(seconds);
+        let duration = Duration::from_secs(seconds);
         let small = ["a", "b", "c", "d"];
         let mut all = small.map(|name| traffic(name, rate, 100.0)).to_vec();
-        let alone = simulate(1, slots, &all, lasts);
-        // Five workspaces of equal weight: ten times its share is twice the capacity.
+        let alone = simulate(1, slots, &all, duration);
+        // With five workspaces of equal weight, ten times the share is twice the capacity.
         let twice_capacity = f64::from(slots) * 2_000.0 / service_ms;
         all.push(traffic("large", twice_capacity, service_ms));
-        let burst = simulate(1, slots, &all, lasts);
-        let rise = burst.p99(&small) / alone.p99(&small);
+        let burst = simulate(1, slots, &all, duration);
+        let p99_ratio = burst.p99(&small) / alone.p99(&small);
         assert!(
-            rise <= MOST_RISE,
-            "p99 x {rise:.2} with {slots} slots, {rate}/s, calls of {service_ms} ms"
+            p99_ratio <= MAX_P99_RATIO,
+            "p99 x {p99_ratio:.2} with {slots} slots, {rate}/s, calls of {service_ms} ms"
         );
         assert!(small.iter().all(|name| !burst.refused.contains_key(name)));
         assert!(burst.refused.contains_key("large"));
@@ -61,20 +62,24 @@
 }
 
 #[test]
-fn overload_by_all_uses_the_capacity_by_weight() {
-    let (slots, lasts) = (8, Duration::from_secs(100));
+fn overload_shares_the_capacity_by_weight() {
+    let (slots, duration) = (8, Duration::from_secs(100));
     let mut all = ["a", "b", "c", "d"].map(|name| traffic(name, 64.0, 100.0));
     all[3].weight = 3;
-    let seen = simulate(1, slots, &all, lasts);
-    let total: f64 = seen.served_ms.values().sum();
-    let capacity = f64::from(slots) * lasts.as_secs_f64() * 1_000.0;
-    assert!(total >= 0.97 * capacity, "used {:.3}", total / capacity);
+    let observed = simulate(1, slots, &all, duration);
+    let total: f64 = observed.served_ms.values().sum();
+    let capacity = f64::from(slots) * duration.as_secs_f64() * 1_000.0;
+    assert!(
+        total >= 0.97 * capacity,
+        "used {:.3} of the capacity",
+        total / capacity
+    );
     for one in all {
-        let share = seen.served_ms[one.name] / total;
+        let share = observed.served_ms[one.name] / total;
         let fair = f64::from(one.weight) / 6.0;
         assert!(
             (share / fair - 1.0).abs() < 0.05,
-            "{} got {share:.3}",
+            "{} got a share of {share:.3}",
             one.name
         );
     }
@@ -82,16 +87,15 @@
 
 #[test]
 fn single_workspace_uses_every_slot() {
-    let lasts = Duration::from_secs(100);
-    let seen = simulate(1, 8, &[traffic("only", 160.0, 100.0)], lasts);
-    assert!(seen.served_ms["only"] >= 0.99 * 8.0 * lasts.as_secs_f64() * 1_000.0);
+    let duration = Duration::from_secs(100);
+    let observed = simulate(1, 8, &[traffic("only", 160.0, 100.0)], duration);
+    assert!(observed.served_ms["only"] >= 0.99 * 8.0 * duration.as_secs_f64() * 1_000.0);
 }
 
-/// Symptom: a workspace that was idle for long starves the others when it comes back.
-/// Sequence: one works alone for a while; another comes with many asks.
-/// Cause: time in which it used nothing would count as credit.
+/// Guards against a workspace that starves the others when it returns from a long idle time. This happens if idle time
+/// counts as credit. Here, one workspace runs alone for a while before another one sends many requests.
 #[test]
-fn idleness_earns_no_credit() {
+fn idle_time_earns_no_credit() {
     let mut home = home(1);
     let mut now = at(1);
     granted(&mut home, now, request("late"));
@@ -108,7 +112,7 @@
     let mut late = Vec::new();
     for _ in 0..20 {
         for workspace in ["late", "busy"] {
-            let PermitDecision::Queued(key) = home.request_permit(now, long_slack(workspace))
+            let PermitDecision::Queued(key) = home.request_permit(now, patient_request(workspace))
             else {
                 panic!("one slot, one running");
             };
@@ -138,31 +142,31 @@
     );
 }
 
-fn long_slack(workspace: &str) -> tc_policy::PermitRequest {
+fn patient_request(workspace: &str) -> tc_policy::PermitRequest {
     let mut new = request(workspace);
     new.slack = ms(60_000);
     new
 }
 
 #[test]
-fn inside_a_workspace_priority_then_least_slack_goes_first() {
+fn within_a_workspace_order_is_by_priority_then_slack() {
     let mut home = home(1);
     let running = granted(&mut home, at(1), request("a"));
-    // Priority, slack in milliseconds, place in the order of grants.
+    // Priority, slack in milliseconds, position in the order of grants.
     let table = [(3, 500, 3), (1, 900, 1), (3, 400, 2), (0, 950, 0)];
     let mut expected = [None; 4];
-    for (priority, slack, place) in table {
+    for (priority, slack, position) in table {
         let mut new = request("a");
         new.priority = priority;
         new.slack = ms(slack);
         let PermitDecision::Queued(key) = home.request_permit(at(1), new) else {
             panic!("one slot, one running");
         };
-        expected[place] = Some(key);
+        expected[position] = Some(key);
     }
     let mut running = running;
-    for (place, key) in expected.into_iter().enumerate() {
-        let now = at(10 + place as u64 * 10);
+    for (position, key) in expected.into_iter().enumerate() {
+        let now = at(10 + position as u64 * 10);
         home.release(now, &answered(running, ms(10)));
         let events = home.poll(now);
         let [
@@ -173,30 +177,30 @@
         else {
             panic!("one grant, not {events:?}");
         };
-        assert_eq!(Some(request), key, "place {place}");
+        assert_eq!(Some(request), key, "position {position}");
         running = permit;
     }
 }
 
 #[test]
-fn nobody_starves_beyond_one_call_of_each_competitor() {
+fn new_workspace_waits_at_most_one_call_of_each_competitor() {
     for competitors in [1_u64, 2, 5, 10] {
         let mut home = home(1);
         let mut running = granted(&mut home, at(1), request("busy-0"));
         for competitor in 0..competitors {
             for _ in 0..50 {
-                home.request_permit(at(1), long_slack(&format!("busy-{competitor}")));
+                home.request_permit(at(1), patient_request(&format!("busy-{competitor}")));
             }
         }
-        // Some calls run first, so that the newcomer comes back from idle.
+        // Some calls run before, so that virtual time has advanced when the newcomer arrives.
         let mut now = at(1);
         let mut newcomer = None;
-        let mut turns = 0;
+        let mut calls_before = 0;
         for round in 0..10 + competitors {
             now = now.after(ms(100));
             home.release(now, &answered(running, ms(100)));
             if round == 10 {
-                newcomer = match home.request_permit(now, long_slack("newcomer")) {
+                newcomer = match home.request_permit(now, patient_request("newcomer")) {
                     PermitDecision::Queued(key) => Some(key),
                     other => panic!("others wait: {other:?}"),
                 };
@@ -207,14 +211,14 @@
                 } = event
                 {
                     running = permit;
-                    turns += u64::from(newcomer.is_some());
+                    calls_before += u64::from(newcomer.is_some());
                     newcomer = newcomer.filter(|&key| key != request);
                 }
             }
         }
         assert!(
             newcomer.is_none(),
-            "waits after {turns} calls of {competitors}"
+            "still waiting after {calls_before} calls with {competitors} competitors"
         );
     }
 }
--- a/crates/tc-policy/tests/health.rs
+++ b/crates/tc-policy/tests/health.rs
@@ -1,4 +1,4 @@
-//! Slow, hanging and failing upstreams: less concurrency, ejection, probes, return.
+//! Tests lowered concurrency, ejection, probes and readmission of slow, hanging and failing upstreams.
 
 mod support;
 
@@ -13,8 +13,10 @@
 /// Median service time of the service.
 const MEDIAN: Duration = ms(100);
 
-/// Runs `calls` calls one after the other, all ending the same way; returns the time after them.
-fn run(
+/// Runs `calls` calls one after another, all with the same outcome, and returns the time afterwards.
+///
+/// Stops at the first call that is queued.
+fn run_calls(
     home: &mut Home,
     mut now: MonoTime,
     calls: u32,
@@ -36,15 +38,14 @@
     now
 }
 
-fn watched(slots: u32, may_eject: bool) -> Home {
+fn home_with_median(slots: u32, may_eject: bool) -> Home {
     let mut home = home(slots);
     home.set_service_median(at(1), Some(100.0), may_eject);
     home
 }
 
-/// Symptom: an upstream that is slow, hangs or fails goes on to get its part of the calls.
-/// Sequence: twenty calls end in the given way.
-/// Cause: what is seen of a bad upstream is not taken as a sign of it, or what a good one shows is.
+/// Guards against a slow, hanging or failing upstream that keeps getting its share of calls, and against ejecting a
+/// healthy one. Each case runs twenty calls with the same outcome.
 #[test]
 fn outliers_are_ejected_and_others_are_not() {
     let table = [
@@ -60,11 +61,11 @@
         ("permits not used", Outcome::Unused, ms(0), false),
     ];
     for (what, outcome, took, ejected) in table {
-        let mut home = watched(8, true);
-        let now = run(&mut home, at(1), 20, outcome, took);
+        let mut home = home_with_median(8, true);
+        let now = run_calls(&mut home, at(1), 20, outcome, took);
         assert_eq!(home.summary(now).ejected, ejected, "{what}");
-        let mut home = watched(8, false);
-        let now = run(&mut home, at(1), 20, outcome, took);
+        let mut home = home_with_median(8, false);
+        let now = run_calls(&mut home, at(1), 20, outcome, took);
         let summary = home.summary(now);
         assert!(!summary.ejected, "{what}: ejected though it may not be");
         let lowered = summary.concurrency < 8;
@@ -77,18 +78,18 @@
 }
 
 #[test]
-fn concurrency_goes_down_before_it_is_ejected() {
-    let mut home = watched(8, true);
-    let now = run(&mut home, at(1), 8, Outcome::Answered, ms(1_000));
+fn concurrency_is_lowered_before_ejection() {
+    let mut home = home_with_median(8, true);
+    let now = run_calls(&mut home, at(1), 8, Outcome::Answered, ms(1_000));
     let summary = home.summary(now);
     assert!(!summary.ejected);
     assert_eq!(summary.concurrency, 4);
 }
 
 #[test]
-fn one_probe_at_a_time_until_it_is_well() {
-    let mut home = watched(8, true);
-    let ejected = run(&mut home, at(1), 20, Outcome::Failed, ms(1));
+fn one_probe_at_a_time_until_readmission() {
+    let mut home = home_with_median(8, true);
+    let ejected = run_calls(&mut home, at(1), 20, Outcome::Failed, ms(1));
     let mut elsewhere = request("a");
     elsewhere.may_redirect = true;
     let verdict = home.request_permit(ejected, elsewhere.clone());
@@ -97,7 +98,7 @@
         "{verdict:?}"
     );
 
-    // A probe that fails makes the next one come later.
+    // A failed probe delays the next one.
     let first = ejected.after(ms(600));
     let probe = granted(&mut home, first, elsewhere.clone());
     let verdict = home.request_permit(first, elsewhere.clone());
@@ -106,13 +107,13 @@
         "second probe: {verdict:?}"
     );
     home.release(first, &release(probe, Outcome::Failed, ms(1)));
-    let soon = first.after(ms(600));
+    let before_next_probe = first.after(ms(600));
     assert!(matches!(
-        home.request_permit(soon, elsewhere.clone()),
+        home.request_permit(before_next_probe, elsewhere.clone()),
         PermitDecision::Redirect { .. }
     ));
 
-    // Two good ones bring it back with one call at once, which then grows.
+    // After two successful probes the upstream is readmitted with a concurrency of 1, which then grows.
     let mut now = first.after(ms(1_100));
     for _ in 0..2 {
         let probe = granted(&mut home, now, elsewhere.clone());
@@ -122,13 +123,13 @@
     }
     assert!(!home.summary(now).ejected);
     assert_eq!(home.summary(now).concurrency, 1);
-    let now = run(&mut home, now, 200, Outcome::Answered, MEDIAN);
+    let now = run_calls(&mut home, now, 200, Outcome::Answered, MEDIAN);
     assert!(home.summary(now).concurrency >= 2);
 }
 
 #[test]
-fn waiting_asks_go_elsewhere_or_through_as_probes() {
-    let mut home = watched(1, true);
+fn waiting_requests_are_dropped_or_sent_as_probes() {
+    let mut home = home_with_median(1, true);
     let mut running = granted(&mut home, at(1), request("a"));
     let mut now = at(1);
     for _ in 0..3 {
@@ -165,25 +166,25 @@
 }
 
 #[test]
-fn restarted_upstream_starts_anew() {
-    let mut home = watched(8, true);
+fn restarted_upstream_is_readmitted() {
+    let mut home = home_with_median(8, true);
     let report = |incarnation| LoadReport {
         incarnation: Incarnation(incarnation),
         slots: 8,
         ..LoadReport::default()
     };
     home.record_load_report(at(1), &report(1));
-    let now = run(&mut home, at(1), 20, Outcome::Died, ms(10));
+    let now = run_calls(&mut home, at(1), 20, Outcome::Died, ms(10));
     assert!(home.summary(now).ejected);
     home.record_load_report(now, &report(2));
     assert!(!home.summary(now).ejected);
 }
 
-/// Symptom: a home sends more to an upstream than it has room for, though the upstream reports its load.
-/// Sequence: calls of others run there; two reports tell so, late.
-/// Cause: only the home's own permits are counted.
+/// Guards against a home that grants more calls than an upstream has free slots, although the upstream reports its
+/// load. This happens if only the home's own permits are counted while other calls run there too. Both reports are
+/// delayed.
 #[test]
-fn foreign_load_takes_room_once_two_reports_tell_of_it() {
+fn foreign_load_lowers_concurrency_after_two_reports() {
     let mut home = home(8);
     let permits: Vec<_> = (0..4)
         .map(|_| granted(&mut home, at(1), request("a")))
@@ -198,7 +199,7 @@
     assert_eq!(home.summary(at(1_000)).concurrency, 8);
     home.record_load_report(at(1_200), &report);
     assert_eq!(home.summary(at(1_200)).concurrency, 5);
-    // Our own calls that ended since the time the report speaks of are not foreign.
+    // The home's own calls that were running at the time of the report, and have ended since, are not foreign.
     for permit in permits {
         home.release(at(1_300), &answered(permit, ms(1_300)));
     }
@@ -208,7 +209,7 @@
     };
     home.record_load_report(at(1_400), &ours);
     assert_eq!(home.summary(at(1_400)).concurrency, 8);
-    // Fewer slots than configured hold at once.
+    // A reported number of slots below the configured one applies immediately.
     home.record_load_report(
         at(1_500),
         &LoadReport {
@@ -221,11 +222,11 @@
 }
 
 #[test]
-fn saturation_lowers_the_concurrency_and_relief_raises_it() {
+fn saturation_lowers_the_concurrency_and_recovery_raises_it() {
     let mut home = home(16);
-    let mut now = run(&mut home, at(1), 40, Outcome::Answered, ms(20));
+    let mut now = run_calls(&mut home, at(1), 40, Outcome::Answered, ms(20));
     assert_eq!(home.summary(now).concurrency, 16);
-    // Beyond 4 at once, a call takes ten times as long.
+    // With more than 4 concurrent calls, each takes ten times as long.
     let mut lowest = 16;
     for _ in 0..40 {
         let batch: Vec<_> = (0..home.summary(now).concurrency)
@@ -238,7 +239,7 @@
         }
         lowest = lowest.min(home.summary(now).concurrency);
     }
-    assert!(lowest <= 6, "still {lowest} at once");
+    assert!(lowest <= 6, "still {lowest} concurrent calls");
     for _ in 0..40 {
         let batch: Vec<_> = (0..home.summary(now).concurrency)
             .map(|_| granted(&mut home, now, request("a")))
@@ -252,11 +253,11 @@
 }
 
 #[test]
-fn ask_goes_elsewhere_when_it_would_start_clearly_later_here() {
+fn request_is_redirected_if_it_would_start_clearly_later_here() {
     let mut home = home(1);
-    let now = run(&mut home, at(1), 8, Outcome::Answered, MEDIAN);
+    let now = run_calls(&mut home, at(1), 8, Outcome::Answered, MEDIAN);
     granted(&mut home, now, request("a"));
-    // Slack, shortest wait elsewhere, redirected.
+    // Slack, shortest wait elsewhere, whether the request is redirected.
     let table = [
         (50, None, true),
         (1_000, None, false),
@@ -272,21 +273,21 @@
         if let PermitDecision::Queued(key) = verdict {
             assert!(home.cancel(now, key));
         }
-        let went = matches!(verdict, PermitDecision::Redirect { wait } if wait >= MEDIAN);
+        let was_redirected = matches!(verdict, PermitDecision::Redirect { wait } if wait >= MEDIAN);
         assert_eq!(
-            went, redirected,
+            was_redirected, redirected,
             "slack {slack}, elsewhere {elsewhere:?}: {verdict:?}"
         );
     }
 }
 
-/// Symptom: a healthy upstream is ejected, or its concurrency lowered, because of whom it serves.
-/// Sequence: it holds the prefixes of a workspace with calls ten times as long as usual.
-/// Cause: its service times are compared with the service's median, whatever was expected of the calls.
+/// Guards against a healthy upstream that is ejected, or whose concurrency is lowered, because it caches the prefixes
+/// of a workspace whose calls take ten times as long as usual. This happens if service times are compared with the
+/// service's median alone, and not with the time expected for each call.
 #[test]
-fn long_calls_that_were_expected_to_be_long_are_no_sign() {
+fn long_calls_expected_to_be_long_are_not_outliers() {
     for outcome in [Outcome::Answered, Outcome::Cancelled] {
-        let mut home = watched(8, true);
+        let mut home = home_with_median(8, true);
         let mut now = at(1);
         for call in 0..100 {
             let long = call >= 20;
@@ -303,12 +304,12 @@
     }
 }
 
-/// Symptom: one workspace's bad requests take the service away from all others.
-/// Sequence: every call of one workspace fails, ten times as many as the others', whose calls are answered.
-/// Cause: failures are counted by calls, so the upstream looks as if it failed.
+/// Guards against bad requests of one workspace making the service unavailable to all others. If failures are counted
+/// per call, the upstream looks as if it failed. Here, all calls of one workspace fail, ten times as many as those of
+/// the other, which are answered.
 #[test]
-fn failures_of_one_workspace_do_not_eject_for_the_others() {
-    let mut home = watched(8, true);
+fn failures_of_one_workspace_do_not_eject_the_upstream() {
+    let mut home = home_with_median(8, true);
     let mut now = at(1);
     for call in 0..300 {
         let bad = call % 11 != 0;
@@ -324,7 +325,7 @@
         assert!(!summary.ejected, "after {call} calls");
         assert_eq!(summary.concurrency, 8, "after {call} calls");
     }
-    // When the others' calls fail too, it is the upstream.
+    // If the other workspace's calls fail too, the upstream is at fault.
     for call in 0..8 {
         let new = request(if call % 2 == 0 { "bad" } else { "good" });
         if let PermitDecision::Granted { permit, .. } = home.request_permit(now, new) {
@@ -334,14 +335,15 @@
     assert!(home.summary(now).ejected);
 }
 
-/// Symptom: an upstream refuses a call as it is full, though its home granted the permit.
-/// Sequence: an upstream with one slot fails and is ejected; a permit that an earlier home granted is adopted and fills
-/// the slot; the time of a probe comes and somebody asks, or asked before.
-/// Cause: an ejected upstream's probe was started whatever was in flight.
+/// Guards against an upstream that refuses a call because it is full, although its home granted the permit.
+///
+/// Probes of an ejected upstream were started regardless of the calls in flight. An upstream with one slot fails and
+/// is ejected, and an adopted permit of an earlier home fills the slot. Then a probe is due while a request arrives
+/// or waits.
 #[test]
-fn a_probe_waits_for_a_free_slot() {
-    let mut home = watched(1, true);
-    let now = run(&mut home, at(1), 20, Outcome::Died, ms(10));
+fn probe_waits_for_a_free_slot() {
+    let mut home = home_with_median(1, true);
+    let now = run_calls(&mut home, at(1), 20, Outcome::Died, ms(10));
     assert!(home.summary(now).ejected);
     let adopted = HeldPermit {
         permit: PermitId(900),
--- a/crates/tc-policy/tests/home_fuzz/main.rs
+++ b/crates/tc-policy/tests/home_fuzz/main.rs
@@ -1,4 +1,4 @@
-//! Any sequence of asks, releases, expiries, moves and reports, against a plain list of what should be held.
+//! Runs random sequences of requests, releases, expiries, adoptions and reports against a simple model of the home.
 
 mod op;
 mod oracle;
@@ -10,10 +10,10 @@
 use oracle::Oracle;
 use support::ms;
 
-/// Inputs that failed once. The first one: a probe of an ejected upstream was started above its slots.
-const FAILED_ONCE: [u128; 1] = [161_507_964_733_667_676_772_995_485_985_721_589_684];
+/// Inputs that failed in the past. First: a probe of an ejected upstream started although all slots were taken.
+const REGRESSIONS: [u128; 1] = [161_507_964_733_667_676_772_995_485_985_721_589_684];
 
-fn play(ops: &[Op]) {
+fn run(ops: &[Op]) {
     let mut oracle = Oracle::new();
     for &op in ops {
         oracle.apply(op);
@@ -23,30 +23,30 @@
 }
 
 #[test]
-fn home_conserves_permits_and_keeps_its_promises() {
+fn home_matches_the_oracle() {
     tc_fuzz::check(
         3_000,
         produce::<Vec<Op>>().with().len(0..200_usize),
         |ops| {
-            play(ops);
+            run(ops);
         },
     );
 }
 
-/// The same from an upstream that was just ejected, whose slots are few and taken by permits of an earlier home: a series
-/// of operations drawn at random comes there once in thousands.
+/// Starts from an upstream that was just ejected and whose few slots are taken by permits of an earlier home. Random
+/// sequences of operations reach this state only once in thousands of runs.
 #[test]
-fn an_ejected_upstream_keeps_the_same_promises() {
+fn home_of_an_ejected_upstream_matches_the_oracle() {
     let input = produce::<(u8, Vec<Op>)>();
     tc_fuzz::check(3_000, input, |(adopted, ops): &(u8, Vec<Op>)| {
         let mut oracle = Oracle::new();
         oracle.eject();
-        oracle.apply(Op::Config { slots: 1, queue: 3 });
+        oracle.apply(Op::SetConfig { slots: 1, queue: 3 });
         for permit in 0..adopted % 4 {
-            let (who, expires_in_ms) = (permit, 200);
+            let (requester, expires_in_ms) = (permit, 200);
             oracle.apply(Op::Adopt {
                 permit,
-                who,
+                requester,
                 expires_in_ms,
             });
         }
@@ -54,7 +54,7 @@
             oracle.apply(op);
             oracle.poll();
             oracle.check();
-            // A probe comes after half a second or more; a drawn wait is a quarter of one.
+            // The first probe is due after at least 500 ms, but a random wait lasts at most 255 ms.
             oracle.now = oracle.now.after(ms(100));
             oracle.poll();
             oracle.check();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn inputs_that_failed_once_hold() {
+fn regression_inputs_pass() {
     let ops = produce::<Vec<Op>>().with().len(0..200_usize);
-    tc_fuzz::check_again(&FAILED_ONCE, ops, |ops| play(ops));
+    tc_fuzz::check_again(&REGRESSIONS, ops, |ops| run(ops));
 }
--- a/crates/tc-policy/tests/home_fuzz/op.rs
+++ b/crates/tc-policy/tests/home_fuzz/op.rs
@@ -1,11 +1,11 @@
-//! Operations that change what a home holds.
+//! Operations on a home.
 
 use bolero::TypeGenerator;
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 pub(crate) enum Op {
-    Ask {
-        who: u8,
+    Request {
+        requester: u8,
         priority: u8,
         slack_ms: u8,
         run_for_ms: u8,
@@ -24,22 +24,22 @@
     },
     Adopt {
         permit: u8,
-        who: u8,
+        requester: u8,
         expires_in_ms: u8,
     },
-    EntryGone(u8),
-    Load {
+    RemoveEntry(u8),
+    LoadReport {
         running: u8,
         slots: u8,
         incarnation: bool,
         leaving: u8,
     },
-    Config {
+    SetConfig {
         slots: u8,
         queue: u8,
     },
-    Leaving(u8),
-    Service {
+    SetLeaving(u8),
+    SetServiceMedian {
         median_ms: u8,
         may_eject: bool,
     },
--- a/crates/tc-policy/tests/home_fuzz/oracle.rs
+++ b/crates/tc-policy/tests/home_fuzz/oracle.rs
@@ -1,4 +1,4 @@
-//! A plain list of what a home should hold.
+//! A simple model of a home, which checks the home's decisions.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug)]
-struct Asked {
+struct WaitingRequest {
     entry: InstanceId,
     workspace: &'static str,
     slack_ends: MonoTime,
@@ -37,12 +37,12 @@
     may_redirect: bool,
 }
 
-/// What the home should hold.
+/// A home and the permits and requests that it should hold.
 pub(crate) struct Oracle {
     home: Home,
     pub(crate) now: MonoTime,
     held: BTreeMap<PermitId, Held>,
-    waiting: HashMap<QueuedRequestKey, Asked>,
+    waiting: HashMap<QueuedRequestKey, WaitingRequest>,
     slots: u32,
     reported_slots: u32,
     queue: usize,
@@ -78,22 +78,22 @@
 
     pub(crate) fn apply(&mut self, op: Op) {
         match op {
-            Op::Ask {
-                who,
+            Op::Request {
+                requester,
                 priority,
                 slack_ms,
                 run_for_ms,
                 estimate,
                 may_redirect,
             } => {
-                let mut new = request(WORKSPACES[usize::from(who) % WORKSPACES.len()]);
-                new.entry = ENTRIES[usize::from(who / 16) % ENTRIES.len()].into();
+                let mut new = request(WORKSPACES[usize::from(requester) % WORKSPACES.len()]);
+                new.entry = ENTRIES[usize::from(requester / 16) % ENTRIES.len()].into();
                 new.priority = priority % 8;
                 new.slack = ms(u64::from(slack_ms));
                 new.run_for = ms(u64::from(run_for_ms));
                 new.estimate = busy(f64::from(estimate));
                 new.may_redirect = may_redirect;
-                self.ask(new, WORKSPACES[usize::from(who) % WORKSPACES.len()]);
+                self.request_permit(new, WORKSPACES[usize::from(requester) % WORKSPACES.len()]);
             }
             Op::Cancel(which) => {
                 let key = nth(self.waiting.keys().copied(), which);
@@ -122,16 +122,16 @@
             Op::Wait { ms: millis } => self.now = self.now.after(ms(u64::from(millis))),
             Op::Adopt {
                 permit,
-                who,
+                requester,
                 expires_in_ms,
-            } => self.adopt(permit, who, expires_in_ms),
-            Op::EntryGone(who) => {
-                let entry = InstanceId::from(ENTRIES[usize::from(who) % ENTRIES.len()]);
+            } => self.adopt(permit, requester, expires_in_ms),
+            Op::RemoveEntry(requester) => {
+                let entry = InstanceId::from(ENTRIES[usize::from(requester) % ENTRIES.len()]);
                 self.home.remove_entry(self.now, &entry);
                 self.held.retain(|_, held| held.entry != entry);
-                self.waiting.retain(|_, asked| asked.entry != entry);
+                self.waiting.retain(|_, waiter| waiter.entry != entry);
             }
-            Op::Load {
+            Op::LoadReport {
                 running,
                 slots,
                 incarnation,
@@ -152,17 +152,17 @@
                 };
                 self.reported_leaving = is_rare(leaving);
             }
-            Op::Config { slots, queue } => {
+            Op::SetConfig { slots, queue } => {
                 self.slots = u32::from(slots % 8);
                 self.queue = usize::from(queue % 8);
                 self.home
                     .set_config(self.now, self.slots, u32::from(queue % 8));
             }
-            Op::Leaving(leaving) => {
+            Op::SetLeaving(leaving) => {
                 self.leaving = is_rare(leaving);
                 self.home.set_leaving(self.now, self.leaving);
             }
-            Op::Service {
+            Op::SetServiceMedian {
                 median_ms,
                 may_eject,
             } => {
@@ -183,62 +183,65 @@
         assert!(self.home.release(self.now, &release).is_none());
     }
 
-    fn ask(&mut self, new: PermitRequest, workspace: &'static str) {
-        let asked = Asked {
+    fn request_permit(&mut self, new: PermitRequest, workspace: &'static str) {
+        let waiter = WaitingRequest {
             entry: new.entry.clone(),
             workspace,
             slack_ends: self.now.after(new.slack),
             run_for: new.run_for,
             may_redirect: new.may_redirect,
         };
-        let no_slack = new.slack.is_zero();
+        let has_no_slack = new.slack.is_zero();
         match self.home.request_permit(self.now, new) {
             PermitDecision::Granted { permit, expires_in } => {
-                self.granted(permit, expires_in, asked)
+                self.check_grant(permit, expires_in, waiter);
             }
             PermitDecision::Queued(key) => {
-                assert!(self.waiting.insert(key, asked).is_none());
+                assert!(self.waiting.insert(key, waiter).is_none());
             }
-            PermitDecision::Redirect { .. } => assert!(asked.may_redirect),
+            PermitDecision::Redirect { .. } => assert!(waiter.may_redirect),
             PermitDecision::Refused { reason, .. } => match reason {
-                RefusalReason::TooLate => assert!(no_slack, "refused with slack left"),
+                RefusalReason::TooLate => assert!(has_no_slack, "refused with slack left"),
                 RefusalReason::QueueFull => {
                     let same = self.waiting.values().filter(|w| w.workspace == workspace);
                     assert!(same.count() >= self.queue, "the queue was not full");
                 }
                 RefusalReason::NoUpstream => assert!(self.leaving || self.reported_leaving),
-                other => panic!("{other:?} is not for a home to say"),
+                other => panic!("unexpected reason {other:?} from a home"),
             },
         }
     }
 
-    fn granted(&mut self, permit: PermitId, expires_in: Duration, asked: Asked) {
+    fn check_grant(&mut self, permit: PermitId, expires_in: Duration, waiter: WaitingRequest) {
         assert!(
             !self.leaving && !self.reported_leaving,
             "granted while leaving"
         );
-        assert!(permit.0 > self.highest_granted, "permit numbers rise");
+        assert!(
+            permit.0 > self.highest_granted,
+            "permit identifiers must increase"
+        );
         self.highest_granted = permit.0;
-        assert_eq!(expires_in, asked.run_for + GRACE);
+        assert_eq!(expires_in, waiter.run_for + GRACE);
         let held = Held {
-            entry: asked.entry,
+            entry: waiter.entry,
             expires_at: self.now.after(expires_in),
         };
         assert!(self.held.insert(permit, held).is_none());
         assert!(
             self.held.len() as u32 <= self.usable_slots(),
-            "above the slots"
+            "more permits than slots"
         );
     }
 
-    fn adopt(&mut self, permit: u8, who: u8, expires_in_ms: u8) {
+    fn adopt(&mut self, permit: u8, requester: u8, expires_in_ms: u8) {
         let permit = PermitId(u64::from(permit));
-        let entry = InstanceId::from(ENTRIES[usize::from(who) % ENTRIES.len()]);
+        let entry = InstanceId::from(ENTRIES[usize::from(requester) % ENTRIES.len()]);
         let expires_in = ms(u64::from(expires_in_ms));
         let held = HeldPermit {
             permit,
             entry: entry.clone(),
-            workspace: WORKSPACES[usize::from(who / 16) % WORKSPACES.len()].into(),
+            workspace: WORKSPACES[usize::from(requester / 16) % WORKSPACES.len()].into(),
             expires_in,
             estimate: busy(10.0),
             fingerprint: Fingerprint(1),
@@ -251,16 +254,16 @@
             .or_insert(Held { entry, expires_at });
     }
 
-    /// Lets calls fail until the upstream is ejected.
+    /// Makes calls fail until the upstream is ejected.
     pub(crate) fn eject(&mut self) {
-        self.apply(Op::Service {
+        self.apply(Op::SetServiceMedian {
             median_ms: 20,
             may_eject: true,
         });
         for _ in 0..20 {
-            let (who, slack_ms, run_for_ms) = (0, 255, 255);
-            self.apply(Op::Ask {
-                who,
+            let (requester, slack_ms, run_for_ms) = (0, 255, 255);
+            self.apply(Op::Request {
+                requester,
                 priority: 0,
                 slack_ms,
                 run_for_ms,
@@ -287,20 +290,23 @@
                     expires_in,
                     ..
                 } => {
-                    let asked = self.waiting.remove(&request).expect("it waited");
-                    assert!(asked.slack_ends > self.now, "granted too late");
-                    self.granted(permit, expires_in, asked);
+                    let waiter = self.waiting.remove(&request).expect("it waited");
+                    assert!(
+                        waiter.slack_ends > self.now,
+                        "granted after the slack ended"
+                    );
+                    self.check_grant(permit, expires_in, waiter);
                 }
                 HomeEvent::Dropped {
                     request, reason, ..
                 } => {
-                    let asked = self.waiting.remove(&request).expect("it waited");
+                    let waiter = self.waiting.remove(&request).expect("it waited");
                     match reason {
-                        RefusalReason::TooLate => assert!(asked.slack_ends <= self.now),
+                        RefusalReason::TooLate => assert!(waiter.slack_ends <= self.now),
                         RefusalReason::NoUpstream => {
                             let leaving = self.leaving || self.reported_leaving;
                             let ejected = self.home.summary(self.now).ejected;
-                            assert!(leaving || (ejected && asked.may_redirect));
+                            assert!(leaving || (ejected && waiter.may_redirect));
                         }
                         other => panic!("{other:?} for a waiting request"),
                     }
@@ -319,38 +325,41 @@
         let summary = self.home.summary(now);
         let mut permits: Vec<PermitId> = self.home.permits().map(|held| held.permit).collect();
         permits.sort_unstable();
-        assert!(permits.iter().eq(self.held.keys()), "permits are conserved");
+        assert!(
+            permits.iter().eq(self.held.keys()),
+            "the held permits differ from the expected ones"
+        );
         assert_eq!(summary.in_flight as usize, self.held.len());
         assert_eq!(summary.waiting as usize, self.waiting.len());
         assert!((1..=self.usable_slots()).contains(&summary.concurrency));
         assert!(self.held.values().all(|held| held.expires_at > now));
-        assert!(self.waiting.values().all(|asked| asked.slack_ends > now));
+        assert!(self.waiting.values().all(|waiter| waiter.slack_ends > now));
         let leaving = self.leaving || self.reported_leaving;
         assert!(
             !leaving || self.waiting.is_empty(),
-            "asks wait for a leaving upstream"
+            "requests wait for a leaving upstream"
         );
         if !self.waiting.is_empty() && !summary.ejected {
-            let kept = (summary.concurrency / 2).max(1);
-            let least = summary.concurrency.saturating_sub(kept).max(1);
+            let max_headroom = (summary.concurrency / 2).max(1);
+            let min_in_flight = summary.concurrency.saturating_sub(max_headroom).max(1);
             assert!(
-                summary.in_flight >= least,
-                "asks wait though calls are free"
+                summary.in_flight >= min_in_flight,
+                "requests wait although calls are free"
             );
         }
         let ends = self.held.values().map(|held| held.expires_at);
         let next = ends
-            .chain(self.waiting.values().map(|asked| asked.slack_ends))
+            .chain(self.waiting.values().map(|waiter| waiter.slack_ends))
             .min();
         assert!(
             next.is_none() || self.home.next_wake() <= next,
-            "nobody wakes the home in time"
+            "the next wake is after the next expiry or slack end"
         );
         assert!(next.is_none() || self.home.next_wake().is_some());
     }
 }
 
-/// Leaving ends nearly all else, so only few runs of operations do it.
+/// Returns true for few inputs. A leaving home grants nothing, so most sequences should not include it.
 const fn is_rare(choice: u8) -> bool {
     choice < 16
 }
--- a/crates/tc-policy/tests/limits.rs
+++ b/crates/tc-policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Workspace limits as shares: the sum over entries stays within the limit, also while shares move.
+//! Tests that the shares of all entries stay within the workspace's limits, also while shares change.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,11 +6,11 @@
 use tc_policy::{Demand, LimitHome, Share, ShareBucket};
 use tc_protocol::{InstanceId, Limits, MonoTime};
 
-/// Most that the sum over entries may exceed the limit.
+/// Factor by which the sum over entries may exceed the limit.
 const TOLERANCE: f64 = 1.1;
-/// Time between two steps.
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(50);
-/// Steps between an entry's reports.
+/// Number of steps between an entry's reports.
 const REPORT_EVERY: usize = 10;
 
 fn limits(requests_per_s: f64, concurrency: u32) -> Limits {
@@ -21,19 +21,19 @@
     }
 }
 
-/// Entries with their buckets, and one home at a time.
+/// Entries with their buckets, and the current home.
 struct Fleet {
     now: MonoTime,
     limits: Limits,
     home: LimitHome,
     entries: Vec<(InstanceId, ShareBucket)>,
-    /// Ends of running requests, by entry.
+    /// End times of the running requests, by entry.
     running: Vec<VecDeque<MonoTime>>,
-    /// Starts lately, for the rate.
+    /// Start times of the last second.
     starts: VecDeque<MonoTime>,
     steps: usize,
-    /// Answers to the next reports that will be lost, by entry.
-    answers_to_lose: Vec<u8>,
+    /// Number of upcoming replies that will be lost, by entry.
+    replies_to_lose: Vec<u8>,
 }
 
 impl Fleet {
@@ -50,12 +50,12 @@
             running: vec![VecDeque::new(); entries],
             starts: VecDeque::new(),
             steps: 0,
-            answers_to_lose: vec![0; entries],
+            replies_to_lose: vec![0; entries],
         }
     }
 
-    /// Each entry tries `wanted` requests of `lasts`, and reports unless it is cut off.
-    fn step(&mut self, wanted: &[u32], lasts: Duration, cut_off: &[bool]) {
+    /// Lets each entry attempt `wanted` requests of the given duration, and report unless the home is unreachable.
+    fn step(&mut self, wanted: &[u32], duration: Duration, unreachable: &[bool]) {
         self.now = self.now.after(STEP);
         self.steps += 1;
         let (now, live) = (self.now, self.entries.len());
@@ -67,14 +67,14 @@
             }
             for _ in 0..wanted[i] {
                 if bucket.try_start(now).is_ok() {
-                    self.running[i].push_back(now.after(lasts));
+                    self.running[i].push_back(now.after(duration));
                     self.starts.push_back(now);
                 }
             }
-            if !cut_off[i] && (self.steps + i).is_multiple_of(REPORT_EVERY) {
+            if !unreachable[i] && (self.steps + i).is_multiple_of(REPORT_EVERY) {
                 let share = self.home.report(now, id, bucket.demand(now), live);
-                if self.answers_to_lose[i] > 0 {
-                    self.answers_to_lose[i] -= 1;
+                if self.replies_to_lose[i] > 0 {
+                    self.replies_to_lose[i] -= 1;
                 } else {
                     bucket.set_share(now, share);
                 }
@@ -89,10 +89,10 @@
         }
     }
 
-    /// The next answers to the entry are lost, whatever their number.
-    fn lose_answers(&mut self, entry: u8, count: u8) {
-        let index = usize::from(entry) % self.answers_to_lose.len();
-        self.answers_to_lose[index] = count;
+    /// Drops the next `count` replies to the entry.
+    fn lose_replies(&mut self, entry: u8, count: u8) {
+        let index = usize::from(entry) % self.replies_to_lose.len();
+        self.replies_to_lose[index] = count;
     }
 
     fn in_flight(&self) -> u32 {
@@ -115,36 +115,36 @@
         let rate = self.allowed(|s| s.requests_per_s);
         assert!(
             rate <= limit * TOLERANCE,
-            "{rate} of {limit} a second allowed"
+            "{rate} of {limit} requests per second allowed"
         );
-        let most = f64::from(self.limits.concurrency.unwrap_or_default());
+        let max_concurrency = f64::from(self.limits.concurrency.unwrap_or_default());
         let concurrency = self.allowed(|s| s.concurrency);
         assert!(
-            concurrency <= most * TOLERANCE,
-            "{concurrency} of {most} at once allowed"
+            concurrency <= max_concurrency * TOLERANCE,
+            "{concurrency} of {max_concurrency} concurrent requests allowed"
         );
-        // Each entry may have one start saved up.
+        // Each entry may have one request saved up.
         let burst = limit * 0.1 + self.entries.len() as f64;
         let starts = self.starts.len() as f64;
         assert!(
             starts <= limit * TOLERANCE + burst,
-            "{starts} starts in a second of {limit}"
+            "{starts} starts in one second, limit {limit}"
         );
     }
 }
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Op {
-    Wants { entry: u8, calls: u8 },
-    CutOff { entry: u8, is: bool },
-    HomeMoves,
-    AnswersLost { entry: u8, count: u8 },
+    SetDemand { entry: u8, calls: u8 },
+    SetUnreachable { entry: u8, is_unreachable: bool },
+    MoveHome,
+    LoseReplies { entry: u8, count: u8 },
     Steps(u8),
 }
 
-/// Symptom: a workspace exceeds its limit while its traffic moves between entries, or while a home is unreachable.
-/// Sequence: demand shifts, entries lose the home, answers are lost, the home moves, in any order.
-/// Cause: a share that is still in use somewhere is given to another entry.
+/// Guards against a workspace that exceeds its limit while its traffic moves between entries, or while a home is
+/// unreachable. This happens if a share that is still in use at one entry is granted to another. Demand shifts, entries
+/// lose the home, replies are lost and the home moves, in random order.
 #[test]
 fn sum_of_shares_stays_within_the_limit() {
     tc_fuzz::check(
@@ -153,18 +153,21 @@
         |ops: &Vec<Op>| {
             let entries = 5;
             let mut fleet = Fleet::new(limits(200.0, 12), entries);
-            let (mut wanted, mut cut_off) = (vec![0; entries], vec![false; entries]);
+            let (mut wanted, mut unreachable) = (vec![0; entries], vec![false; entries]);
             for &op in ops {
                 match op {
-                    Op::Wants { entry, calls } => {
+                    Op::SetDemand { entry, calls } => {
                         wanted[usize::from(entry) % entries] = u32::from(calls % 32);
                     }
-                    Op::CutOff { entry, is } => cut_off[usize::from(entry) % entries] = is,
-                    Op::HomeMoves => fleet.home = LimitHome::new(fleet.limits),
-                    Op::AnswersLost { entry, count } => fleet.lose_answers(entry, count),
+                    Op::SetUnreachable {
+                        entry,
+                        is_unreachable,
+                    } => unreachable[usize::from(entry) % entries] = is_unreachable,
+                    Op::MoveHome => fleet.home = LimitHome::new(fleet.limits),
+                    Op::LoseReplies { entry, count } => fleet.lose_replies(entry, count),
                     Op::Steps(steps) => {
                         for _ in 0..steps {
-                            fleet.step(&wanted, Duration::from_millis(20), &cut_off);
+                            fleet.step(&wanted, Duration::from_millis(20), &unreachable);
                             fleet.check();
                         }
                     }
@@ -175,7 +178,7 @@
 }
 
 #[test]
-fn single_busy_entry_gets_nearly_all() {
+fn single_busy_entry_gets_nearly_the_whole_limit() {
     let mut fleet = Fleet::new(limits(200.0, 40), 8);
     let mut wanted = vec![0; 8];
     wanted[3] = 20;
@@ -186,52 +189,65 @@
     let share = fleet.entries[3].1.allowed(fleet.now);
     let requests = share.requests_per_s.expect("it is limited");
     let concurrency = share.concurrency.expect("it is limited");
-    assert!(requests >= 0.9 * 200.0, "{requests} of 200 a second");
-    assert!(concurrency >= 0.85 * 40.0, "{concurrency} of 40 at once");
+    assert!(
+        requests >= 0.9 * 200.0,
+        "{requests} of 200 requests per second"
+    );
+    assert!(
+        concurrency >= 0.85 * 40.0,
+        "{concurrency} of 40 concurrent requests"
+    );
 }
 
-/// Symptom: a workspace with fewer concurrent requests allowed than there are entries gets nothing, or some entries
-/// never do.
-/// Sequence: a limit of 3 over 8 entries that all want to run.
-/// Cause: an equal part is below one request, and whole ones would stay with whoever got them first.
+/// Guards against a workspace whose concurrency limit is below the number of entries getting no requests through, at
+/// all or at some entries. The equal share is then below one request, and whole units would stay with the entries
+/// that got them first. Here, 8 entries share a limit of 3.
 #[test]
-fn concurrency_below_one_per_entry_goes_around() {
+fn concurrency_below_one_per_entry_rotates_among_entries() {
     let mut fleet = Fleet::new(limits(1_000.0, 3), 8);
     let mut ran = [false; 8];
-    let mut most = 0;
+    let mut peak = 0;
     for _ in 0..1_200 {
         fleet.step(&[1; 8], Duration::from_millis(200), &[false; 8]);
         fleet.check();
-        assert!(fleet.in_flight() <= 3, "{} at once", fleet.in_flight());
-        most = most.max(fleet.in_flight());
+        assert!(
+            fleet.in_flight() <= 3,
+            "{} concurrent requests",
+            fleet.in_flight()
+        );
+        peak = peak.max(fleet.in_flight());
         for (ran, running) in ran.iter_mut().zip(&fleet.running) {
             *ran |= !running.is_empty();
         }
     }
-    assert_eq!(most, 3, "the limit is used");
+    assert_eq!(peak, 3, "the limit is used");
     assert_eq!(ran, [true; 8], "every entry had a turn");
 }
 
 #[test]
 fn running_requests_count_after_a_share_shrank() {
     let mut fleet = Fleet::new(limits(1_000.0, 8), 2);
-    // The first entry fills the limit with long requests, then the other wants some too.
+    // The first entry fills the limit with long requests before the second one starts to send.
     for _ in 0..200 {
         fleet.step(&[8, 0], Duration::from_secs(8), &[false; 2]);
     }
     for _ in 0..400 {
         fleet.step(&[8, 8], Duration::from_secs(8), &[false; 2]);
-        assert!(fleet.in_flight() <= 8, "{} of 8 at once", fleet.in_flight());
+        assert!(
+            fleet.in_flight() <= 8,
+            "{} of 8 concurrent requests",
+            fleet.in_flight()
+        );
     }
     let second = fleet.entries[1].1.in_flight();
     assert!((3..=5).contains(&second), "{second} of 8 after a while");
 }
 
-/// Symptom: two entries together exceed the limit for a moment.
-/// Sequence: the answer with an entry's first, or a lower, share is lost; the other entry asks for all.
-/// Cause: the home counts the share it told, while the entry goes on with what it had.
+/// Guards against two entries exceeding the limit together for a moment. This happens if the reply with an entry's
+/// first share, or with a lower one, is lost while the other entry wants the whole limit: the home counts the share
+/// it granted, but the entry continues with the one it had.
 #[test]
-fn lost_answer_does_not_free_what_the_entry_still_uses() {
+fn lost_reply_does_not_free_a_share_still_in_use() {
     let at = MonoTime::from_millis;
     let (quiet, busy) = (InstanceId::from("quiet"), InstanceId::from("busy"));
     let share_of = |requests_per_s| Share {
@@ -252,26 +268,26 @@
     report(0, &busy, 0.0, None);
     let half = report(4_000, &busy, 1_000.0, None);
     assert!(half <= 50.0);
-    // Lost, so the quiet entry has an equal part of 50; no more than the rest may be given.
-    let told = report(4_050, &quiet, 0.0, None);
-    assert!(told <= 10.0, "{told} told");
+    // This reply is lost, so the quiet entry uses an equal share of 50, and only the rest may be granted.
+    let granted = report(4_050, &quiet, 0.0, None);
+    assert!(granted <= 10.0, "{granted} granted");
     let rest = report(4_100, &busy, 1_000.0, Some(half));
-    assert!(rest <= 50.0, "{rest} beside an equal part");
-    // Told again and not lost; the lower share counts only once the entry says that it has it.
-    let told = report(6_000, &quiet, 0.0, None);
+    assert!(rest <= 50.0, "{rest} beside an equal share");
+    // The next reply arrives, but the lower share counts only after the entry reports that it holds it.
+    let granted = report(6_000, &quiet, 0.0, None);
     let rest = report(6_100, &busy, 1_000.0, Some(rest));
-    assert!(rest <= 50.0, "{rest} beside an equal part");
-    report(6_500, &quiet, 0.0, Some(told));
+    assert!(rest <= 50.0, "{rest} beside an equal share");
+    report(6_500, &quiet, 0.0, Some(granted));
     let all = report(7_100, &busy, 1_000.0, Some(rest));
     assert!(all >= 90.0, "{all} once the other has its share");
-    // The busy entry's lower share is lost too: it goes on with what it had for as long as that lasts.
+    // The reply with the busy entry's lower share is lost too: it uses its old share until that expires.
     report(7_200, &busy, 0.0, Some(all));
-    let rest = report(7_300, &quiet, 1_000.0, Some(told));
+    let rest = report(7_300, &quiet, 1_000.0, Some(granted));
     assert!(all + rest <= 100.0 + 1e-9, "{all} and {rest}");
 }
 
 #[test]
-fn newcomer_and_lowered_limit_shrink_shares_at_once() {
+fn new_entry_and_lowered_limit_shrink_shares_at_once() {
     let now = MonoTime::from_millis(1);
     let mut bucket = ShareBucket::new(limits(100.0, 10), 4);
     let share = Share {
@@ -289,8 +305,8 @@
 }
 
 #[test]
-fn share_falls_to_the_equal_part_when_it_expires_and_rises_to_it_only_later() {
-    // Share, what is allowed while it lasts, after it expired, and once all shares of its time have.
+fn expired_share_falls_to_the_equal_share_at_once_and_rises_to_it_later() {
+    // Granted share, and what is allowed until it expires, after it expired, and after the equal share is reserved.
     for (share, fresh, expired, later) in [(80.0, 80.0, 25.0, 25.0), (5.0, 5.0, 5.0, 25.0)] {
         let mut bucket = ShareBucket::new(limits(100.0, 10), 4);
         let given = Share {
@@ -328,7 +344,7 @@
     let per_s = used / 100.0;
     assert!(
         (95.0..=100.0 * TOLERANCE).contains(&per_s),
-        "{per_s} of 100 a second"
+        "{per_s} of 100 cost units per second"
     );
 }
 
@@ -349,7 +365,7 @@
 }
 
 #[test]
-fn home_forgets_entries_that_are_gone() {
+fn home_removes_entries_that_stopped_reporting() {
     let mut home = LimitHome::new(limits(100.0, 10));
     for i in 0..100_000_u64 {
         let entry = InstanceId::from(format!("entry-{i}"));
--- a/crates/tc-policy/tests/support/mod.rs
+++ b/crates/tc-policy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Makers of the values that tests need, with usual contents.
+//! Builders of test values with typical contents.
 #![allow(
     dead_code,
     unreachable_pub,
@@ -23,7 +23,7 @@
     MonoTime::from_millis(millis)
 }
 
-/// An instance that is well.
+/// Returns an alive member.
 pub fn member(number: usize) -> Member {
     Member {
         id: format!("i{number}").into(),
@@ -82,7 +82,7 @@
     release(permit, Outcome::Answered, took)
 }
 
-/// The permit of an request that must be granted at once.
+/// Returns the permit of a request that must be granted immediately.
 #[track_caller]
 pub fn granted(home: &mut Home, now: MonoTime, request: PermitRequest) -> PermitId {
     match home.request_permit(now, request) {
--- a/crates/tc-policy/tests/support/traffic.rs
+++ b/crates/tc-policy/tests/support/traffic.rs
@@ -1,4 +1,4 @@
-//! Random traffic over one home, run as discrete events.
+//! Discrete-event simulation of random traffic at one home.
 
 use std::{cmp::Reverse, collections::BinaryHeap, collections::HashMap, time::Duration};
 
@@ -8,7 +8,7 @@
 
 use super::{answered, home, ms, request};
 
-/// One workspace's calls: a Poisson process, with service times spread evenly by half around the mean.
+/// One workspace's calls: a Poisson process with service times uniformly distributed within 50% of the mean.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
     pub name: &'static str,
@@ -18,25 +18,26 @@
     pub slack: Duration,
 }
 
-/// Calls that arrive before are not looked at: until the home has seen each workspace, it keeps nothing free for it.
+/// Latencies of calls that arrive earlier are ignored: a home keeps no headroom for a workspace that it has not seen
+/// yet.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// What became of the calls.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 pub struct Observed {
-    /// Times from request to end, in milliseconds, by workspace.
-    pub took_ms: HashMap<&'static str, Vec<f64>>,
+    /// Times from the request to the end of the call, in milliseconds, by workspace.
+    pub latencies_ms: HashMap<&'static str, Vec<f64>>,
     pub refused: HashMap<&'static str, u32>,
-    /// Service time given, by workspace, in milliseconds.
+    /// Total service time received by each workspace, in milliseconds.
     pub served_ms: HashMap<&'static str, f64>,
 }
 
 impl Observed {
-    /// 99th percentile over the calls of some workspaces, in milliseconds.
+    /// Returns the 99th percentile latency over the calls of the given workspaces, in milliseconds.
     pub fn p99(&self, names: &[&str]) -> f64 {
         let mut sorted: Vec<f64> = names
             .iter()
-            .flat_map(|name| self.took_ms[name].iter().copied())
+            .flat_map(|name| self.latencies_ms[name].iter().copied())
             .collect();
         sorted.sort_by(f64::total_cmp);
         sorted[(sorted.len() - 1) * 99 / 100]
@@ -45,12 +46,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(usize),
-    Ends(PermitId),
+    Arrival(usize),
+    End(PermitId),
 }
 
 struct Call {
-    who: usize,
+    workspace: usize,
     arrived: MonoTime,
     service: Duration,
 }
@@ -62,11 +63,11 @@
     events: BinaryHeap<Reverse<(MonoTime, Event)>>,
     waiting: HashMap<QueuedRequestKey, Call>,
     running: HashMap<PermitId, Call>,
-    seen: Observed,
+    observed: Observed,
 }
 
-/// Runs the traffic for `lasts` on an upstream with `slots`.
-pub fn simulate(seed: u64, slots: u32, traffic: &[Traffic], lasts: Duration) -> Observed {
+/// Simulates the traffic for `duration` on an upstream with `slots`.
+pub fn simulate(seed: u64, slots: u32, traffic: &[Traffic], duration: Duration) -> Observed {
     let mut simulation = Simulation {
         home: home(slots),
         traffic,
@@ -74,13 +75,13 @@
         events: BinaryHeap::new(),
         waiting: HashMap::new(),
         running: HashMap::new(),
-        seen: Observed::default(),
+        observed: Observed::default(),
     };
-    for who in 0..traffic.len() {
-        simulation.next_arrival(MonoTime(1), who);
+    for workspace in 0..traffic.len() {
+        simulation.schedule_arrival(MonoTime(1), workspace);
     }
-    simulation.run(MonoTime(1).after(lasts));
-    simulation.seen
+    simulation.run(MonoTime(1).after(duration));
+    simulation.observed
 }
 
 impl Simulation<'_> {
@@ -95,28 +96,28 @@
                 && let Some(Reverse((_, event))) = self.events.pop()
             {
                 match event {
-                    Event::Arrives(who) => self.arrives(now, who),
-                    Event::Ends(permit) => self.ends(now, permit),
+                    Event::Arrival(workspace) => self.on_arrival(now, workspace),
+                    Event::End(permit) => self.on_end(now, permit),
                 }
             }
             for event in self.home.poll(now) {
-                self.told(now, &event);
+                self.on_home_event(now, &event);
             }
         }
     }
 
-    fn next_arrival(&mut self, now: MonoTime, who: usize) {
-        let gap = -(1.0 - self.random.random::<f64>()).ln() / self.traffic[who].calls_per_s;
+    fn schedule_arrival(&mut self, now: MonoTime, workspace: usize) {
+        let gap = -(1.0 - self.random.random::<f64>()).ln() / self.traffic[workspace].calls_per_s;
         let at = now.after(Duration::from_secs_f64(gap));
-        self.events.push(Reverse((at, Event::Arrives(who))));
+        self.events.push(Reverse((at, Event::Arrival(workspace))));
     }
 
-    fn arrives(&mut self, now: MonoTime, who: usize) {
-        self.next_arrival(now, who);
-        let traffic = self.traffic[who];
+    fn on_arrival(&mut self, now: MonoTime, workspace: usize) {
+        self.schedule_arrival(now, workspace);
+        let traffic = self.traffic[workspace];
         let spread = self.random.random_range(0.5..1.5);
         let call = Call {
-            who,
+            workspace,
             arrived: now,
             service: Duration::from_secs_f64(traffic.service_ms * spread / 1_000.0),
         };
@@ -125,45 +126,49 @@
         new.slack = traffic.slack;
         new.estimate.busy_ms = traffic.service_ms;
         match self.home.request_permit(now, new) {
-            PermitDecision::Granted { permit, .. } => self.starts(now, permit, call),
+            PermitDecision::Granted { permit, .. } => self.start_call(now, permit, call),
             PermitDecision::Queued(key) => {
                 self.waiting.insert(key, call);
             }
-            _ => *self.seen.refused.entry(traffic.name).or_default() += 1,
+            _ => *self.observed.refused.entry(traffic.name).or_default() += 1,
         }
     }
 
-    fn starts(&mut self, now: MonoTime, permit: PermitId, call: Call) {
+    fn start_call(&mut self, now: MonoTime, permit: PermitId, call: Call) {
         let at = now.after(call.service);
-        self.events.push(Reverse((at, Event::Ends(permit))));
+        self.events.push(Reverse((at, Event::End(permit))));
         self.running.insert(permit, call);
     }
 
-    fn ends(&mut self, now: MonoTime, permit: PermitId) {
+    fn on_end(&mut self, now: MonoTime, permit: PermitId) {
         let call = self.running.remove(&permit).expect("it runs");
         self.home
             .release(now, &answered(permit, call.service))
             .expect("the permit is held");
-        let name = self.traffic[call.who].name;
+        let name = self.traffic[call.workspace].name;
         if call.arrived > MonoTime::default().after(WARM_UP) {
             let took = now.since(call.arrived).as_secs_f64() * 1_000.0;
-            self.seen.took_ms.entry(name).or_default().push(took);
+            self.observed
+                .latencies_ms
+                .entry(name)
+                .or_default()
+                .push(took);
         }
-        *self.seen.served_ms.entry(name).or_default() += call.service.as_secs_f64() * 1_000.0;
+        *self.observed.served_ms.entry(name).or_default() += call.service.as_secs_f64() * 1_000.0;
     }
 
-    fn told(&mut self, now: MonoTime, event: &HomeEvent) {
+    fn on_home_event(&mut self, now: MonoTime, event: &HomeEvent) {
         match event {
             HomeEvent::Granted {
                 request, permit, ..
             } => {
                 let call = self.waiting.remove(request).expect("it waits");
-                self.starts(now, *permit, call);
+                self.start_call(now, *permit, call);
             }
             HomeEvent::Dropped { request, .. } => {
                 let call = self.waiting.remove(request).expect("it waits");
-                let name = self.traffic[call.who].name;
-                *self.seen.refused.entry(name).or_default() += 1;
+                let name = self.traffic[call.workspace].name;
+                *self.observed.refused.entry(name).or_default() += 1;
             }
             HomeEvent::Expired { .. } => panic!("no permit expires: {:?}", ms(0)),
         }
