--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -18,7 +18,7 @@
     result_memory::ResultMemory,
     upstream::{BatchUpstream, UpstreamState},
 };
-use crate::{PacedSends, RetryBudget};
+use crate::{RetryBudget, SendPacer};
 
 slotmap::new_key_type! {
     /// Identifies a call in progress.
@@ -128,7 +128,7 @@
         limit_of: impl Fn(&UpstreamId) -> Option<RateLimit>,
     ) {
         for (id, upstream) in &mut self.upstreams {
-            PacedSends::take_up(&mut upstream.rate_limit, now, limit_of(id));
+            SendPacer::update_limit(&mut upstream.rate_limit, now, limit_of(id));
         }
     }
 
--- a/crates/tc-policy/src/batch/upstream.rs
+++ b/crates/tc-policy/src/batch/upstream.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{FailureDomain, MonoTime, UpstreamId};
 
-use crate::PacedSends;
+use crate::SendPacer;
 
 /// Pause after an upstream refused a call because it was full: about half a call, since calls from another home, or
 /// from this one before a restart, must end first. Each refused call spends as many repeats as it has pieces, so a
@@ -46,7 +46,7 @@
     /// Expected end of the call in progress.
     pub(super) busy_until: MonoTime,
     /// Set while the upstream announces a rate limit.
-    pub(super) rate_limit: Option<PacedSends>,
+    pub(super) rate_limit: Option<SendPacer>,
 }
 
 impl UpstreamState {
--- a/crates/tc-policy/src/engines/engine.rs
+++ b/crates/tc-policy/src/engines/engine.rs
@@ -5,7 +5,7 @@
 use tc_protocol::{FailureDomain, MonoTime};
 
 use super::prefix_cache::PrefixCache;
-use crate::{ColdLimit, PacedSends, RecentSends};
+use crate::{ColdLimit, RecentSends, SendPacer};
 
 /// Backoff after the first failed run; doubles with each consecutive failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(300);
@@ -37,7 +37,7 @@
     /// Measured time relative to the expected time; 2 is half as fast.
     pub(super) slowness: f64,
     /// Pacing while the engine announces a rate limit.
-    pub(super) rate_limit: Option<PacedSends>,
+    pub(super) rate_limit: Option<SendPacer>,
     failures: u32,
     retry_at: MonoTime,
 }
