--- a/crates/tc-bench/src/soak/callers.rs
+++ b/crates/tc-bench/src/soak/callers.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
-use tc_platform_adapter::outside::{CallerRequest, answered, request_text};
-use tc_protocol::routing::RepeatRule;
+use tc_platform_adapter::outside::{CallerRequest, request_text, response_origin};
+use tc_protocol::routing::RouteKind;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpStream,
@@ -39,7 +39,7 @@
 pub(super) struct Kind {
     /// Its route.
     pub(super) route: &'static str,
-    pub(super) repeat: RepeatRule,
+    pub(super) repeat: RouteKind,
     pub(super) staged: bool,
 }
 
@@ -47,27 +47,27 @@
 pub(super) const KINDS: [Kind; 5] = [
     Kind {
         route: "plain",
-        repeat: RepeatRule::NonIdempotent,
+        repeat: RouteKind::NonIdempotent,
         staged: false,
     },
     Kind {
         route: "safe",
-        repeat: RepeatRule::Idempotent,
+        repeat: RouteKind::Idempotent,
         staged: false,
     },
     Kind {
         route: "stream",
-        repeat: RepeatRule::Stream,
+        repeat: RouteKind::Stream,
         staged: false,
     },
     Kind {
         route: "resume",
-        repeat: RepeatRule::ResumableStream,
+        repeat: RouteKind::ResumableStream,
         staged: false,
     },
     Kind {
         route: "staged",
-        repeat: RepeatRule::Stream,
+        repeat: RouteKind::Stream,
         staged: true,
     },
 ];
@@ -77,7 +77,7 @@
 pub(super) struct Told {
     pub(super) request: String,
     pub(super) route: String,
-    pub(super) repeat: RepeatRule,
+    pub(super) repeat: RouteKind,
     pub(super) instance: usize,
     pub(super) sent: Instant,
     pub(super) ended: Instant,
@@ -168,7 +168,7 @@
         key: KEY,
         deadline: DEADLINE,
         pieces: kind.staged.then_some(PIECES),
-        prompt_family: kind.repeat.is_stream().then(|| family_of(id)),
+        shared_prefix: kind.repeat.is_stream().then(|| family_of(id)),
     });
     let sent = Instant::now();
     let mut told = Told {
@@ -221,7 +221,7 @@
     };
     told.status = head.code.unwrap_or(0);
     let headers = header_map(head.headers);
-    let (names, sealed) = answered(&headers);
+    let (names, sealed) = response_origin(&headers);
     told.names = names.map(str::to_owned);
     told.sealed = sealed;
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
--- a/crates/tc-bench/src/soak/drive.rs
+++ b/crates/tc-bench/src/soak/drive.rs
@@ -7,7 +7,7 @@
 };
 
 use nix::sys::signal::Signal;
-use tc_platform_adapter::outside::{object_spelling, ready_text};
+use tc_platform_adapter::outside::{ready_text, store_wire_format};
 use tc_stand_ins::{ObjectStore, StoreMode};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -110,7 +110,7 @@
 
 impl Soak {
     async fn start(binary: &SystemBinary, folder: &Path, plan: &Plan) -> Result<Self, BenchError> {
-        let store = ObjectStore::start(object_spelling()).await;
+        let store = ObjectStore::start(store_wire_format()).await;
         let seen = Arc::new(Seen::default());
         let mut upstreams = Vec::new();
         for service in [WEB, ENGINES, STAGE] {
--- a/crates/tc-bench/src/soak/faults.rs
+++ b/crates/tc-bench/src/soak/faults.rs
@@ -5,10 +5,10 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 use tc_platform_adapter::outside::{
-    CONFIG_KIND, CONFIG_NAME, EVACUATIONS_KIND, OutsideRoute, SpecialServices, UPSTREAMS_KIND,
+    CONFIG_KIND, CONFIG_NAME, ConfiguredRoute, EVACUATIONS_KIND, ServiceRoles, UPSTREAMS_KIND,
     config,
 };
-use tc_protocol::routing::RepeatRule;
+use tc_protocol::routing::RouteKind;
 use tc_stand_ins::StoreMode;
 use tokio::time::Instant;
 
@@ -45,9 +45,9 @@
     /// A new version keeps all routes of the callers and replaces the one that was added before.
     pub(super) fn write_config(&mut self) {
         self.version += 1;
-        let mut routes: Vec<OutsideRoute> = KINDS
+        let mut routes: Vec<ConfiguredRoute> = KINDS
             .iter()
-            .map(|kind| OutsideRoute {
+            .map(|kind| ConfiguredRoute {
                 name: kind.route.to_owned(),
                 service: if kind.repeat.is_stream() {
                     ENGINES
@@ -58,13 +58,13 @@
                 stage: kind.staged.then_some(STAGE),
             })
             .collect();
-        routes.push(OutsideRoute {
+        routes.push(ConfiguredRoute {
             name: added_route(self.version),
             service: WEB,
-            repeat: RepeatRule::Idempotent,
+            repeat: RouteKind::Idempotent,
             stage: None,
         });
-        let services = SpecialServices {
+        let services = ServiceRoles {
             batch: &[STAGE],
             engines: &[ENGINES],
         };
--- a/crates/tc-bench/src/soak/judge.rs
+++ b/crates/tc-bench/src/soak/judge.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use tc_protocol::routing::RepeatRule;
+use tc_protocol::routing::RouteKind;
 use tokio::time::Instant;
 
 use super::{
@@ -106,7 +106,7 @@
 fn may_repeat(told: &Told) -> bool {
     matches!(
         told.repeat,
-        RepeatRule::Idempotent | RepeatRule::ResumableStream
+        RouteKind::Idempotent | RouteKind::ResumableStream
     )
 }
 
@@ -123,7 +123,7 @@
             told.status, runs[0].upstream
         ));
     }
-    if runs.iter().any(|run| run.resumed) && told.repeat != RepeatRule::ResumableStream {
+    if runs.iter().any(|run| run.resumed) && told.repeat != RouteKind::ResumableStream {
         broken.push(format!("resumed: {id} must not go on elsewhere"));
     }
     broken
--- a/crates/tc-bench/src/soak/process.rs
+++ b/crates/tc-bench/src/soak/process.rs
@@ -53,7 +53,7 @@
         let name = format!("i{number}");
         let text = settings_text(&ProcessSettings {
             name: &name,
-            domain: "d",
+            failure_domain: "d",
             callers,
             ready,
             fleet_port: fleet.port(),
--- a/crates/tc-bench/src/soak/upstreams.rs
+++ b/crates/tc-bench/src/soak/upstreams.rs
@@ -8,8 +8,9 @@
 };
 
 use tc_platform_adapter::outside::{
-    SentOn, chunk, input_gone, leaving_header, limit_header, maker_spelling, not_run,
-    not_run_retry_after, sealed_headers, sent_on, stream_end, stream_head_with, upstream_entry,
+    ForwardedRequest, batch_wire_format, chunk, input_gone, leaving_header, limit_header, not_run,
+    not_run_retry_after, read_forwarded_request, sealed_headers, stream_end, stream_head_with,
+    upstream_entry,
 };
 use tc_stand_ins::{
     MakerConfig, ObjectStore, PieceMaker, Received, ResultShelf, Script, ScriptedServer, Step,
@@ -47,7 +48,7 @@
 
 impl Run {
     /// Records a request that arrives now.
-    fn now(upstream: &str, sent: &SentOn) -> Self {
+    fn now(upstream: &str, sent: &ForwardedRequest) -> Self {
         Self {
             request: sent.id.clone(),
             upstream: upstream.to_owned(),
@@ -129,7 +130,7 @@
     }
 
     /// Returns true if the upstream refuses the request with a backoff, and records the refusal.
-    fn refuse(&self, own: &str, sent: &SentOn) -> bool {
+    fn refuse(&self, own: &str, sent: &ForwardedRequest) -> bool {
         let refuses = lock(&self.refusing).contains(own);
         if refuses {
             lock(&self.refusals).push(Run::now(own, sent));
@@ -137,7 +138,7 @@
         refuses
     }
 
-    fn begin(&self, own: &str, sent: &SentOn) {
+    fn begin(&self, own: &str, sent: &ForwardedRequest) {
         if sent.upstream != own {
             lock(&self.misdirected)
                 .push(format!("{} at {own}, meant for {}", sent.id, sent.upstream));
@@ -173,7 +174,7 @@
     ) -> Self {
         let (server, address) = if service == STAGE {
             let shelf = Arc::clone(&seen.shelf);
-            let maker = PieceMaker::start(maker_spelling(), MakerConfig::default(), shelf).await;
+            let maker = PieceMaker::start(batch_wire_format(), MakerConfig::default(), shelf).await;
             let address = maker.address;
             (Kind::Maker(maker), address)
         } else {
@@ -221,7 +222,7 @@
 }
 
 fn answer(seen: &Seen, own: &str, service: &str, req: &Received) -> Script {
-    let sent = sent_on(req);
+    let sent = read_forwarded_request(req);
     let mode = seen.mode(own);
     if seen.refuse(own, &sent) {
         return not_run_retry_after(BACKOFF.as_secs_f64());
@@ -252,7 +253,7 @@
     script
 }
 
-fn plain(req: &Received, sent: &SentOn, headers: &str, work: Duration) -> Script {
+fn plain(req: &Received, sent: &ForwardedRequest, headers: &str, work: Duration) -> Script {
     let mut script = vec![Step::Pause(work)];
     let headers = sealed_headers(req) + headers;
     script.extend(whole_answer(200, &headers, &plain_body(&sent.id)));
@@ -269,7 +270,7 @@
     format!("{id}.{event}")
 }
 
-fn stream(req: &Received, sent: &SentOn, headers: &str, work: Duration) -> Script {
+fn stream(req: &Received, sent: &ForwardedRequest, headers: &str, work: Duration) -> Script {
     let mut script = vec![stream_head_with(req, headers)];
     for event in sent.resume_after + 1..=EVENTS {
         let data = event_data(&sent.id, event);
--- a/crates/tc-caller/src/http/caller.rs
+++ b/crates/tc-caller/src/http/caller.rs
@@ -60,7 +60,7 @@
     /// The deadline: the caller's, unless `longest` is less.
     pub(crate) fn deadline(&self, longest: Duration) -> Deadline {
         let wanted = self.headers.timeout.unwrap_or(MAX_TIMEOUT);
-        Deadline::in_from(self.arrival.at, wanted.min(longest))
+        Deadline::from_budget(self.arrival.at, wanted.min(longest))
     }
 
     /// The priority: the caller's or else `default`, never more urgent than its workspace may ask for.
--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -102,7 +102,7 @@
     body: Bytes,
     remaining: Duration,
 ) -> Result<CallerResponse, Failure> {
-    let entry = from.request.entry().ok_or_else(|| {
+    let entry = from.request.entry_instance().ok_or_else(|| {
         Failure::bad(format!(
             "header {} is not a request's identifier",
             wire::REQUEST_ID
--- a/crates/tc-caller/src/idempotency/once.rs
+++ b/crates/tc-caller/src/idempotency/once.rs
@@ -116,13 +116,13 @@
     });
     metrics::counter!("tc_claims_total", "verdict" => label(&verdict)).increment(1);
     let failure = match verdict {
-        ClaimVerdict::Ours { claim_id } => return Claimed::Ours(claim_id),
+        ClaimVerdict::Acquired { claim_id } => return Claimed::Ours(claim_id),
         ClaimVerdict::Recorded(recorded) => {
             cx.finish(None);
             return Claimed::Recorded(FinalAnswer::from_recorded(&recorded));
         }
         ClaimVerdict::Held => outcome_unknown(),
-        ClaimVerdict::OtherBody => key_reused(),
+        ClaimVerdict::BodyMismatch => key_reused(),
         ClaimVerdict::Unavailable => store_unavailable(),
     };
     cx.finish(Some(&failure));
@@ -215,20 +215,20 @@
 
 const fn words(verdict: &ClaimVerdict) -> &'static str {
     match verdict {
-        ClaimVerdict::Ours { .. } => "claimed in the platform's store",
+        ClaimVerdict::Acquired { .. } => "claimed in the platform's store",
         ClaimVerdict::Held => "another run holds the claim and has no outcome yet",
         ClaimVerdict::Recorded(_) => "found the recorded outcome",
-        ClaimVerdict::OtherBody => "the key was claimed with another body",
+        ClaimVerdict::BodyMismatch => "the key was claimed with another body",
         ClaimVerdict::Unavailable => "the platform's store cannot be reached",
     }
 }
 
 const fn label(verdict: &ClaimVerdict) -> &'static str {
     match verdict {
-        ClaimVerdict::Ours { .. } => "ours",
+        ClaimVerdict::Acquired { .. } => "ours",
         ClaimVerdict::Held => "held",
         ClaimVerdict::Recorded(_) => "recorded",
-        ClaimVerdict::OtherBody => "other-body",
+        ClaimVerdict::BodyMismatch => "other-body",
         ClaimVerdict::Unavailable => "unavailable",
     }
 }
--- a/crates/tc-caller/src/ports.rs
+++ b/crates/tc-caller/src/ports.rs
@@ -4,16 +4,19 @@
 
 use futures::future::BoxFuture;
 use tc_protocol::{
-    Ask, AskRefusal, ClaimKey, ClaimVerdict, Fingerprint, FleetView, Incarnation, InstanceId,
-    Permit, RecordedOutcome, ShareGuard, UpstreamId, WorkspaceName, wire::AddressAnswer,
+    ClaimKey, ClaimVerdict, Fingerprint, FleetView, Incarnation, InstanceId, Permit, PermitRefusal,
+    PermitRequest, RecordedOutcome, UpstreamId, WorkspaceLimitGuard, WorkspaceName,
+    wire::AddressAnswer,
 };
 
 /// Reads the current snapshot of the fleet; must not lock.
 pub type ViewPort = Arc<dyn Fn() -> Arc<FleetView> + Send + Sync>;
 /// Picks an upstream and asks its home for a permit; dropping the future cancels the ask.
-pub type AskPort = Arc<dyn Fn(Ask) -> BoxFuture<'static, Result<Permit, AskRefusal>> + Send + Sync>;
+pub type AskPort =
+    Arc<dyn Fn(PermitRequest) -> BoxFuture<'static, Result<Permit, PermitRefusal>> + Send + Sync>;
 /// Starts a request under its workspace's limits, or says after how long to ask again.
-pub type SharePort = Arc<dyn Fn(&WorkspaceName) -> Result<ShareGuard, Duration> + Send + Sync>;
+pub type SharePort =
+    Arc<dyn Fn(&WorkspaceName) -> Result<WorkspaceLimitGuard, Duration> + Send + Sync>;
 /// Claims a key for a body hash; gives up after the duration.
 pub type ClaimPort =
     Arc<dyn Fn(ClaimKey, u64, Duration) -> BoxFuture<'static, ClaimVerdict> + Send + Sync>;
--- a/crates/tc-caller/src/run/attempt.rs
+++ b/crates/tc-caller/src/run/attempt.rs
@@ -3,7 +3,8 @@
 use std::{future::Future, net::SocketAddr, sync::Arc, sync::OnceLock, time::Duration};
 
 use tc_protocol::{
-    Ask, AskRefusal, Attempt, Decision, Outcome, Permit, RefusalReason, RunState, UpstreamId,
+    Attempt, Decision, Outcome, Permit, PermitRefusal, PermitRequest, RefusalReason, RunState,
+    UpstreamId,
 };
 use tc_upstream::{CallError, CallErrorKind};
 
@@ -34,7 +35,7 @@
 
 /// An attempt that brought none.
 pub(crate) enum Lost {
-    Refused(AskRefusal),
+    Refused(PermitRefusal),
     Call(CallError),
 }
 
@@ -74,7 +75,7 @@
     let target = granted(cx, plan, this, &permit);
     if target.remaining.is_zero() {
         // The grant came after the deadline: dropping the permit gives it back as unused.
-        return Err(Lost::Refused(AskRefusal {
+        return Err(Lost::Refused(PermitRefusal {
             reason: RefusalReason::TooLate,
             retry_after: Duration::ZERO,
         }));
@@ -104,7 +105,7 @@
         stage: plan.stage.clone(),
         attempt: this.attempt,
         upstream: grant.upstream.clone(),
-        why: permit.why().to_owned(),
+        why: permit.selection_reason().to_owned(),
         waited_ms: grant.waited.as_secs_f64() * 1e3,
     });
     CallTarget {
@@ -115,8 +116,8 @@
     }
 }
 
-fn ask_for(cx: &RequestContext, plan: &StagePlan, facts: &InputFacts, this: &Try) -> Ask {
-    Ask {
+fn ask_for(cx: &RequestContext, plan: &StagePlan, facts: &InputFacts, this: &Try) -> PermitRequest {
+    PermitRequest {
         request: cx.id.clone(),
         attempt: this.attempt,
         workspace: cx.workspace.clone(),
@@ -127,12 +128,12 @@
         estimate: facts.estimate,
         prefix: facts.prefix,
         fingerprint: facts.fingerprint,
-        avoid: this.avoid.clone(),
+        excluded: this.avoid.clone(),
     }
 }
 
-fn refused(cx: &RequestContext, plan: &StagePlan, this: &Try, refusal: AskRefusal) -> Lost {
-    cx.note(Decision::AskRefused {
+fn refused(cx: &RequestContext, plan: &StagePlan, this: &Try, refusal: PermitRefusal) -> Lost {
+    cx.note(Decision::PermitRefused {
         stage: plan.stage.clone(),
         attempt: this.attempt,
         reason: refusal.reason,
--- a/crates/tc-caller/src/run/context.rs
+++ b/crates/tc-caller/src/run/context.rs
@@ -11,7 +11,7 @@
 
 use tc_protocol::{
     Cost, Deadline, Decision, FleetView, MonoTime, PipelineName, ProblemKind, RequestId, RunState,
-    ShareGuard, StageName, WorkspaceName,
+    StageName, WorkspaceLimitGuard, WorkspaceName,
 };
 use tc_telemetry::TraceContext;
 
@@ -45,7 +45,7 @@
     record: Arc<WorkspaceRecord>,
     run_state: AtomicU8,
     cost: Mutex<Cost>,
-    share: Mutex<Option<ShareGuard>>,
+    share: Mutex<Option<WorkspaceLimitGuard>>,
     finished: AtomicBool,
 }
 
@@ -112,7 +112,7 @@
         )
     }
 
-    pub(crate) fn hold_share(&self, guard: ShareGuard) {
+    pub(crate) fn hold_share(&self, guard: WorkspaceLimitGuard) {
         *lock(&self.share) = Some(guard);
     }
 
--- a/crates/tc-caller/tests/attempts.rs
+++ b/crates/tc-caller/tests/attempts.rs
@@ -55,7 +55,7 @@
     let mut latest = asks.iter().rev();
     let hedge = latest.find(|a| a.service.as_str() == "encode").unwrap();
     assert_eq!(hedge.attempt.0, 1);
-    assert_eq!(hedge.avoid, ["encode-1".into()]);
+    assert_eq!(hedge.excluded, ["encode-1".into()]);
 }
 
 /// Symptom: a stream begins late although another engine is idle.
--- a/crates/tc-caller/tests/support/fleet.rs
+++ b/crates/tc-caller/tests/support/fleet.rs
@@ -127,7 +127,7 @@
         failure_domain: "a".into(),
         region: "kl".into(),
         state: MemberState::Alive,
-        strength: Member::ordinary_strength(),
+        strength: Member::default_strength(),
     }
 }
 
--- a/crates/tc-caller/tests/support/ports.rs
+++ b/crates/tc-caller/tests/support/ports.rs
@@ -12,8 +12,9 @@
 use futures::FutureExt;
 use tc_caller::Ports;
 use tc_protocol::{
-    Ask, AskRefusal, ClaimKey, ClaimVerdict, Fingerprint, FleetConfig, FleetView, Grant, Permit,
-    PermitId, RecordedOutcome, RefusalReason, Release, ShareGuard, UpstreamId,
+    ClaimKey, ClaimVerdict, Fingerprint, FleetConfig, FleetView, Grant, Permit, PermitId,
+    PermitRefusal, PermitRequest, RecordedOutcome, RefusalReason, Release, UpstreamId,
+    WorkspaceLimitGuard,
     wire::{AddressAnswer, CallerAddress},
 };
 
@@ -28,7 +29,7 @@
 /// State behind the fake ports, and switches for their faults.
 pub(crate) struct Fakes {
     view: RwLock<Arc<FleetView>>,
-    pub(crate) asks: Mutex<Vec<Ask>>,
+    pub(crate) asks: Mutex<Vec<PermitRequest>>,
     pub(crate) releases: Mutex<Vec<(UpstreamId, Release)>>,
     pub(crate) crashed: Mutex<Vec<(Fingerprint, UpstreamId)>>,
     pub(crate) ran_whole: Mutex<Vec<Fingerprint>>,
@@ -114,12 +115,12 @@
     }
 
     /// Grants the first upstream of the service that is not to be avoided.
-    async fn ask(self: Arc<Self>, ask: Ask) -> Result<Permit, AskRefusal> {
+    async fn ask(self: Arc<Self>, ask: PermitRequest) -> Result<Permit, PermitRefusal> {
         self.asks.lock().unwrap().push(ask.clone());
         if self.mute_asks.load(Ordering::SeqCst) {
             std::future::pending::<()>().await;
         }
-        let refused = |reason| AskRefusal {
+        let refused = |reason| PermitRefusal {
             reason,
             retry_after: Duration::from_millis(1_500),
         };
@@ -132,7 +133,7 @@
         let upstream = view.upstreams[&ask.service]
             .iter()
             .map(|state| &state.upstream)
-            .find(|u| !ask.avoid.contains(&u.id))
+            .find(|u| !ask.excluded.contains(&u.id))
             .ok_or_else(|| refused(RefusalReason::NoUpstream))?;
         let grant = Grant {
             permit: PermitId(self.next.fetch_add(1, Ordering::SeqCst)),
@@ -152,13 +153,13 @@
         ))
     }
 
-    fn share(self: &Arc<Self>) -> Result<ShareGuard, Duration> {
+    fn share(self: &Arc<Self>) -> Result<WorkspaceLimitGuard, Duration> {
         if self.over_limit.load(Ordering::SeqCst) {
             return Err(Duration::from_millis(2_500));
         }
         self.shares.fetch_add(1, Ordering::SeqCst);
         let fakes = self.clone();
-        Ok(ShareGuard::new(move |units| {
+        Ok(WorkspaceLimitGuard::new(move |units| {
             fakes.shares.fetch_sub(1, Ordering::SeqCst);
             *fakes.charged.lock().unwrap() += units;
         }))
@@ -179,7 +180,7 @@
             outcome: None,
         };
         claims.insert(key, claim);
-        ClaimVerdict::Ours { claim_id }
+        ClaimVerdict::Acquired { claim_id }
     }
 
     fn record(&self, key: &ClaimKey, id: &str, outcome: RecordedOutcome) -> bool {
@@ -235,7 +236,7 @@
 impl Claim {
     fn verdict(&self, body_hash: u64) -> ClaimVerdict {
         match &self.outcome {
-            _ if self.body_hash != body_hash => ClaimVerdict::OtherBody,
+            _ if self.body_hash != body_hash => ClaimVerdict::BodyMismatch,
             Some(outcome) => ClaimVerdict::Recorded(outcome.clone()),
             None => ClaimVerdict::Held,
         }
--- a/crates/tc-fleet/src/convert.rs
+++ b/crates/tc-fleet/src/convert.rs
@@ -95,7 +95,7 @@
             region: record.region.as_str().into(),
             state: from_number(&MEMBER_STATES, record.state)?,
             strength: match record.strength {
-                0 => Member::ordinary_strength(),
+                0 => Member::default_strength(),
                 told => told,
             },
         },
--- a/crates/tc-fleet/src/entry/ask.rs
+++ b/crates/tc-fleet/src/entry/ask.rs
@@ -13,8 +13,8 @@
 use ractor::ActorRef;
 use tc_policy::HeldPermit;
 use tc_protocol::{
-    Ask, AskRefusal, FleetView, Grant, InstanceId, MonoTime, Outcome, Permit, PermitId,
-    RefusalReason, Release, UpstreamId,
+    FleetView, Grant, InstanceId, MonoTime, Outcome, Permit, PermitId, PermitRefusal,
+    PermitRequest, RefusalReason, Release, UpstreamId,
 };
 use tokio::sync::oneshot;
 
@@ -44,7 +44,7 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What an ask ends with when its slack runs out before anything else is known.
-const TOO_LATE: AskRefusal = AskRefusal {
+const TOO_LATE: PermitRefusal = PermitRefusal {
     reason: RefusalReason::TooLate,
     retry_after: RETRY_AFTER,
 };
@@ -78,7 +78,7 @@
     pub(super) preferred: Option<UpstreamId>,
     pub(super) refused: HashSet<UpstreamId>,
     pub(super) unreachable: HashSet<InstanceId>,
-    pub(super) last: Option<AskRefusal>,
+    pub(super) last: Option<PermitRefusal>,
 }
 
 impl AskDesk {
@@ -91,7 +91,7 @@
     }
 
     /// Gets a permit for some upstream of the service, or a refusal that means the call was not sent.
-    pub(crate) async fn ask(self: Arc<Self>, ask: Ask) -> Result<Permit, AskRefusal> {
+    pub(crate) async fn ask(self: Arc<Self>, ask: PermitRequest) -> Result<Permit, PermitRefusal> {
         if self.args.policy == AskPolicy::Baseline {
             return self.round_robin.ask(&self.args.view.load(), &ask);
         }
@@ -142,7 +142,7 @@
     /// `None`: the home cannot be reached.
     async fn ask_home(
         &self,
-        ask: &Ask,
+        ask: &PermitRequest,
         target: &Target,
         slack: Duration,
         may_redirect: bool,
@@ -170,7 +170,7 @@
 
     fn home_ask(
         &self,
-        ask: &Ask,
+        ask: &PermitRequest,
         number: u64,
         slack: Duration,
         may_redirect: bool,
@@ -199,7 +199,7 @@
 
     fn send_ask(
         &self,
-        ask: &Ask,
+        ask: &PermitRequest,
         target: &Target,
         home_ask: HomeAsk,
         deliver: Box<dyn FnOnce(Option<HomeAnswer>) + Send>,
@@ -253,7 +253,7 @@
             } => {
                 progress.failures += 1;
                 progress.refused.insert(id);
-                progress.last = Some(AskRefusal {
+                progress.last = Some(PermitRefusal {
                     reason,
                     retry_after,
                 });
@@ -265,7 +265,7 @@
     fn unreachable(&self, progress: &mut Progress, target: &Target) {
         progress.failures += 1;
         progress.unreachable.insert(target.home.clone());
-        progress.last = Some(AskRefusal {
+        progress.last = Some(PermitRefusal {
             reason: RefusalReason::HomeUnreachable,
             retry_after: RETRY_AFTER,
         });
@@ -275,7 +275,7 @@
 
     fn permit(
         &self,
-        ask: &Ask,
+        ask: &PermitRequest,
         target: &Target,
         granted: Granted,
         trial: Option<TrialGuard>,
@@ -312,7 +312,13 @@
     }
 
     /// Enters a granted permit into the table of those held here.
-    fn hold(&self, ask: &Ask, target: &Target, permit: PermitId, expires_in: Duration) -> HeldKey {
+    fn hold(
+        &self,
+        ask: &PermitRequest,
+        target: &Target,
+        permit: PermitId,
+        expires_in: Duration,
+    ) -> HeldKey {
         self.args.held.insert(Held {
             service: ask.service.clone(),
             upstream: target.state.upstream.id.clone(),
@@ -362,21 +368,21 @@
     matches!(verdict, HomeVerdict::Redirect { better: Some(better), .. } if better == upstream)
 }
 
-fn origin(ask: &Ask) -> Origin {
+fn origin(ask: &PermitRequest) -> Origin {
     Origin {
         workspace: ask.workspace.clone(),
         service: ask.service.clone(),
     }
 }
 
-fn no_upstream(progress: &Progress) -> AskRefusal {
-    progress.last.unwrap_or(AskRefusal {
+fn no_upstream(progress: &Progress) -> PermitRefusal {
+    progress.last.unwrap_or(PermitRefusal {
         reason: RefusalReason::NoUpstream,
         retry_after: RETRY_AFTER,
     })
 }
 
-fn ask_to_wire(ask: &Ask, upstream: &UpstreamId, home_ask: &HomeAsk) -> PermitAsk {
+fn ask_to_wire(ask: &PermitRequest, upstream: &UpstreamId, home_ask: &HomeAsk) -> PermitAsk {
     PermitAsk {
         ask: home_ask.ask,
         upstream: upstream.to_string(),
--- a/crates/tc-fleet/src/entry/baseline.rs
+++ b/crates/tc-fleet/src/entry/baseline.rs
@@ -5,7 +5,9 @@
     time::Duration,
 };
 
-use tc_protocol::{Ask, AskRefusal, FleetView, Grant, Permit, PermitId, RefusalReason};
+use tc_protocol::{
+    FleetView, Grant, Permit, PermitId, PermitRefusal, PermitRequest, RefusalReason,
+};
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -16,7 +18,11 @@
 }
 
 impl RoundRobin {
-    pub(crate) fn ask(&self, view: &FleetView, ask: &Ask) -> Result<Permit, AskRefusal> {
+    pub(crate) fn ask(
+        &self,
+        view: &FleetView,
+        ask: &PermitRequest,
+    ) -> Result<Permit, PermitRefusal> {
         let upstreams = view
             .upstreams
             .get(&ask.service)
@@ -24,10 +30,10 @@
             .unwrap_or_default();
         let usable: Vec<_> = upstreams
             .iter()
-            .filter(|state| !state.leaving && !ask.avoid.contains(&state.upstream.id))
+            .filter(|state| !state.leaving && !ask.excluded.contains(&state.upstream.id))
             .collect();
         if usable.is_empty() {
-            return Err(AskRefusal {
+            return Err(PermitRefusal {
                 reason: RefusalReason::NoUpstream,
                 retry_after: RETRY_AFTER,
             });
--- a/crates/tc-fleet/src/entry/target.rs
+++ b/crates/tc-fleet/src/entry/target.rs
@@ -3,7 +3,7 @@
 use std::{sync::atomic::Ordering::Relaxed, time::Duration};
 
 use tc_policy::{Candidate, Choice, choose};
-use tc_protocol::{Ask, FleetView, InstanceId, MonoTime, UpstreamState};
+use tc_protocol::{FleetView, InstanceId, MonoTime, PermitRequest, UpstreamState};
 
 use super::ask::{AskDesk, Progress, REDIRECTS};
 
@@ -15,7 +15,7 @@
 }
 
 impl AskDesk {
-    pub(super) fn target(&self, ask: &Ask, progress: &mut Progress) -> Option<Target> {
+    pub(super) fn target(&self, ask: &PermitRequest, progress: &mut Progress) -> Option<Target> {
         let view = self.args.view.load();
         let upstreams = view.upstreams.get(&ask.service)?;
         let now = MonoTime::now();
@@ -29,7 +29,7 @@
             .iter()
             .position(|c| Some(&c.state.upstream.id) == preferred.as_ref());
         let choice = match index {
-            Some(index) if !ask.avoid.contains(&usable[index].state.upstream.id) => Choice {
+            Some(index) if !ask.excluded.contains(&usable[index].state.upstream.id) => Choice {
                 index,
                 why: "redirected by a home",
             },
--- a/crates/tc-fleet/src/fleet.rs
+++ b/crates/tc-fleet/src/fleet.rs
@@ -7,8 +7,8 @@
 use tc_membership::addresses;
 use tc_platform::{Purpose, Store, StoreError};
 use tc_protocol::{
-    Ask, AskRefusal, Fingerprint, FleetView, InstanceId, MonoTime, Permit, RequestId, ShareGuard,
-    UpstreamId, UpstreamSummary, WorkspaceName,
+    Fingerprint, FleetView, InstanceId, MonoTime, Permit, PermitRefusal, PermitRequest, RequestId,
+    UpstreamId, UpstreamSummary, WorkspaceLimitGuard, WorkspaceName,
     wire::{AddressAnswer, CallerAddress},
 };
 use tc_upstream::UpstreamClient;
@@ -97,12 +97,15 @@
 
     /// Gets a permit to call some upstream of the asked service.
     #[must_use]
-    pub fn ask(&self, ask: Ask) -> BoxFuture<'static, Result<Permit, AskRefusal>> {
+    pub fn ask(&self, ask: PermitRequest) -> BoxFuture<'static, Result<Permit, PermitRefusal>> {
         Box::pin(Arc::clone(&self.inner.desk).ask(ask))
     }
 
     /// Counts one request against its workspace's limits; the error is when to ask again.
-    pub fn start_request(&self, workspace: &WorkspaceName) -> Result<ShareGuard, Duration> {
+    pub fn start_request(
+        &self,
+        workspace: &WorkspaceName,
+    ) -> Result<WorkspaceLimitGuard, Duration> {
         self.inner.parts.limits.start(workspace)
     }
 
@@ -175,7 +178,7 @@
     /// Explanation of a request as JSON, fetched from the instance that accepted it.
     pub async fn explain(&self, request: &RequestId) -> Option<String> {
         let view = self.view();
-        let member = view.member(&request.entry()?)?;
+        let member = view.member(&request.entry_instance()?)?;
         let mut client = self.inner.parts.peers.get(member).client();
         let question = timed(ExplainQuestion {
             request: request.to_string(),
--- a/crates/tc-fleet/src/limits.rs
+++ b/crates/tc-fleet/src/limits.rs
@@ -9,7 +9,9 @@
 use arc_swap::ArcSwap;
 use tc_membership::{addresses, home_of};
 use tc_policy::{Demand, LimitHome, Share, ShareBucket};
-use tc_protocol::{FleetView, InstanceId, Limits, Member, MonoTime, ShareGuard, WorkspaceName};
+use tc_protocol::{
+    FleetView, InstanceId, Limits, Member, MonoTime, WorkspaceLimitGuard, WorkspaceName,
+};
 
 use crate::{
     convert,
@@ -63,13 +65,13 @@
     }
 
     /// Starts one request of a workspace, or tells when to ask again.
-    pub(crate) fn start(&self, workspace: &WorkspaceName) -> Result<ShareGuard, Duration> {
+    pub(crate) fn start(&self, workspace: &WorkspaceName) -> Result<WorkspaceLimitGuard, Duration> {
         let Some(limited) = self.buckets.load().get(workspace).map(Arc::clone) else {
-            return Ok(ShareGuard::new(|_| ()));
+            return Ok(WorkspaceLimitGuard::new(|_| ()));
         };
         lock(&limited.bucket).try_start(MonoTime::now())?;
         let bucket = Arc::clone(&limited.bucket);
-        Ok(ShareGuard::new(move |cost_units| {
+        Ok(WorkspaceLimitGuard::new(move |cost_units| {
             lock(&bucket).end(MonoTime::now(), cost_units);
         }))
     }
--- a/crates/tc-fleet/src/mesh/engine_calls.rs
+++ b/crates/tc-fleet/src/mesh/engine_calls.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{
     Member, ServiceName,
-    routing::{EngineAsk, EngineChoice, RunReport},
+    routing::{EngineChoice, EngineRequest, RunReport},
 };
 use tonic::Request;
 
@@ -24,7 +24,7 @@
     pub async fn choose_engine(
         &self,
         home: &Member,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
     ) -> Result<Option<EngineChoice>, MeshError> {
         let mut req = Request::new(engine_ask_to_wire(ask, self.inner.limits.to_ask()));
         req.set_timeout(CHOICE_LIMIT);
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -12,8 +12,8 @@
 use tc_membership::{MembershipConfig, home_of};
 use tc_policy::HomeOutlook;
 use tc_protocol::{
-    AskRefusal, Fingerprint, InstanceId, Member, ServiceName, UpstreamId, WorkspaceName,
-    routing::{PiecesAsk, ResultHandle},
+    Fingerprint, InstanceId, Member, PermitRefusal, ServiceName, UpstreamId, WorkspaceName,
+    routing::{ResultHandle, StageRequest},
 };
 use tokio::{
     net::{TcpListener, UdpSocket},
@@ -205,7 +205,7 @@
     pub async fn make_pieces(
         &self,
         home: &Member,
-        ask: &PiecesAsk,
+        ask: &StageRequest,
     ) -> Result<PiecesAnswer, MeshError> {
         let mut req = Request::new(ask_to_wire(ask));
         req.set_timeout(ask.remaining + ASK_GRACE);
@@ -262,7 +262,7 @@
         service: &ServiceName,
         workspace: &WorkspaceName,
         slack: Duration,
-    ) -> Result<Option<SuspectRun>, AskRefusal> {
+    ) -> Result<Option<SuspectRun>, PermitRefusal> {
         let origin = Origin {
             workspace: workspace.clone(),
             service: service.clone(),
--- a/crates/tc-fleet/src/mesh/limits.rs
+++ b/crates/tc-fleet/src/mesh/limits.rs
@@ -8,7 +8,7 @@
 use tc_policy::{KnownLimits, LimitChange};
 use tc_protocol::{
     MonoTime, UpstreamId,
-    routing::{AnnouncedLimit, LimitNews, RateLimit},
+    routing::{AnnouncedLimit, RateLimit, RateLimitUpdate},
 };
 
 use crate::{convert, generated as wire};
@@ -118,7 +118,7 @@
     log::info!(upstream = upstream.as_str(), source = source, per_s = change.after.map(RateLimit::per_s), before_per_s = change.before.map(RateLimit::per_s); "upstream limit changed");
 }
 
-fn limit_to_wire(news: &LimitNews) -> wire::UpstreamLimit {
+fn limit_to_wire(news: &RateLimitUpdate) -> wire::UpstreamLimit {
     wire::UpstreamLimit {
         upstream: news.upstream.to_string(),
         per_s: news.limit.map(RateLimit::per_s),
@@ -127,12 +127,12 @@
 }
 
 /// Returns `None` for a rate that is none.
-fn limit_from_wire(news: &wire::UpstreamLimit) -> Option<LimitNews> {
+fn limit_from_wire(news: &wire::UpstreamLimit) -> Option<RateLimitUpdate> {
     let limit = match news.per_s {
         Some(per_s) => Some(RateLimit::new(per_s)?),
         None => None,
     };
-    Some(LimitNews {
+    Some(RateLimitUpdate {
         upstream: news.upstream.as_str().into(),
         limit,
         age: convert::from_millis(news.age_ms),
--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -6,8 +6,8 @@
 use tc_protocol::{
     Fingerprint, InstanceId, ServiceName,
     routing::{
-        ChainAsk, EngineAsk, EngineChoice, EngineNews, PieceInput, PiecesAsk, PiecesRefusal,
-        Prompt, PromptPart, ResultHandle, RouteStage, RunReport,
+        EngineChoice, EngineRequest, PieceInput, Prompt, PromptPart, ResultHandle, RouteStage,
+        RunProgress, RunReport, StageChain, StageRefusal, StageRequest,
     },
 };
 use thiserror::Error;
@@ -43,14 +43,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PiecesAnswer {
     /// The results in the order of the pieces, or why there are none.
-    pub reply: Result<Vec<ResultHandle>, PiecesRefusal>,
+    pub reply: Result<Vec<ResultHandle>, StageRefusal>,
     /// How the home stands; `None` where no home can tell.
     pub home: Option<HomeOutlook>,
     /// Whether the request was refused before and comes too late to be in time for its caller.
     pub is_late_return: bool,
 }
 
-pub(super) fn ask_to_wire(ask: &PiecesAsk) -> wire::PiecesAskMessage {
+pub(super) fn ask_to_wire(ask: &StageRequest) -> wire::PiecesAskMessage {
     let (input_key, input_results) = match &ask.input {
         PieceInput::Request(key) => (key.to_string(), Vec::new()),
         PieceInput::Results(results) => (String::new(), texts(results)),
@@ -63,80 +63,84 @@
         input_key,
         input_results,
         result_bytes: ask.result_bytes,
-        rank: u32::from(ask.rank),
-        in_time_for_ms: convert::millis(ask.in_time_for),
+        rank: u32::from(ask.priority),
+        in_time_for_ms: convert::millis(ask.until_latency_target),
         remaining_ms: convert::millis(ask.remaining),
         prefer: ask
-            .prefer
+            .preferred_domain
             .as_ref()
             .map(ToString::to_string)
             .unwrap_or_default(),
         held_bytes: ask.held_bytes,
         is_last_reader: ask.is_last_reader,
-        following: following_to_wire(&ask.following),
+        following: following_to_wire(&ask.dependents),
         chain: ask.chain.as_ref().map(chain_to_wire),
     }
 }
 
-pub(super) fn ask_from_wire(message: &wire::PiecesAskMessage) -> PiecesAsk {
+pub(super) fn ask_from_wire(message: &wire::PiecesAskMessage) -> StageRequest {
     let input = if message.input_results.is_empty() {
         PieceInput::Request(message.input_key.as_str().into())
     } else {
         PieceInput::Results(handles(&message.input_results).into())
     };
-    PiecesAsk {
+    StageRequest {
         request: message.request.as_str().into(),
         service: message.service.as_str().into(),
         stage: message.stage,
         pieces: message.pieces,
         input,
         result_bytes: message.result_bytes,
-        rank: message.rank.min(u32::from(u8::MAX)) as u8,
-        in_time_for: convert::from_millis(message.in_time_for_ms),
+        priority: message.rank.min(u32::from(u8::MAX)) as u8,
+        until_latency_target: convert::from_millis(message.in_time_for_ms),
         remaining: convert::from_millis(message.remaining_ms),
-        prefer: (!message.prefer.is_empty()).then(|| message.prefer.as_str().into()),
+        preferred_domain: (!message.prefer.is_empty()).then(|| message.prefer.as_str().into()),
         held_bytes: message.held_bytes,
         is_last_reader: message.is_last_reader,
-        following: following_from_wire(&message.following),
+        dependents: following_from_wire(&message.following),
         chain: message.chain.as_ref().and_then(chain_from_wire),
     }
 }
 
-fn chain_to_wire(chain: &ChainAsk) -> wire::Chain {
+fn chain_to_wire(chain: &StageChain) -> wire::Chain {
     let stages = chain.stages.iter().zip(&chain.pieces);
     wire::Chain {
         stages: stages
             .map(|(stage, pieces)| wire::ChainStage {
                 service: stage.service.to_string(),
-                after: stage.after.iter().map(|before| *before as u32).collect(),
+                after: stage
+                    .depends_on
+                    .iter()
+                    .map(|before| *before as u32)
+                    .collect(),
                 result_bytes: stage.result_bytes,
                 pieces: *pieces,
             })
             .collect(),
-        until_aim_ms: convert::millis(chain.until_aim),
-        until_left_ms: convert::millis(chain.until_left),
+        until_aim_ms: convert::millis(chain.until_latency_target),
+        until_left_ms: convert::millis(chain.remaining),
         fingerprint: chain.fingerprint.0,
     }
 }
 
 /// `None` when a stage does not follow earlier ones only: whoever walks such a chain would not come to its end.
-fn chain_from_wire(chain: &wire::Chain) -> Option<ChainAsk> {
+fn chain_from_wire(chain: &wire::Chain) -> Option<StageChain> {
     let stage = |(index, stage): (usize, &wire::ChainStage)| {
-        let after: Vec<usize> = stage.after.iter().map(|before| *before as usize).collect();
-        let is_sound = after.iter().all(|before| *before < index);
+        let depends_on: Vec<usize> = stage.after.iter().map(|before| *before as usize).collect();
+        let is_sound = depends_on.iter().all(|before| *before < index);
         is_sound.then(|| RouteStage {
             service: stage.service.as_str().into(),
-            after,
+            depends_on,
             result_bytes: stage.result_bytes,
         })
     };
     let stages: Option<Vec<RouteStage>> = chain.stages.iter().enumerate().map(stage).collect();
-    Some(ChainAsk {
+    Some(StageChain {
         fingerprint: Fingerprint(chain.fingerprint),
         stages: stages?,
         pieces: chain.stages.iter().map(|stage| stage.pieces).collect(),
-        until_aim: convert::from_millis(chain.until_aim_ms),
-        until_left: convert::from_millis(chain.until_left_ms),
+        until_latency_target: convert::from_millis(chain.until_aim_ms),
+        remaining: convert::from_millis(chain.until_left_ms),
     })
 }
 
@@ -154,7 +158,7 @@
 }
 
 pub(super) fn engine_ask_to_wire(
-    ask: &EngineAsk,
+    ask: &EngineRequest,
     limits: Vec<wire::UpstreamLimit>,
 ) -> wire::EngineAskMessage {
     let (part_ids, part_tokens) = ask.prompt.parts.iter().map(|p| (p.id, p.tokens)).unzip();
@@ -168,16 +172,16 @@
         part_tokens,
         input_domains,
         input_bytes,
-        except: ask.except.iter().map(ToString::to_string).collect(),
+        except: ask.excluded.iter().map(ToString::to_string).collect(),
         remaining_ms: convert::millis(ask.remaining),
         limits,
     }
 }
 
-pub(super) fn engine_ask_from_wire(message: &wire::EngineAskMessage) -> EngineAsk {
+pub(super) fn engine_ask_from_wire(message: &wire::EngineAskMessage) -> EngineRequest {
     let parts = message.part_ids.iter().zip(&message.part_tokens);
     let inputs = message.input_domains.iter().zip(&message.input_bytes);
-    EngineAsk {
+    EngineRequest {
         service: message.service.as_str().into(),
         prompt: Prompt {
             tokens_in: message.tokens_in,
@@ -192,7 +196,7 @@
         inputs: inputs
             .map(|(domain, bytes)| (domain.as_str().into(), *bytes))
             .collect(),
-        except: message.except.iter().map(|id| id.as_str().into()).collect(),
+        excluded: message.except.iter().map(|id| id.as_str().into()).collect(),
         remaining: convert::from_millis(message.remaining_ms),
     }
 }
@@ -222,10 +226,10 @@
 }
 
 pub(super) fn news_to_wire(report: &RunReport) -> wire::RunNews {
-    let (what, took) = match report.news {
-        EngineNews::FirstEvent(took) => (0, took),
-        EngineNews::Ended => (1, Duration::ZERO),
-        EngineNews::Failed => (2, Duration::ZERO),
+    let (what, took) = match report.progress {
+        RunProgress::FirstEvent(took) => (0, took),
+        RunProgress::Ended => (1, Duration::ZERO),
+        RunProgress::Failed => (2, Duration::ZERO),
     };
     wire::RunNews {
         run: report.run,
@@ -237,13 +241,13 @@
 /// News of a kind that is not known here, as of a later version, ends the run: nothing is then counted for ever.
 pub(super) fn news_from_wire(news: &wire::RunNews) -> RunReport {
     let what = match news.what {
-        0 => EngineNews::FirstEvent(convert::from_millis(news.took_ms)),
-        2 => EngineNews::Failed,
-        _ => EngineNews::Ended,
+        0 => RunProgress::FirstEvent(convert::from_millis(news.took_ms)),
+        2 => RunProgress::Failed,
+        _ => RunProgress::Ended,
     };
     RunReport {
         run: news.run,
-        news: what,
+        progress: what,
     }
 }
 
@@ -304,15 +308,15 @@
     let mut message = wire::PiecesAnswer::default();
     match answer.reply {
         Ok(results) => message.results = texts(&results),
-        Err(PiecesRefusal::Overloaded { retry_after }) => {
+        Err(StageRefusal::Overloaded { retry_after }) => {
             message.refusal = OVERLOADED;
             message.retry_after_ms = convert::millis(retry_after);
         }
-        Err(PiecesRefusal::InputGone) => message.refusal = INPUT_GONE,
-        Err(PiecesRefusal::Failed) => message.refusal = FAILED,
-        Err(PiecesRefusal::Late) => message.refusal = LATE,
-        Err(PiecesRefusal::NoUpstream) => message.refusal = NO_UPSTREAM,
-        Err(PiecesRefusal::Moved) => message.refusal = MOVED,
+        Err(StageRefusal::InputGone) => message.refusal = INPUT_GONE,
+        Err(StageRefusal::Failed) => message.refusal = FAILED,
+        Err(StageRefusal::Late) => message.refusal = LATE,
+        Err(StageRefusal::NoUpstream) => message.refusal = NO_UPSTREAM,
+        Err(StageRefusal::Moved) => message.refusal = MOVED,
     }
     message.home = answer.home.as_ref().map(outlook_to_wire);
     message.is_late_return = answer.is_late_return;
@@ -323,14 +327,14 @@
 pub(super) fn answer_from_wire(answer: &wire::PiecesAnswer) -> Option<PiecesAnswer> {
     let reply = match answer.refusal {
         0 => Ok(handles(&answer.results)),
-        OVERLOADED => Err(PiecesRefusal::Overloaded {
+        OVERLOADED => Err(StageRefusal::Overloaded {
             retry_after: convert::from_millis(answer.retry_after_ms),
         }),
-        INPUT_GONE => Err(PiecesRefusal::InputGone),
-        FAILED => Err(PiecesRefusal::Failed),
-        LATE => Err(PiecesRefusal::Late),
-        NO_UPSTREAM => Err(PiecesRefusal::NoUpstream),
-        MOVED => Err(PiecesRefusal::Moved),
+        INPUT_GONE => Err(StageRefusal::InputGone),
+        FAILED => Err(StageRefusal::Failed),
+        LATE => Err(StageRefusal::Late),
+        NO_UPSTREAM => Err(StageRefusal::NoUpstream),
+        MOVED => Err(StageRefusal::Moved),
         _ => return None,
     };
     Some(PiecesAnswer {
--- a/crates/tc-fleet/src/mesh/service.rs
+++ b/crates/tc-fleet/src/mesh/service.rs
@@ -7,7 +7,7 @@
 use tc_policy::HomeOutlook;
 use tc_protocol::{
     MonoTime, ServiceName,
-    routing::{EngineAsk, EngineChoice, PiecesAsk, ResultHandle, RunReport},
+    routing::{EngineChoice, EngineRequest, ResultHandle, RunReport, StageRequest},
 };
 use tokio::sync::oneshot;
 use tonic::{Request, Response, Status};
@@ -33,7 +33,7 @@
 };
 
 /// Chooses an engine for a prompt; `None` when none is known.
-pub type ChooseEngine = dyn Fn(&EngineAsk) -> Option<EngineChoice> + Send + Sync;
+pub type ChooseEngine = dyn Fn(&EngineRequest) -> Option<EngineChoice> + Send + Sync;
 /// Takes up what became of runs of a service.
 pub type TellRuns = dyn Fn(&ServiceName, &[RunReport]) + Send + Sync;
 
@@ -43,7 +43,7 @@
 /// What this instance does for others. Futures that are dropped cancel what they stand for.
 pub struct MeshHandlers {
     /// Makes the pieces of a stage as the home of its service.
-    pub make_pieces: Box<dyn Fn(PiecesAsk) -> BoxFuture<'static, PiecesAnswer> + Send + Sync>,
+    pub make_pieces: Box<dyn Fn(StageRequest) -> BoxFuture<'static, PiecesAnswer> + Send + Sync>,
     /// How the home of a service stands, if it is here.
     pub outlook: Box<TellOutlook>,
     /// Gives up results.
--- a/crates/tc-fleet/src/suspects/table.rs
+++ b/crates/tc-fleet/src/suspects/table.rs
@@ -9,7 +9,7 @@
 use futures::future::BoxFuture;
 use tc_policy::SuspectPolicy;
 use tc_protocol::{
-    AskRefusal, Fingerprint, InstanceId, MonoTime, RefusalReason, ServiceName, UpstreamId,
+    Fingerprint, InstanceId, MonoTime, PermitRefusal, RefusalReason, ServiceName, UpstreamId,
 };
 
 use super::{
@@ -103,7 +103,7 @@
         fingerprint: Fingerprint,
         origin: Origin,
         slack: Duration,
-    ) -> Result<Option<TrialGuard>, AskRefusal> {
+    ) -> Result<Option<TrialGuard>, PermitRefusal> {
         let started = MonoTime::now();
         if !self.reported.contains(started, fingerprint) {
             return Ok(None);
@@ -125,7 +125,7 @@
                     )));
                 }
                 Some(answer) => refusal(answer),
-                None => AskRefusal {
+                None => PermitRefusal {
                     reason: RefusalReason::HomeUnreachable,
                     retry_after: HOME_RETRY,
                 },
@@ -289,13 +289,13 @@
     }
 }
 
-fn refusal(answer: SuspectAnswer) -> AskRefusal {
+fn refusal(answer: SuspectAnswer) -> PermitRefusal {
     let reason = if answer.trial == QUARANTINED {
         RefusalReason::Quarantined
     } else {
         RefusalReason::TooLate
     };
-    AskRefusal {
+    PermitRefusal {
         reason,
         retry_after: convert::from_millis(answer.retry_after_ms),
     }
--- a/crates/tc-fleet/tests/fleet/common.rs
+++ b/crates/tc-fleet/tests/fleet/common.rs
@@ -6,7 +6,7 @@
 use tc_fleet::{AskPolicy, Fleet, FleetKeys, FleetSettings, LocalReport};
 use tc_platform::{Store, StoreSettings};
 use tc_protocol::{
-    Ask, Attempt, Cost, Fingerprint, Incarnation, Member, MemberState, RequestId,
+    Attempt, Cost, Fingerprint, Incarnation, Member, MemberState, PermitRequest, RequestId,
     wire::{CONFIG_KIND, CONFIG_NAME, ConfigFile, ConfigObject, ListedInstance, ListedState},
 };
 use tc_stand_ins::Platform;
@@ -58,7 +58,7 @@
             failure_domain: domain.into(),
             region: "kl".into(),
             state: MemberState::Alive,
-            strength: Member::ordinary_strength(),
+            strength: Member::default_strength(),
         };
         let settings = FleetSettings {
             me: member.clone(),
@@ -207,8 +207,8 @@
 }
 
 /// An ask for the service `encode`.
-pub(crate) fn ask(request: &str, slack: Duration) -> Ask {
-    Ask {
+pub(crate) fn ask(request: &str, slack: Duration) -> PermitRequest {
+    PermitRequest {
         request: RequestId::from(request),
         attempt: Attempt(0),
         workspace: "lintas".into(),
@@ -222,7 +222,7 @@
         },
         prefix: None,
         fingerprint: Fingerprint(7),
-        avoid: Vec::new(),
+        excluded: Vec::new(),
     }
 }
 
--- a/crates/tc-fleet/tests/fleet/suspects.rs
+++ b/crates/tc-fleet/tests/fleet/suspects.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tc_platform::remove_quarantined;
-use tc_protocol::{Ask, Cost, Fingerprint, Outcome, Permit, RefusalReason, RunState};
+use tc_protocol::{Cost, Fingerprint, Outcome, Permit, PermitRequest, RefusalReason, RunState};
 
 use tc_stand_ins::{Platform, Pool, PoolConfig, Recorder};
 
@@ -14,8 +14,8 @@
 const SLACK: Duration = Duration::from_secs(5);
 const SHORT: Duration = Duration::from_millis(250);
 
-fn crashing(slack: Duration) -> Ask {
-    Ask {
+fn crashing(slack: Duration) -> PermitRequest {
+    PermitRequest {
         fingerprint: Fingerprint(0xbad),
         ..ask("crashing", slack)
     }
--- a/crates/tc-gateway/src/cold.rs
+++ b/crates/tc-gateway/src/cold.rs
@@ -31,9 +31,9 @@
 
     /// What all instances together may send to one cold upstream of a service; `None` where none is fragile.
     pub(crate) fn limit(&self, service: &RoutedService) -> Option<ColdLimit> {
-        let cold = service.cold?;
+        let cold = service.cold_start?;
         let ColdAllowance { excess, slack } = self.allowance;
-        Some(ColdLimit::new(cold.bears_per_s, excess, slack))
+        Some(ColdLimit::new(cold.max_requests_per_s, excess, slack))
     }
 
     /// Whether this instance may send a request to an upstream by itself.
@@ -68,7 +68,7 @@
 
     /// Counts a request that this instance sends by itself.
     pub(crate) fn note(&self, service: &RoutedService, upstream: &UpstreamId) {
-        if service.cold.is_some() {
+        if service.cold_start.is_some() {
             let mut recent = self.lock();
             let sends = recent.entry(upstream.clone()).or_default();
             sends.note(MonoTime::now());
--- a/crates/tc-gateway/src/edges.rs
+++ b/crates/tc-gateway/src/edges.rs
@@ -9,7 +9,7 @@
 use tc_platform::KindDialect;
 use tc_protocol::{
     FailureDomain, MonoTime, Region, UpstreamId,
-    routing::{PieceOrder, PieceResult, RegisteredUpstream, ResultHandle, RoutingConfig},
+    routing::{PieceRequest, PieceResult, RegisteredUpstream, ResultHandle, RoutingConfig},
 };
 
 use crate::call::{AnswerHead, CallHead, HeadError, UpstreamHead};
@@ -52,7 +52,7 @@
     /// Headers of an answer of the system's own.
     pub own_headers: fn(&str) -> HeaderMap,
     /// A call that makes pieces.
-    pub batch_call: fn(&[PieceOrder], &UpstreamId) -> Request<Full<Bytes>>,
+    pub batch_call: fn(&[PieceRequest], &UpstreamId) -> Request<Full<Bytes>>,
     /// Decodes the answer of such a call; `None` when it does not fit.
     pub read_batch: fn(&[u8]) -> Option<Vec<PieceResult>>,
     /// A call that gives up results.
--- a/crates/tc-gateway/src/engines/ask.rs
+++ b/crates/tc-gateway/src/engines/ask.rs
@@ -5,7 +5,7 @@
 use tc_fleet::MeshError;
 use tc_protocol::{
     Member, UpstreamId,
-    routing::{EngineAsk, EngineChoice, RateLimit, RegisteredUpstream},
+    routing::{EngineChoice, EngineRequest, RateLimit, RegisteredUpstream},
 };
 
 use super::EngineRun;
@@ -23,7 +23,7 @@
 pub(crate) async fn ask_for_engine(
     cx: &RunContext,
     request: &str,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> Option<ChosenEngine> {
     cx.know_homes().await;
     let home = cx.mesh.home(ask.service.as_str(), &[]);
@@ -58,7 +58,7 @@
 
 fn chosen(
     cx: &RunContext,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
     choice: &EngineChoice,
     home: Option<Member>,
 ) -> Option<ChosenEngine> {
@@ -66,7 +66,7 @@
     let world = cx.world.load();
     let find = |id: &UpstreamId| find_ready(&world, ask, id);
     let may_send =
-        |id: &UpstreamId| !ask.except.contains(id) && cx.backoffs.remaining(id).is_none();
+        |id: &UpstreamId| !ask.excluded.contains(id) && cx.backoffs.remaining(id).is_none();
     Some(ChosenEngine {
         // The home may know less of who leaves than this instance does.
         upstream: find(&choice.upstream).filter(|engine| may_send(&engine.id))?,
@@ -79,7 +79,11 @@
     })
 }
 
-fn find_ready(world: &World, ask: &EngineAsk, id: &UpstreamId) -> Option<Arc<RegisteredUpstream>> {
+fn find_ready(
+    world: &World,
+    ask: &EngineRequest,
+    id: &UpstreamId,
+) -> Option<Arc<RegisteredUpstream>> {
     let engines = world.upstreams.of_service(ask.service.as_str());
     let found = engines.iter().find(|engine| engine.id == *id);
     found.filter(|engine| engine.takes_work()).cloned()
--- a/crates/tc-gateway/src/engines/homes.rs
+++ b/crates/tc-gateway/src/engines/homes.rs
@@ -9,7 +9,7 @@
 use tc_policy::{EngineCandidate, EnginePlanner};
 use tc_protocol::{
     MonoTime, ServiceName, UpstreamId,
-    routing::{EngineAsk, EngineChoice, EngineSpec, RunReport},
+    routing::{EngineChoice, EngineRequest, EngineSpec, RunReport},
 };
 
 use crate::{
@@ -49,12 +49,12 @@
     }
 
     /// Chooses an engine as the home of its service; `None` when there is none that may get the request.
-    pub(crate) fn choose(&self, ask: &EngineAsk) -> Option<EngineChoice> {
+    pub(crate) fn choose(&self, ask: &EngineRequest) -> Option<EngineChoice> {
         self.choose_by(ask, |planner| planner.choose(MonoTime::now(), ask))
     }
 
     /// Chooses an engine for a request of this instance, which cannot ask the home of the service.
-    pub(crate) fn choose_alone(&self, mesh: &Mesh, ask: &EngineAsk) -> Option<EngineChoice> {
+    pub(crate) fn choose_alone(&self, mesh: &Mesh, ask: &EngineRequest) -> Option<EngineChoice> {
         let world = self.world.load();
         let config = world.config.as_ref()?;
         let service = config.service(ask.service.as_str())?;
@@ -74,7 +74,7 @@
     /// `None` as well when the service has no engines.
     fn choose_by(
         &self,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         choose: impl FnOnce(&mut EnginePlanner) -> Option<EngineChoice>,
     ) -> Option<EngineChoice> {
         let world = self.world.load();
@@ -112,7 +112,7 @@
             return;
         };
         for report in news {
-            home.planner.note(now, report.run, report.news);
+            home.planner.note(now, report.run, report.progress);
         }
     }
 
--- a/crates/tc-gateway/src/engines/news.rs
+++ b/crates/tc-gateway/src/engines/news.rs
@@ -5,7 +5,7 @@
 use tc_fleet::Mesh;
 use tc_protocol::{
     InstanceId, Member, ServiceName,
-    routing::{EngineNews, RunReport},
+    routing::{RunProgress, RunReport},
 };
 use tokio::{sync::mpsc, time::sleep};
 
@@ -100,23 +100,23 @@
 
     /// The first event came.
     pub(crate) fn first_event(&self, took: Duration) {
-        self.tell(EngineNews::FirstEvent(took));
+        self.tell(RunProgress::FirstEvent(took));
     }
 
     /// The engine broke off, could not be reached, or was full.
     pub(crate) fn failed(&mut self) {
         self.ended = true;
-        self.tell(EngineNews::Failed);
+        self.tell(RunProgress::Failed);
     }
 
-    fn tell(&self, news: EngineNews) {
+    fn tell(&self, progress: RunProgress) {
         // Fails only when the process ends.
         let _ = self.news.0.send(Told {
             home: self.home.clone(),
             service: self.service.clone(),
             report: RunReport {
                 run: self.run,
-                news,
+                progress,
             },
         });
     }
@@ -125,7 +125,7 @@
 impl Drop for EngineRun {
     fn drop(&mut self) {
         if !self.ended {
-            self.tell(EngineNews::Ended);
+            self.tell(RunProgress::Ended);
         }
     }
 }
--- a/crates/tc-gateway/src/homes/calls.rs
+++ b/crates/tc-gateway/src/homes/calls.rs
@@ -80,7 +80,10 @@
     };
     let mut by_maker: HashMap<SocketAddr, Vec<ResultHandle>> = HashMap::new();
     for handle in handles.iter().filter(|handle| !is_evacuated(handle)) {
-        match handle.maker().and_then(|maker| maker.parse().ok()) {
+        match handle
+            .upstream_address()
+            .and_then(|maker| maker.parse().ok())
+        {
             Some(maker) => by_maker.entry(maker).or_default().push(handle.clone()),
             None => log::warn!(result = &*handle.0; "a result names no maker and cannot be freed"),
         }
--- a/crates/tc-gateway/src/homes/chains.rs
+++ b/crates/tc-gateway/src/homes/chains.rs
@@ -11,7 +11,7 @@
 use tc_policy::{ChainJudge, HomeOutlook};
 use tc_protocol::{
     MonoTime, ServiceName,
-    routing::{ChainAsk, PiecesAsk, PiecesRefusal},
+    routing::{StageChain, StageRefusal, StageRequest},
 };
 use tokio::{
     sync::Notify,
@@ -49,8 +49,8 @@
         &self,
         world: &World,
         home: &BatchHome,
-        ask: &mut PiecesAsk,
-    ) -> Result<bool, PiecesRefusal> {
+        ask: &mut StageRequest,
+    ) -> Result<bool, StageRefusal> {
         let Some(chain) = ask.chain.take() else {
             return Ok(false);
         };
@@ -63,19 +63,21 @@
                 known.wanted.insert(stage.service.clone(), now);
             }
             let first = ask.stage as usize;
-            known.judge.judge(now, &chain, ask.rank, first, &call_times)
+            known
+                .judge
+                .judge(now, &chain, ask.priority, first, &call_times)
         };
         self.wanted.notify_one();
         match judged {
             Ok(begun) => {
-                ask.in_time_for = begun.in_time_for;
+                ask.until_latency_target = begun.in_time_for;
                 Ok(begun.is_late_return)
             }
             Err(retry_after) => {
                 let service = ask.service.as_str().to_owned();
                 metrics::counter!("tc_stage_refusals_total", "service" => service).increment(1);
-                log::info!(request = &*ask.request, service = ask.service.as_str(), rank = ask.rank, until_aim_ms = chain.until_aim.as_millis() as u64, retry_after_ms = retry_after.as_millis() as u64; "stages are not worth beginning");
-                Err(PiecesRefusal::Overloaded { retry_after })
+                log::info!(request = &*ask.request, service = ask.service.as_str(), rank = ask.priority, until_aim_ms = chain.until_latency_target.as_millis() as u64, retry_after_ms = retry_after.as_millis() as u64; "stages are not worth beginning");
+                Err(StageRefusal::Overloaded { retry_after })
             }
         }
     }
@@ -97,10 +99,10 @@
 }
 
 /// Fixed time of a call of each stage, as configured.
-fn call_times(world: &World, chain: &ChainAsk) -> Vec<Duration> {
+fn call_times(world: &World, chain: &StageChain) -> Vec<Duration> {
     let call_time = |service: &ServiceName| {
         let config = world.config.as_ref()?;
-        Some(config.service(service.as_str())?.batch?.call_time)
+        Some(config.service(service.as_str())?.batch?.call_overhead)
     };
     let stages = chain.stages.iter();
     stages
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -11,7 +11,7 @@
 };
 use tc_protocol::{
     MonoTime, ServiceName, UpstreamId,
-    routing::{BatchSpec, PiecesAsk, PiecesRefusal, ResultHandle},
+    routing::{BatchSpec, ResultHandle, StageRefusal, StageRequest},
 };
 use tokio::{
     sync::{Notify, oneshot, watch::Receiver},
@@ -62,7 +62,7 @@
     }
 
     /// Makes the pieces of a stage. Dropping the future takes back what was not started.
-    pub(super) async fn make(self: Arc<Self>, ask: PiecesAsk) -> PiecesReply {
+    pub(super) async fn make(self: Arc<Self>, ask: StageRequest) -> PiecesReply {
         let now = MonoTime::now();
         let (reply, answer) = oneshot::channel();
         let request = Arc::clone(&ask.request);
@@ -87,7 +87,7 @@
         let answer = answer.await;
         cancel.keep();
         // The sender is dropped only with the home itself.
-        answer.unwrap_or(Err(PiecesRefusal::Failed))
+        answer.unwrap_or(Err(StageRefusal::Failed))
     }
 
     /// How this home stands, for requests that begin now.
@@ -234,20 +234,20 @@
     }
 }
 
-fn new_job(now: MonoTime, ask: PiecesAsk) -> NewJob {
+fn new_job(now: MonoTime, ask: StageRequest) -> NewJob {
     NewJob {
         request: ask.request,
         stage: ask.stage,
         pieces: ask.pieces,
         input: ask.input,
         result_bytes: ask.result_bytes,
-        rank: ask.rank,
-        in_time_until: now.after(ask.in_time_for),
+        rank: ask.priority,
+        in_time_until: now.after(ask.until_latency_target),
         deadline: now.after(ask.remaining),
-        prefer: ask.prefer,
+        prefer: ask.preferred_domain,
         held_bytes: ask.held_bytes,
         is_last_reader: ask.is_last_reader,
-        following: ask.following,
+        following: ask.dependents,
     }
 }
 
--- a/crates/tc-gateway/src/homes/mod.rs
+++ b/crates/tc-gateway/src/homes/mod.rs
@@ -14,7 +14,7 @@
 use tc_policy::HomeOutlook;
 use tc_protocol::{
     ServiceName,
-    routing::{PiecesAsk, PiecesRefusal, ResultHandle},
+    routing::{ResultHandle, StageRefusal, StageRequest},
 };
 use tc_upstream::UpstreamClient;
 
@@ -29,7 +29,7 @@
 use home::BatchHome;
 
 /// Answer to an ask for pieces.
-pub(crate) type PiecesReply = Result<Vec<ResultHandle>, PiecesRefusal>;
+pub(crate) type PiecesReply = Result<Vec<ResultHandle>, StageRefusal>;
 
 /// What every home needs.
 pub(crate) struct HomeContext {
@@ -60,7 +60,7 @@
     }
 
     /// Makes the pieces of a stage. Dropping the future takes back what was not started.
-    pub(crate) async fn make_pieces(&self, mut ask: PiecesAsk) -> PiecesAnswer {
+    pub(crate) async fn make_pieces(&self, mut ask: StageRequest) -> PiecesAnswer {
         match self.home(&ask.service) {
             Some(home) => {
                 let judged = self.chains.judge(&self.cx.world.load(), &home, &mut ask);
@@ -76,7 +76,7 @@
                 }
             }
             None => PiecesAnswer {
-                reply: Err(PiecesRefusal::NoUpstream),
+                reply: Err(StageRefusal::NoUpstream),
                 home: None,
                 is_late_return: false,
             },
--- a/crates/tc-gateway/src/routing.rs
+++ b/crates/tc-gateway/src/routing.rs
@@ -109,7 +109,7 @@
                 stage.service.clone(),
             ));
         }
-        if stage.after.iter().any(|before| *before >= index) {
+        if stage.depends_on.iter().any(|before| *before >= index) {
             return Err(RouteTableError::StageOrder(name(), index));
         }
     }
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -109,7 +109,7 @@
     ) -> bool {
         let allowed = match failure {
             SendFailure::NotRun | SendFailure::InputGone => true,
-            SendFailure::Unknown => req.route.repeat.may_repeat(),
+            SendFailure::Unknown => req.route.kind.allows_retry(),
             SendFailure::NoUpstream
             | SendFailure::Limited(_)
             | SendFailure::BackingOff(_)
--- a/crates/tc-gateway/src/run/home_ask.rs
+++ b/crates/tc-gateway/src/run/home_ask.rs
@@ -5,7 +5,7 @@
 use tc_fleet::PiecesAnswer;
 use tc_protocol::{
     InstanceId, Member, MemberState,
-    routing::{PiecesAsk, PiecesRefusal},
+    routing::{StageRefusal, StageRequest},
 };
 use tokio::time::Instant;
 
@@ -23,7 +23,7 @@
 ///
 /// Two homes for a moment make calls that are less full; they never make an answer wrong, as upstreams refuse calls
 /// when they have too many.
-pub(super) async fn ask_home(cx: &RunContext, ask: PiecesAsk) -> PiecesAnswer {
+pub(super) async fn ask_home(cx: &RunContext, ask: StageRequest) -> PiecesAnswer {
     let started = Instant::now();
     cx.know_homes().await;
     let mut failed: Vec<InstanceId> = Vec::new();
@@ -36,7 +36,7 @@
         if let Some(home) = &answer.home {
             cx.outlooks.note(&ask.service, home.clone());
         }
-        if answer.reply != Err(PiecesRefusal::Moved) || moves >= MOST_MOVES {
+        if answer.reply != Err(StageRefusal::Moved) || moves >= MOST_MOVES {
             return answer;
         }
         moves += 1;
@@ -45,13 +45,13 @@
 }
 
 /// An ask with the times that it has left after a while.
-fn later(ask: &PiecesAsk, elapsed: Duration) -> PiecesAsk {
+fn later(ask: &StageRequest, elapsed: Duration) -> StageRequest {
     let mut later = ask.clone();
-    later.in_time_for = later.in_time_for.saturating_sub(elapsed);
+    later.until_latency_target = later.until_latency_target.saturating_sub(elapsed);
     later.remaining = later.remaining.saturating_sub(elapsed);
     if let Some(chain) = &mut later.chain {
-        chain.until_aim = chain.until_aim.saturating_sub(elapsed);
-        chain.until_left = chain.until_left.saturating_sub(elapsed);
+        chain.until_latency_target = chain.until_latency_target.saturating_sub(elapsed);
+        chain.remaining = chain.remaining.saturating_sub(elapsed);
     }
     later
 }
@@ -59,7 +59,7 @@
 /// Asks the instance that is the home as far as is known here; `None` if it does not answer, which is noted in `failed`.
 async fn ask_once(
     cx: &RunContext,
-    ask: &PiecesAsk,
+    ask: &StageRequest,
     failed: &mut Vec<InstanceId>,
 ) -> Option<PiecesAnswer> {
     let key = ask.service.as_str();
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -17,7 +17,7 @@
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 use tc_fleet::{Mesh, SuspectRun};
 use tc_protocol::{
-    AskRefusal, Fingerprint, MemberState, RefusalReason, ServiceName, UpstreamId, WorkspaceName,
+    Fingerprint, MemberState, PermitRefusal, RefusalReason, ServiceName, UpstreamId, WorkspaceName,
     routing::{Route, RoutedWorkspace},
 };
 use tc_upstream::UpstreamClient;
@@ -131,7 +131,7 @@
     /// Time until the caller leaves if nothing has come: the request's time, or what its patience leaves of it.
     fn time_to_first(&self) -> Duration {
         let left = self.time_left();
-        let patience = self.route.patience.unwrap_or(left);
+        let patience = self.route.first_event_timeout.unwrap_or(left);
         left.min(patience.saturating_sub(self.arrived.elapsed()))
     }
 
@@ -189,7 +189,7 @@
         return own_answer(&cx.edges, &req.head.request, &refusal);
     }
     let req = Arc::new(req);
-    let answered = if req.route.repeat.is_stream() {
+    let answered = if req.route.kind.is_stream() {
         stream::run(Arc::clone(&cx), Arc::clone(&req)).await
     } else {
         plain::run(&cx, &req).await
@@ -209,7 +209,7 @@
     Ok(())
 }
 
-fn refused_suspect(refused: &AskRefusal) -> Refusal {
+fn refused_suspect(refused: &PermitRefusal) -> Refusal {
     let reason = match refused.reason {
         RefusalReason::Quarantined => "the request has crashed upstreams that ran it",
         _ => "the request may crash upstreams and another run of it is in progress",
--- a/crates/tc-gateway/src/run/plain.rs
+++ b/crates/tc-gateway/src/run/plain.rs
@@ -93,10 +93,10 @@
 }
 
 fn first_send_limit(req: &RoutedRequest, attempts: &Attempts) -> Option<Duration> {
-    let may_follow = req.route.repeat.may_repeat() && attempts.sent + 1 < req.route.max_attempts;
+    let may_follow = req.route.kind.allows_retry() && attempts.sent + 1 < req.route.max_attempts;
     may_follow.then(|| {
         let part = req.time_left().mul_f64(FIRST_SEND_PART);
-        part.max(req.route.aim)
+        part.max(req.route.latency_target)
     })
 }
 
--- a/crates/tc-gateway/src/run/refusal.rs
+++ b/crates/tc-gateway/src/run/refusal.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
-use tc_protocol::routing::PiecesRefusal;
+use tc_protocol::routing::StageRefusal;
 
 use super::{AnswerBody, RoutedRequest, whole};
 use crate::edges::Edges;
@@ -71,18 +71,18 @@
     }
 }
 
-impl From<PiecesRefusal> for Refusal {
+impl From<StageRefusal> for Refusal {
     /// A request whose stages were not made has not run, whatever became of its pieces.
-    fn from(refusal: PiecesRefusal) -> Self {
+    fn from(refusal: StageRefusal) -> Self {
         match refusal {
-            PiecesRefusal::Overloaded { retry_after } => {
+            StageRefusal::Overloaded { retry_after } => {
                 Self::not_run("a stage before the request has too much to do", retry_after)
             }
-            PiecesRefusal::InputGone => Self::not_run_now("results of a stage were lost"),
-            PiecesRefusal::Failed => Self::not_run_now("a stage before the request failed"),
-            PiecesRefusal::Late => Self::not_run_now("a stage could not be done in time"),
-            PiecesRefusal::Moved => Self::not_run_now("the home of a stage moves"),
-            PiecesRefusal::NoUpstream => Self::not_run_now("no upstream of a stage is known"),
+            StageRefusal::InputGone => Self::not_run_now("results of a stage were lost"),
+            StageRefusal::Failed => Self::not_run_now("a stage before the request failed"),
+            StageRefusal::Late => Self::not_run_now("a stage could not be done in time"),
+            StageRefusal::Moved => Self::not_run_now("the home of a stage moves"),
+            StageRefusal::NoUpstream => Self::not_run_now("no upstream of a stage is known"),
         }
     }
 }
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -6,7 +6,7 @@
 use tc_policy::{ExpectedStages, JudgedRequest, StageGraph};
 use tc_protocol::{
     FailureDomain, ServiceName,
-    routing::{ChainAsk, PieceInput, PiecesAsk, PiecesRefusal, ResultHandle, RouteStage},
+    routing::{PieceInput, ResultHandle, RouteStage, StageChain, StageRefusal, StageRequest},
 };
 
 use super::{RoutedRequest, RunContext, home_ask::ask_home};
@@ -44,7 +44,7 @@
 
     /// Results of the stages that no other stage follows, in their order.
     fn last(&self, stages: &[RouteStage]) -> Vec<ResultHandle> {
-        let is_read = |index| stages.iter().any(|stage| stage.after.contains(&index));
+        let is_read = |index| stages.iter().any(|stage| stage.depends_on.contains(&index));
         self.by_stage
             .iter()
             .enumerate()
@@ -96,9 +96,9 @@
 pub(super) async fn make_all(
     cx: &RunContext,
     req: &RoutedRequest,
-) -> Result<StageResults, PiecesRefusal> {
+) -> Result<StageResults, StageRefusal> {
     match make_once(cx, req).await {
-        Err(PiecesRefusal::InputGone) => {
+        Err(StageRefusal::InputGone) => {
             log::info!(request = &*req.head.request, after_ms = req.arrived.elapsed().as_millis() as u64; "results of a stage are gone; the stages are made again");
             metrics::counter!("tc_stages_remade_total").increment(1);
             make_once(cx, req).await
@@ -107,16 +107,16 @@
     }
 }
 
-async fn make_once(cx: &RunContext, req: &RoutedRequest) -> Result<StageResults, PiecesRefusal> {
+async fn make_once(cx: &RunContext, req: &RoutedRequest) -> Result<StageResults, StageRefusal> {
     let stages = &req.route.stages;
     let mut graph = StageGraph::new(stages, &req.head.pieces);
     let mut is_late_return = false;
-    let mut chain = Some(ChainAsk {
+    let mut chain = Some(StageChain {
         fingerprint: req.fingerprint(),
         stages: stages.clone(),
         pieces: (0..stages.len()).map(|stage| graph.pieces(stage)).collect(),
-        until_aim: in_time_for(cx, req, Duration::ZERO),
-        until_left: req.time_to_first(),
+        until_latency_target: in_time_for(cx, req, Duration::ZERO),
+        remaining: req.time_to_first(),
     });
     let mut held = HeldResults::new(cx.freer.clone(), stages);
     let mut running: FuturesUnordered<BoxFuture<'_, Made>> = FuturesUnordered::new();
@@ -126,7 +126,7 @@
             let mut ask = ask_for(cx, req, &graph, &held, stage);
             ask.chain = chain.take();
             if is_late_return {
-                ask.in_time_for = Duration::ZERO;
+                ask.until_latency_target = Duration::ZERO;
             }
             let inputs_given_up = ask.is_last_reader;
             running.push(Box::pin(async move {
@@ -167,7 +167,7 @@
     let call_time = |stage: &RouteStage| {
         let config = world.config.as_ref()?;
         let batch = config.service(stage.service.as_str())?.batch?;
-        Some(batch.call_time)
+        Some(batch.call_overhead)
     };
     let call_times: Vec<Duration> = graph
         .stages()
@@ -188,11 +188,11 @@
     graph: &StageGraph<'_>,
     held: &HeldResults,
     stage: usize,
-) -> PiecesAsk {
+) -> StageRequest {
     let spec = &req.route.stages[stage];
     let expected = expected(cx, req, graph);
     let results: Vec<ResultHandle> = spec
-        .after
+        .depends_on
         .iter()
         .flat_map(|before| held.by_stage[*before].1.iter().cloned())
         .collect();
@@ -201,22 +201,26 @@
     } else {
         PieceInput::Results(results.into())
     };
-    PiecesAsk {
+    StageRequest {
         request: Arc::clone(&req.head.request),
         service: spec.service.clone(),
         stage: stage as u32,
         pieces: graph.pieces(stage),
         input,
         result_bytes: spec.result_bytes,
-        rank: req.rank(),
-        in_time_for: in_time_for(cx, req, graph.time_after(stage, &expected.in_time)),
+        priority: req.rank(),
+        until_latency_target: in_time_for(cx, req, graph.time_after(stage, &expected.in_time)),
         remaining: req
             .time_to_first()
             .saturating_sub(cx.prompt_times.expect(req)),
-        prefer: preferred(cx, graph, held, stage),
-        held_bytes: spec.after.iter().map(|before| graph.size_of(*before)).sum(),
+        preferred_domain: preferred(cx, graph, held, stage),
+        held_bytes: spec
+            .depends_on
+            .iter()
+            .map(|before| graph.size_of(*before))
+            .sum(),
         is_last_reader: graph.is_last_reader(stage),
-        following: graph.following(stage),
+        dependents: graph.following(stage),
         chain: None,
     }
 }
@@ -230,12 +234,16 @@
 ) -> Option<FailureDomain> {
     let spec = &graph.stages()[stage];
     let pieces = u64::from(graph.pieces(stage));
-    let read: u64 = spec.after.iter().map(|before| graph.size_of(*before)).sum();
+    let read: u64 = spec
+        .depends_on
+        .iter()
+        .map(|before| graph.size_of(*before))
+        .sum();
     // Every piece reads all of it.
     if read * pieces < LARGE_BYTES {
         return None;
     }
-    let before = spec.after.iter().copied();
+    let before = spec.depends_on.iter().copied();
     let largest = before.max_by_key(|before| graph.size_of(*before))?;
     domain_of(cx, &held.by_stage[largest])
 }
@@ -243,7 +251,7 @@
 /// Time until a stage must be done so that what follows it can still be in time.
 fn in_time_for(cx: &RunContext, req: &RoutedRequest, following: Duration) -> Duration {
     req.route
-        .aim
+        .latency_target
         .saturating_sub(req.arrived.elapsed())
         .saturating_sub(following + cx.prompt_times.expect(req))
 }
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -97,9 +97,11 @@
 }
 
 fn first_event_limit(req: &RoutedRequest, attempts: &Attempts) -> Duration {
-    let may_follow = req.route.repeat.may_repeat() && attempts.sent + 1 < req.route.max_attempts;
+    let may_follow = req.route.kind.allows_retry() && attempts.sent + 1 < req.route.max_attempts;
     if may_follow {
-        req.time_left().mul_f64(FIRST_EVENT_PART).max(req.route.aim)
+        req.time_left()
+            .mul_f64(FIRST_EVENT_PART)
+            .max(req.route.latency_target)
     } else {
         // The call itself ends with the request's time.
         req.time_left() + LEAST_STALL
@@ -285,8 +287,8 @@
     /// How long a stream that can go on elsewhere may be silent.
     fn stall(&self) -> Option<Duration> {
         let may_follow =
-            self.req.route.repeat.may_repeat() && self.attempts.sent < self.req.route.max_attempts;
-        let pause = self.req.route.max_pause.unwrap_or(LEAST_STALL);
+            self.req.route.kind.allows_retry() && self.attempts.sent < self.req.route.max_attempts;
+        let pause = self.req.route.max_event_gap.unwrap_or(LEAST_STALL);
         may_follow.then(|| (pause * STALLED_PAUSES).max(LEAST_STALL))
     }
 
--- a/crates/tc-gateway/src/run/target.rs
+++ b/crates/tc-gateway/src/run/target.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc};
 
 use tc_policy::PickWish;
-use tc_protocol::routing::{EngineAsk, Prompt, RegisteredUpstream};
+use tc_protocol::routing::{EngineRequest, Prompt, RegisteredUpstream};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
@@ -54,19 +54,19 @@
         cx: &RunContext,
         req: &RoutedRequest,
         results: Option<&StageResults>,
-    ) -> Option<EngineAsk> {
+    ) -> Option<EngineRequest> {
         let prompt = req.head.prompt.clone()?;
         let world = cx.world.load();
         // The home may not have received these announcements yet.
         let leaving = world.upstreams.announced_leaving(&req.service);
         let backing_off = cx.backoffs.active();
-        Some(EngineAsk {
+        Some(EngineRequest {
             service: req.service.clone(),
             prompt,
             inputs: results
                 .map(|results| results.lie_in.clone())
                 .unwrap_or_default(),
-            except: self
+            excluded: self
                 .tried
                 .iter()
                 .chain(leaving)
@@ -86,7 +86,7 @@
     ) -> Result<Target, SendFailure> {
         let world = cx.world.load();
         let all = world.upstreams.of_service(req.service.as_str());
-        let kept = req.head.prompt.as_ref().and_then(Prompt::shared_key);
+        let kept = req.head.prompt.as_ref().and_then(Prompt::shared_prefix_id);
         let wish = PickWish {
             kept,
             domain: results.and_then(StageResults::largest_domain),
--- a/crates/tc-gateway/src/serve/callers.rs
+++ b/crates/tc-gateway/src/serve/callers.rs
@@ -146,7 +146,7 @@
         let service = target_of(&route, &head.request)
             .cloned()
             .ok_or_else(|| Refusal::not_run_now("the route names no service"))?;
-        if !self.stop.may_start(route.repeat.is_stream()) {
+        if !self.stop.may_start(route.kind.is_stream()) {
             return Err(Refusal::not_run(
                 "this instance is stopping",
                 STOPPING_RETRY,
@@ -218,7 +218,7 @@
         .key
         .as_ref()
         .and_then(|key| config.routing.keys.get(key));
-    if known.is_none() && config.routing.keys_needed && !route.public {
+    if known.is_none() && config.routing.keys_required && !route.public {
         let reason = "no workspace has this key";
         return Err(Refusal::plain(StatusCode::UNAUTHORIZED, reason));
     }
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -293,8 +293,8 @@
         let now = MonoTime::now();
         let cold_until = |service: &ServiceName| {
             let config = world.config.as_ref();
-            let cold = config.and_then(|config| config.service(service.as_str())?.cold);
-            cold.map_or_else(MonoTime::default, |cold| now.after(cold.lasts))
+            let cold = config.and_then(|config| config.service(service.as_str())?.cold_start);
+            cold.map_or_else(MonoTime::default, |cold| now.after(cold.duration))
         };
         let next = World {
             config: world.config.clone(),
--- a/crates/tc-gateway/src/world/tell.rs
+++ b/crates/tc-gateway/src/world/tell.rs
@@ -92,7 +92,7 @@
         let is_newer = world.evacuated.revision > known_evacuated;
         WorldNews {
             confirmed_ms: (confirmed != MonoTime::default() && world.is_known())
-                .then(|| confirmed.millis_from(self.received_at)),
+                .then(|| confirmed.millis_since(self.received_at)),
             config: config.map(|config| (Arc::clone(&config.raw), config.revision)),
             upstreams,
             evacuated: is_newer.then(|| EvacuatedDomains::clone(&world.evacuated)),
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -80,7 +80,7 @@
 
     /// Who keeps a result, if it is registered.
     pub(crate) fn maker_of(&self, result: &ResultHandle) -> Option<&Arc<RegisteredUpstream>> {
-        let address: SocketAddr = result.maker()?.parse().ok()?;
+        let address: SocketAddr = result.upstream_address()?.parse().ok()?;
         self.by_address.get(&address)
     }
 
--- a/crates/tc-gateway/tests/routing.rs
+++ b/crates/tc-gateway/tests/routing.rs
@@ -3,23 +3,23 @@
 use std::{sync::Arc, time::Duration};
 
 use tc_gateway::{RouteTable, RouteTableError};
-use tc_protocol::routing::{RepeatRule, Route, RouteStage, RoutedService, RoutingConfig};
+use tc_protocol::routing::{Route, RouteKind, RouteStage, RoutedService, RoutingConfig};
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
         name: name.into(),
         host: host.into(),
         path_prefix: prefix.into(),
-        repeat: RepeatRule::Idempotent,
+        kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(1),
-        aim: Duration::from_millis(100),
+        latency_target: Duration::from_millis(100),
         priority: 0,
         targets: vec![("s".into(), 1)],
         max_attempts: 1,
         stages: Vec::new(),
         public: false,
-        max_pause: None,
-        patience: None,
+        max_event_gap: None,
+        first_event_timeout: None,
     }
 }
 
@@ -29,7 +29,7 @@
         max_connections: 1,
         batch: None,
         engine: None,
-        cold: None,
+        cold_start: None,
     };
     RoutingConfig {
         routes: routes.into_iter().map(Arc::new).collect(),
@@ -85,7 +85,7 @@
     ));
     let stage = RouteStage {
         service: "s".into(),
-        after: vec![],
+        depends_on: vec![],
         result_bytes: 1,
     };
     let not_batch = config(vec![Route {
--- a/crates/tc-membership/src/membership/machine.rs
+++ b/crates/tc-membership/src/membership/machine.rs
@@ -30,7 +30,7 @@
 ///     failure_domain: "kl-a".into(),
 ///     region: "kl".into(),
 ///     state: MemberState::Alive,
-///     strength: Member::ordinary_strength(),
+///     strength: Member::default_strength(),
 /// };
 /// let now = MonoTime::from_millis(1);
 /// let mut a = Membership::new(MembershipConfig::default(), member("a", 7000), 1);
@@ -76,7 +76,7 @@
     ///     failure_domain: "kl-a".into(),
     ///     region: "kl".into(),
     ///     state: MemberState::Alive,
-    ///     strength: Member::ordinary_strength(),
+    ///     strength: Member::default_strength(),
     /// };
     /// let cfg = MembershipConfig::default();
     /// let mut first = Membership::new(cfg.clone(), member("kl-a-1", 8080), 1);
--- a/crates/tc-membership/tests/support/mod.rs
+++ b/crates/tc-membership/tests/support/mod.rs
@@ -28,7 +28,7 @@
         failure_domain: format!("kl-{}", index % DOMAINS).into(),
         region: "kl".into(),
         state: MemberState::Alive,
-        strength: Member::ordinary_strength(),
+        strength: Member::default_strength(),
     }
 }
 
--- a/crates/tc-operator/src/serve/control.rs
+++ b/crates/tc-operator/src/serve/control.rs
@@ -148,7 +148,7 @@
         failure_domain: settings.failure_domain.clone(),
         region: settings.region.clone(),
         state: MemberState::Alive,
-        strength: Member::ordinary_strength(),
+        strength: Member::default_strength(),
     }
 }
 
--- a/crates/tc-platform/examples/claim_rate.rs
+++ b/crates/tc-platform/examples/claim_rate.rs
@@ -128,7 +128,7 @@
     let started = Instant::now();
     let verdict = claims.claim(key.clone(), 1, WAIT).await;
     let took = started.elapsed().as_secs_f64() * 1e3;
-    let ClaimVerdict::Ours { claim_id } = verdict else {
+    let ClaimVerdict::Acquired { claim_id } = verdict else {
         return None;
     };
     let outcome = RecordedOutcome {
--- a/crates/tc-platform/src/claims/grant.rs
+++ b/crates/tc-platform/src/claims/grant.rs
@@ -37,7 +37,7 @@
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        let ClaimVerdict::Ours { claim_id } = &self.verdict else {
+        let ClaimVerdict::Acquired { claim_id } = &self.verdict else {
             return;
         };
         if let Some((key, requests)) = self.release.take() {
--- a/crates/tc-platform/src/claims/mod.rs
+++ b/crates/tc-platform/src/claims/mod.rs
@@ -124,7 +124,7 @@
 
     /// Claims a key for a request with this body, within `wait`; gives up sooner when the store cannot be reached.
     ///
-    /// [`ClaimVerdict::Ours`] must be acted on only before the request's deadline, and at most once. With
+    /// [`ClaimVerdict::Acquired`] must be acted on only before the request's deadline, and at most once. With
     /// [`ClaimVerdict::Unavailable`] the request must not run; a claim of ours that turns out to have been written
     /// is released, so that a resend may claim again.
     pub async fn claim(&self, key: ClaimKey, body_hash: u64, wait: Duration) -> ClaimVerdict {
--- a/crates/tc-platform/src/claims/op.rs
+++ b/crates/tc-platform/src/claims/op.rs
@@ -175,14 +175,14 @@
             ClaimVerdict::Recorded(outcome.as_ref().clone())
         }
         _ if !fresh => return Judged::Stale,
-        _ if entry.body != body => ClaimVerdict::OtherBody,
+        _ if entry.body != body => ClaimVerdict::BodyMismatch,
         _ => ClaimVerdict::Held,
     };
     Judged::Answer(Reply::Claim(verdict))
 }
 
 fn ours(claim_id: &Arc<str>) -> ClaimVerdict {
-    ClaimVerdict::Ours {
+    ClaimVerdict::Acquired {
         claim_id: claim_id.to_string(),
     }
 }
--- a/crates/tc-platform/tests/claim_shard/expiry.rs
+++ b/crates/tc-platform/tests/claim_shard/expiry.rs
@@ -39,7 +39,7 @@
     let replies = settle(shard, store, now);
     let reply = replies.into_iter().find(|(t, _)| *t == ticket).unwrap().1;
     match reply {
-        Reply::Claim(ClaimVerdict::Ours { .. }) => "ours",
+        Reply::Claim(ClaimVerdict::Acquired { .. }) => "ours",
         Reply::Claim(ClaimVerdict::Held) => "held",
         Reply::Claim(ClaimVerdict::Unavailable) => "unavailable",
         other => panic!("{other:?}"),
--- a/crates/tc-platform/tests/claim_shard/world.rs
+++ b/crates/tc-platform/tests/claim_shard/world.rs
@@ -210,18 +210,18 @@
         let key = call.key;
         if let Some(known) = &call.recorded_before {
             let same = verdict == ClaimVerdict::Recorded(known.as_ref().clone());
-            let other = verdict == ClaimVerdict::OtherBody && self.oracle.bodies[&key].len() > 1;
+            let other = verdict == ClaimVerdict::BodyMismatch && self.oracle.bodies[&key].len() > 1;
             assert!(same || other, "key {key} is recorded, yet: {verdict:?}");
         }
         match verdict {
-            ClaimVerdict::Ours { claim_id } => self.judge_ours(at, &call, claim_id.into()),
+            ClaimVerdict::Acquired { claim_id } => self.judge_ours(at, &call, claim_id.into()),
             ClaimVerdict::Recorded(outcome) => {
                 let known = self.oracle.outcomes.get(&key).map(Arc::as_ref);
                 assert_eq!(Some(&outcome), known, "outcome of key {key}");
                 // Whoever was told an outcome must not be told anything else later.
                 self.oracle.confirmed.insert(key, Arc::new(outcome));
             }
-            ClaimVerdict::OtherBody => {
+            ClaimVerdict::BodyMismatch => {
                 let bodies = &self.oracle.bodies[&key];
                 assert!(bodies.iter().any(|b| *b != call.body), "key {key}");
             }
--- a/crates/tc-platform/tests/claims.rs
+++ b/crates/tc-platform/tests/claims.rs
@@ -56,7 +56,7 @@
 
 async fn claim_ours(claims: &Claims, name: impl Into<String>) -> String {
     match claim(claims, name).await {
-        ClaimVerdict::Ours { claim_id } => claim_id,
+        ClaimVerdict::Acquired { claim_id } => claim_id,
         other => panic!("not ours: {other:?}"),
     }
 }
@@ -69,7 +69,7 @@
 async fn claim_released(claims: &Claims, name: &str) -> String {
     let claimed = async {
         loop {
-            if let ClaimVerdict::Ours { claim_id } = claim(claims, name).await {
+            if let ClaimVerdict::Acquired { claim_id } = claim(claims, name).await {
                 return claim_id;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -86,7 +86,7 @@
     for instance in [&a, &b] {
         assert_eq!(claim(instance, "k").await, ClaimVerdict::Held);
         let other = instance.claim(key("k"), BODY - 1, LONG).await;
-        assert_eq!(other, ClaimVerdict::OtherBody);
+        assert_eq!(other, ClaimVerdict::BodyMismatch);
     }
     let ran = outcome("done", RunState::Ran);
     let stolen = b.record(&key("k"), "not the claim", ran.clone()).await;
@@ -129,7 +129,7 @@
     for of_key in verdicts.chunks(all.len()) {
         let ours = of_key
             .iter()
-            .filter(|v| matches!(v, ClaimVerdict::Ours { .. }));
+            .filter(|v| matches!(v, ClaimVerdict::Acquired { .. }));
         let held = of_key.iter().filter(|v| **v == ClaimVerdict::Held);
         assert_eq!((ours.count(), held.count()), (1, 3));
     }
--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -24,12 +24,12 @@
 fn spec() -> BatchSpec {
     BatchSpec {
         slots: 1,
-        queue: 2,
+        queue_capacity: 2,
         max_pieces: 14,
-        call_time: Duration::from_millis(200),
+        call_overhead: Duration::from_millis(200),
         piece_time: Duration::from_millis(12),
-        room_bytes: 14 * RESULT_BYTES * 100 / 95 + 1,
-        result_life: Duration::from_secs(4),
+        result_capacity_bytes: 14 * RESULT_BYTES * 100 / 95 + 1,
+        result_ttl: Duration::from_secs(4),
         link_bytes_per_s: 1.25e9,
     }
 }
--- a/crates/tc-policy/examples/decision_rate.rs
+++ b/crates/tc-policy/examples/decision_rate.rs
@@ -8,8 +8,8 @@
 use rand::{SeedableRng, rngs::StdRng};
 use tc_policy::{AskVerdict, Candidate, Home, HomeConfig, HomeEvent, NewAsk, choose};
 use tc_protocol::{
-    Ask, Attempt, Cost, Fingerprint, MonoTime, Outcome, PermitId, Release, RunState, Upstream,
-    UpstreamState, UpstreamSummary, WorkspaceName,
+    Attempt, Cost, Fingerprint, MonoTime, Outcome, PermitId, PermitRequest, Release, RunState,
+    Upstream, UpstreamState, UpstreamSummary, WorkspaceName,
 };
 
 /// Workspaces that ask.
@@ -136,7 +136,7 @@
             distance_ms: (i % 4) as f64,
         })
         .collect();
-    let mut ask = Ask {
+    let mut ask = PermitRequest {
         request: "kl-a-1-1-1".into(),
         attempt: Attempt(0),
         workspace: "workspace-1".into(),
@@ -147,7 +147,7 @@
         estimate: cost(),
         prefix: None,
         fingerprint: Fingerprint(1),
-        avoid: vec!["generate-3".into()],
+        excluded: vec!["generate-3".into()],
     };
     let mut random = StdRng::seed_from_u64(1);
     let started = Instant::now();
--- a/crates/tc-policy/src/batch/choose.rs
+++ b/crates/tc-policy/src/batch/choose.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use tc_protocol::{FailureDomain, MonoTime, UpstreamId, routing::PieceOrder};
+use tc_protocol::{FailureDomain, MonoTime, UpstreamId, routing::PieceRequest};
 
 use super::{
     job::{Job, JobKey},
@@ -80,7 +80,7 @@
 
     /// Room for results that is left at an upstream.
     fn room_at(&self, id: &UpstreamId) -> u64 {
-        let usable = (self.spec.room_bytes as f64 * ROOM_PART) as u64;
+        let usable = (self.spec.result_capacity_bytes as f64 * ROOM_PART) as u64;
         let reserved = self.makers.get(id).map_or(0, |maker| maker.reserved);
         usable.saturating_sub(reserved + self.results.bytes_at(id))
     }
@@ -164,7 +164,7 @@
     /// Work given to a slow upstream only because it is free is late there, although the others would have come to it
     /// in time.
     fn is_better_left_idle(&self, now: MonoTime, maker: &Maker) -> bool {
-        let own = self.spec.call_time.mul_f64(maker.speed);
+        let own = self.spec.call_overhead.mul_f64(maker.speed);
         let faster: Vec<&Maker> = self
             .makers
             .values()
@@ -179,7 +179,7 @@
                     other.busy_until.since(now)
                 };
                 let start = start.max(other.wait_for_limit(now));
-                start + self.spec.call_time.mul_f64(other.speed)
+                start + self.spec.call_overhead.mul_f64(other.speed)
             })
             .min()
         else {
@@ -237,13 +237,13 @@
         now: MonoTime,
         pieces: &[(JobKey, u32)],
         domain: &FailureDomain,
-    ) -> Vec<PieceOrder> {
+    ) -> Vec<PieceRequest> {
         let mut orders = Vec::with_capacity(pieces.len());
         for (key, piece) in pieces {
             let job = &mut self.jobs[*key];
             job.waiting.retain(|waiting| waiting != piece);
-            job.placed_in(now, domain, self.spec.call_time);
-            orders.push(PieceOrder {
+            job.placed_in(now, domain, self.spec.call_overhead);
+            orders.push(PieceRequest {
                 request: job.new.request.clone(),
                 stage: job.new.stage,
                 piece: *piece,
--- a/crates/tc-policy/src/batch/ends.rs
+++ b/crates/tc-policy/src/batch/ends.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{
     MonoTime, UpstreamId,
-    routing::{PieceFailure, PieceResult, PiecesRefusal, ResultHandle},
+    routing::{PieceFailure, PieceResult, ResultHandle, StageRefusal},
 };
 
 use super::{
@@ -40,7 +40,7 @@
     /// Which one.
     pub job: JobKey,
     /// The results in the order of the pieces, or why there are none.
-    pub result: Result<Vec<ResultHandle>, PiecesRefusal>,
+    pub result: Result<Vec<ResultHandle>, StageRefusal>,
 }
 
 /// What the end of a call brought.
@@ -92,7 +92,7 @@
             .saturating_sub(call.kinds.iter().sum::<u64>());
         match end {
             CallEnd::Answered(results) => {
-                if results.contains(&Err(PieceFailure::NoRoom)) {
+                if results.contains(&Err(PieceFailure::ResultStoreFull)) {
                     maker.refused(now);
                 }
                 self.typical_call_s += TYPICAL_WEIGHT * (took.as_secs_f64() - self.typical_call_s);
@@ -129,16 +129,16 @@
             Ok(handle) => {
                 let bytes = job.new.result_bytes;
                 job.results[piece as usize] = Some(handle.clone());
-                let until = now.after(self.spec.result_life);
+                let until = now.after(self.spec.result_ttl);
                 self.results.keep(handle, maker, bytes, until);
                 self.finish_if_done(key, settled);
             }
-            Err(PieceFailure::Late) => self.refuse(key, PiecesRefusal::Late, settled),
+            Err(PieceFailure::Late) => self.refuse(key, StageRefusal::Late, settled),
             Err(PieceFailure::InputGone) => {
                 self.note_input_gone(key);
-                self.refuse(key, PiecesRefusal::InputGone, settled);
+                self.refuse(key, StageRefusal::InputGone, settled);
             }
-            Err(PieceFailure::NoRoom) => self.wait_again(now, key, piece, false, settled),
+            Err(PieceFailure::ResultStoreFull) => self.wait_again(now, key, piece, false, settled),
             Err(PieceFailure::Failed) => self.wait_again(now, key, piece, true, settled),
         }
     }
@@ -192,7 +192,7 @@
         };
         job.failures += u32::from(failed);
         if job.failures > MOST_FAILURES || !self.repeats.try_spend(now) {
-            self.refuse(key, PiecesRefusal::Failed, settled);
+            self.refuse(key, StageRefusal::Failed, settled);
             return;
         }
         self.put_back(key, piece, settled);
@@ -202,14 +202,14 @@
     fn put_back(&mut self, key: JobKey, piece: u32, settled: &mut Settled) {
         let job = &mut self.jobs[key];
         if job.has_no_inputs() {
-            self.refuse(key, PiecesRefusal::InputGone, settled);
+            self.refuse(key, StageRefusal::InputGone, settled);
             return;
         }
         job.inputs = Inputs::Kept;
         job.waiting.push_front(piece);
     }
 
-    pub(super) fn refuse(&mut self, key: JobKey, refusal: PiecesRefusal, settled: &mut Settled) {
+    pub(super) fn refuse(&mut self, key: JobKey, refusal: StageRefusal, settled: &mut Settled) {
         settled.unwanted.extend(self.cancel(key));
         settled.finished.push(Finished {
             job: key,
--- a/crates/tc-policy/src/batch/judge.rs
+++ b/crates/tc-policy/src/batch/judge.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use tc_protocol::{MonoTime, ServiceName, routing::ChainAsk};
+use tc_protocol::{MonoTime, ServiceName, routing::StageChain};
 
 use super::{
     outlook::HomeOutlook,
@@ -47,14 +47,14 @@
     pub fn judge(
         &mut self,
         now: MonoTime,
-        chain: &ChainAsk,
+        chain: &StageChain,
         rank: u8,
         first: usize,
         call_times: &[Duration],
     ) -> Result<Begun, Duration> {
         let aim = self.refused.aim_of(now, chain.fingerprint);
-        let aim = aim.unwrap_or_else(|| now.after(chain.until_aim));
-        let until_aim = aim.since(now).min(chain.until_aim);
+        let aim = aim.unwrap_or_else(|| now.after(chain.until_latency_target));
+        let until_aim = aim.since(now).min(chain.until_latency_target);
         let graph = StageGraph::new(&chain.stages, &chain.pieces);
         let request = JudgedRequest {
             graph: &graph,
@@ -63,7 +63,7 @@
             rank,
         };
         let expected = self.outlooks.expect(now, &request);
-        if let Err(retry_after) = graph.worth_beginning(&expected, until_aim, chain.until_left) {
+        if let Err(retry_after) = graph.worth_beginning(&expected, until_aim, chain.remaining) {
             self.refused.note(now, chain.fingerprint, aim);
             return Err(retry_after);
         }
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -114,7 +114,7 @@
         stage: usize,
     ) -> impl Iterator<Item = (usize, &'a Coming)> + 'a {
         let service = &graph.stages()[stage].service;
-        let before = graph.stages()[stage].after.iter().copied();
+        let before = graph.stages()[stage].depends_on.iter().copied();
         before.filter_map(move |before| {
             let told = self.told_of(now, graph, before)?;
             Some((before, told.coming.get(service)?))
--- a/crates/tc-policy/src/batch/piece_times.rs
+++ b/crates/tc-policy/src/batch/piece_times.rs
@@ -21,7 +21,7 @@
     /// Expected time of a call with pieces of these kinds, at ordinary speed.
     pub(super) fn expect(&self, spec: &BatchSpec, kinds: &[u64]) -> Duration {
         let pieces: f64 = kinds.iter().map(|kind| self.of(spec, *kind)).sum();
-        spec.call_time + Duration::from_secs_f64(pieces)
+        spec.call_overhead + Duration::from_secs_f64(pieces)
     }
 
     /// Learns from a call that took so long on an upstream of this speed.
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -5,7 +5,7 @@
 use slotmap::SlotMap;
 use tc_protocol::{
     FailureDomain, MonoTime, UpstreamId,
-    routing::{BatchSpec, PieceOrder, PiecesRefusal, RateLimit, ResultHandle},
+    routing::{BatchSpec, PieceRequest, RateLimit, ResultHandle, StageRefusal},
 };
 
 use super::{
@@ -43,7 +43,7 @@
     /// Who is to be called.
     pub upstream: UpstreamId,
     /// The pieces, in the order in which they are to be sent.
-    pub pieces: Vec<PieceOrder>,
+    pub pieces: Vec<PieceRequest>,
     /// When to give it up.
     pub limit: Duration,
 }
@@ -93,7 +93,7 @@
             repeats,
             demand: Demand::default(),
             last_refused: false,
-            typical_call_s: spec.call_time.as_secs_f64() * FIRST_TYPICAL,
+            typical_call_s: spec.call_overhead.as_secs_f64() * FIRST_TYPICAL,
             next_expiry: MonoTime::default(),
         }
     }
@@ -146,12 +146,12 @@
     }
 
     /// Takes up a job, or refuses it at once when it would most likely wait in vain.
-    pub fn push(&mut self, now: MonoTime, new: NewJob) -> Result<JobKey, PiecesRefusal> {
+    pub fn push(&mut self, now: MonoTime, new: NewJob) -> Result<JobKey, StageRefusal> {
         if !self.has_upstreams() {
-            return Err(PiecesRefusal::NoUpstream);
+            return Err(StageRefusal::NoUpstream);
         }
-        if new.deadline.since(now) < self.spec.call_time {
-            return Err(PiecesRefusal::Late);
+        if new.deadline.since(now) < self.spec.call_overhead {
+            return Err(StageRefusal::Late);
         }
         let mut job = Job::new(new);
         let done_after = self.wait_of(now, &job) + self.typical_call().mul_f64(NEXT_CALL);
@@ -166,14 +166,14 @@
             self.demand.add(now, self.work_of(&job));
         }
         if self.makes_in(job.new.prefer.as_ref()) {
-            job.stay(now, self.spec.call_time);
+            job.stay(now, self.spec.call_overhead);
         }
         Ok(self.jobs.insert(job))
     }
 
     /// A refusal with the time until what waits now is worked off: then a request that comes has the queue to itself.
-    fn overloaded(&self, now: MonoTime) -> PiecesRefusal {
-        PiecesRefusal::Overloaded {
+    fn overloaded(&self, now: MonoTime) -> StageRefusal {
+        StageRefusal::Overloaded {
             retry_after: self.expected_wait() + self.shortest_backoff(now),
         }
     }
@@ -212,7 +212,7 @@
             let job = &self.jobs[key];
             let work = self.work_of(job);
             if job.new.deadline <= now {
-                self.refuse(key, PiecesRefusal::Late, &mut settled);
+                self.refuse(key, StageRefusal::Late, &mut settled);
                 continue;
             }
             let wait = self.time_behind(now, place, before);
@@ -239,7 +239,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in untouched {
-            self.refuse(key, PiecesRefusal::Moved, &mut settled);
+            self.refuse(key, StageRefusal::Moved, &mut settled);
         }
         settled
     }
--- a/crates/tc-policy/src/batch/waits.rs
+++ b/crates/tc-policy/src/batch/waits.rs
@@ -34,7 +34,7 @@
             Duration::from_secs_f64(work / speed)
         } else if work > 0.0 {
             // All fail at the moment; one more call tells.
-            self.spec.call_time
+            self.spec.call_overhead
         } else {
             Duration::ZERO
         }
@@ -96,7 +96,7 @@
 
     /// Seconds that one piece takes of a full call.
     pub(super) fn share_of_call(&self, kind: u64) -> f64 {
-        let call = self.spec.call_time.as_secs_f64() / self.spec.max_pieces.max(1) as f64;
+        let call = self.spec.call_overhead.as_secs_f64() / self.spec.max_pieces.max(1) as f64;
         call + self.times.of(&self.spec, kind)
     }
 
@@ -109,6 +109,6 @@
         part: f64,
     ) -> bool {
         let most = job.new.deadline.since(now).mul_f64(part);
-        wait.is_zero() || wait + self.spec.call_time <= most
+        wait.is_zero() || wait + self.spec.call_overhead <= most
     }
 }
--- a/crates/tc-policy/src/choice.rs
+++ b/crates/tc-policy/src/choice.rs
@@ -1,7 +1,7 @@
 //! An entry's choice of upstream.
 
 use rand::RngExt;
-use tc_protocol::{Ask, UpstreamState, UpstreamSummary};
+use tc_protocol::{PermitRequest, UpstreamState, UpstreamSummary};
 
 use crate::rendezvous::hashed_score;
 
@@ -50,7 +50,7 @@
 
 /// Chooses an upstream for `ask`, or `None` when none may be used.
 ///
-/// Left out are upstreams that are leaving, have no home or are in `ask.avoid`, and ejected ones while others are
+/// Left out are upstreams that are leaving, have no home or are in `ask.excluded`, and ejected ones while others are
 /// left. A call with a prefix goes to the upstream that its prefix prefers, unless that one is busier than the
 /// others; any other goes to the better of two by wait and speed, and leaves the nearest failure domain only when
 /// the wait it saves exceeds the distance.
@@ -59,7 +59,7 @@
 /// that once measured slow would never be measured again, seen as a fleet that shrinks by one with every hiccup.
 pub fn choose(
     candidates: &[Candidate<'_>],
-    ask: &Ask,
+    ask: &PermitRequest,
     random: &mut impl rand::Rng,
 ) -> Option<Choice> {
     let usable: Vec<usize> = (0..candidates.len())
@@ -92,9 +92,9 @@
     Choice { index, why }
 }
 
-fn may_use(candidate: &Candidate<'_>, ask: &Ask) -> bool {
+fn may_use(candidate: &Candidate<'_>, ask: &PermitRequest) -> bool {
     let state = candidate.state;
-    !candidate.leaving && state.home.is_some() && !ask.avoid.contains(&state.upstream.id)
+    !candidate.leaving && state.home.is_some() && !ask.excluded.contains(&state.upstream.id)
 }
 
 fn is_ejected(candidate: &Candidate<'_>) -> bool {
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -5,7 +5,7 @@
 use slotmap::{Key, KeyData, SlotMap};
 use tc_protocol::{
     FailureDomain, MonoTime, UpstreamId,
-    routing::{EngineAsk, EngineChoice, EngineNews, EngineSpec, PromptPart, RateLimit},
+    routing::{EngineChoice, EngineRequest, EngineSpec, PromptPart, RateLimit, RunProgress},
 };
 
 use super::engine::Engine;
@@ -141,7 +141,7 @@
     }
 
     /// Chooses an engine as the home of the service; `None` when there is none that may get the request.
-    pub fn choose(&mut self, now: MonoTime, ask: &EngineAsk) -> Option<EngineChoice> {
+    pub fn choose(&mut self, now: MonoTime, ask: &EngineRequest) -> Option<EngineChoice> {
         let cold = self.cold;
         self.choose_among(now, ask, |_, engine| {
             let is_warm_enough = !engine.is_cold(now) || engine.bears_more(now, cold);
@@ -153,7 +153,7 @@
     pub fn choose_alone(
         &mut self,
         now: MonoTime,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         may: impl Fn(&UpstreamId) -> bool,
     ) -> Option<EngineChoice> {
         self.choose_among(now, ask, |id, engine| !engine.is_cold(now) && may(id))
@@ -162,7 +162,7 @@
     fn choose_among(
         &mut self,
         now: MonoTime,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         may: impl Fn(&UpstreamId, &Engine) -> bool,
     ) -> Option<EngineChoice> {
         self.forget_lost_runs(now);
@@ -201,12 +201,12 @@
     }
 
     /// Takes up what became of a run. News of runs that are not known changes nothing.
-    pub fn note(&mut self, now: MonoTime, run: u64, news: EngineNews) {
+    pub fn note(&mut self, now: MonoTime, run: u64, news: RunProgress) {
         let key = RunKey::from(KeyData::from_ffi(run));
         match news {
-            EngineNews::FirstEvent(took) => self.has_read(now, key, took),
-            EngineNews::Ended => self.end(now, key),
-            EngineNews::Failed => {
+            RunProgress::FirstEvent(took) => self.has_read(now, key, took),
+            RunProgress::Ended => self.end(now, key),
+            RunProgress::Failed => {
                 let upstream = self.runs.get(key).map(|run| run.upstream.clone());
                 self.end(now, key);
                 if let Some(engine) = upstream.and_then(|id| self.engines.get_mut(&id)) {
@@ -225,13 +225,13 @@
     fn best<'a>(
         &'a self,
         now: MonoTime,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         may: impl Fn(&UpstreamId, &Engine) -> bool,
     ) -> Option<Weighed<'a>> {
         let fit: Vec<(Fitness, &UpstreamId, &Engine)> = self
             .engines
             .iter()
-            .filter(|(id, engine)| engine.ready && !ask.except.contains(id) && may(id, engine))
+            .filter(|(id, engine)| engine.ready && !ask.excluded.contains(id) && may(id, engine))
             .map(|(id, engine)| (self.fitness(now, engine), id, engine))
             .collect();
         let fittest = fit.iter().map(|(fitness, ..)| *fitness).min()?;
@@ -270,7 +270,7 @@
     fn weigh<'a>(
         &self,
         now: MonoTime,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         id: &'a UpstreamId,
         engine: &Engine,
         sources: &[(u32, &'a UpstreamId)],
@@ -299,7 +299,7 @@
             + again.mul_f64(AGAIN)
             + FETCH_PER_TOKEN * (kept - here.min(kept))
             + AWAY_PER_MB.mul_f64(away as f64 / BYTES_PER_MB);
-        let key = ask.prompt.shared_key().unwrap_or_default();
+        let key = ask.prompt.shared_prefix_id().unwrap_or_default();
         Weighed {
             id,
             read,
@@ -376,6 +376,6 @@
     }
 
     fn most_kept(&self) -> u64 {
-        (self.spec.memory_tokens as f64 * KEPT_PART) as u64
+        (self.spec.kv_cache_tokens as f64 * KEPT_PART) as u64
     }
 }
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -119,7 +119,7 @@
     /// Stages whose results have been read by everyone, now that this one is made.
     #[must_use]
     pub fn read_by_all(&self, made: usize) -> Vec<usize> {
-        let before = self.stages[made].after.iter().copied();
+        let before = self.stages[made].depends_on.iter().copied();
         before
             .filter(|read| self.followers(*read).all(|stage| self.is_over(stage)))
             .collect()
@@ -128,7 +128,7 @@
     /// Whether a stage is the only one left that reads its inputs.
     #[must_use]
     pub fn is_last_reader(&self, stage: usize) -> bool {
-        let mut before = self.stages[stage].after.iter();
+        let mut before = self.stages[stage].depends_on.iter();
         before.all(|read| {
             let mut others = self.followers(*read).filter(|other| *other != stage);
             others.all(|other| self.is_over(other))
@@ -138,7 +138,8 @@
     /// Time of the longest chain of stages still to be made, given each stage's own.
     #[must_use]
     pub fn time_of_all(&self, times: &[Duration]) -> Duration {
-        let first = (0..self.stages.len()).filter(|stage| self.stages[*stage].after.is_empty());
+        let first =
+            (0..self.stages.len()).filter(|stage| self.stages[*stage].depends_on.is_empty());
         first
             .map(|stage| self.time_of(stage, times) + self.time_after(stage, times))
             .max()
@@ -157,7 +158,7 @@
     /// Time of the longest chain still to be made before a stage.
     #[must_use]
     pub fn time_before(&self, stage: usize, times: &[Duration]) -> Duration {
-        let before = self.stages[stage].after.iter().copied();
+        let before = self.stages[stage].depends_on.iter().copied();
         before
             .map(|before| self.time_of(before, times) + self.time_before(before, times))
             .max()
@@ -193,12 +194,12 @@
     }
 
     fn has_inputs(&self, stage: usize) -> bool {
-        let mut before = self.stages[stage].after.iter();
+        let mut before = self.stages[stage].depends_on.iter();
         before.all(|stage| self.is_over(*stage))
     }
 
     fn followers(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
-        (0..self.stages.len()).filter(move |next| self.stages[*next].after.contains(&stage))
+        (0..self.stages.len()).filter(move |next| self.stages[*next].depends_on.contains(&stage))
     }
 
     /// Number of stages on the longest chain that begins with this one.
--- a/crates/tc-policy/src/upstream_limit/known.rs
+++ b/crates/tc-policy/src/upstream_limit/known.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{
     MonoTime, UpstreamId,
-    routing::{LimitNews, RateLimit},
+    routing::{RateLimit, RateLimitUpdate},
 };
 
 /// Time for which other instances are told that a limit is gone.
@@ -106,20 +106,20 @@
 
     /// Returns what other instances are to be told of the upstream.
     #[must_use]
-    pub fn news_of(&self, now: MonoTime, upstream: &UpstreamId) -> Option<LimitNews> {
+    pub fn news_of(&self, now: MonoTime, upstream: &UpstreamId) -> Option<RateLimitUpdate> {
         let known = self.by_upstream.get(upstream)?;
         Some(known.news(now, upstream))
     }
 
     /// Returns at most `most` announcements of the last `max_age`, newest first.
     #[must_use]
-    pub fn recent(&self, now: MonoTime, max_age: Duration, most: usize) -> Vec<LimitNews> {
+    pub fn recent(&self, now: MonoTime, max_age: Duration, most: usize) -> Vec<RateLimitUpdate> {
         self.newest(now, most, |known| now.since(known.announced_at) < max_age)
     }
 
     /// Returns at most `most` limits in force, the newest first.
     #[must_use]
-    pub fn in_force(&self, now: MonoTime, most: usize) -> Vec<LimitNews> {
+    pub fn in_force(&self, now: MonoTime, most: usize) -> Vec<RateLimitUpdate> {
         self.newest(now, most, |known| known.limit.is_some())
     }
 
@@ -128,7 +128,7 @@
         now: MonoTime,
         most: usize,
         is_wanted: impl Fn(&Known) -> bool,
-    ) -> Vec<LimitNews> {
+    ) -> Vec<RateLimitUpdate> {
         let wanted = self
             .by_upstream
             .iter()
@@ -141,7 +141,7 @@
     }
 
     /// Returns at most `most` announcements for other instances, those first that were not gossiped for longest.
-    pub fn to_gossip(&mut self, now: MonoTime, most: usize) -> Vec<LimitNews> {
+    pub fn to_gossip(&mut self, now: MonoTime, most: usize) -> Vec<RateLimitUpdate> {
         let mut due: Vec<(&UpstreamId, &mut Known)> = self
             .by_upstream
             .iter_mut()
@@ -168,8 +168,8 @@
         self.limit.is_some() || now.since(self.announced_at) < LIFTED_NEWS_LIFE
     }
 
-    fn news(&self, now: MonoTime, upstream: &UpstreamId) -> LimitNews {
-        LimitNews {
+    fn news(&self, now: MonoTime, upstream: &UpstreamId) -> RateLimitUpdate {
+        RateLimitUpdate {
             upstream: upstream.clone(),
             limit: self.limit,
             age: now.since(self.announced_at),
--- a/crates/tc-policy/tests/batch/common.rs
+++ b/crates/tc-policy/tests/batch/common.rs
@@ -14,12 +14,12 @@
 pub(crate) fn spec() -> BatchSpec {
     BatchSpec {
         slots: 1,
-        queue: 2,
+        queue_capacity: 2,
         max_pieces: 14,
-        call_time: Duration::from_millis(200),
+        call_overhead: Duration::from_millis(200),
         piece_time: Duration::from_millis(12),
-        room_bytes: 32_000_000,
-        result_life: Duration::from_secs(4),
+        result_capacity_bytes: 32_000_000,
+        result_ttl: Duration::from_secs(4),
         link_bytes_per_s: 1.25e9,
     }
 }
--- a/crates/tc-policy/tests/batch/ends.rs
+++ b/crates/tc-policy/tests/batch/ends.rs
@@ -1,7 +1,7 @@
 //! How calls and jobs end, and what is sent again.
 
 use tc_policy::{BatchPlanner, CallEnd};
-use tc_protocol::routing::{PieceFailure, PiecesRefusal};
+use tc_protocol::routing::{PieceFailure, StageRefusal};
 
 use crate::common::{at, handle, job, made, planner, push, repeats, spec, upstreams};
 
@@ -14,7 +14,7 @@
     let settled = planner.expire(at(3_600));
     assert_eq!(settled.finished.len(), 1);
     assert_eq!(settled.finished[0].job, key);
-    assert_eq!(settled.finished[0].result, Err(PiecesRefusal::Late));
+    assert_eq!(settled.finished[0].result, Err(StageRefusal::Late));
     assert_eq!(settled.unwanted.len(), 14);
 }
 
@@ -52,7 +52,7 @@
     push(&mut planner, at(0), job("x", 3));
     let call = planner.next_call(at(0)).expect("a call");
     let settled = planner.end_call(at(100), call.key, CallEnd::Failed);
-    assert_eq!(settled.finished[0].result, Err(PiecesRefusal::Failed));
+    assert_eq!(settled.finished[0].result, Err(StageRefusal::Failed));
 }
 
 /// Symptom: just after all instances were restarted, stages are refused as failed for two seconds. Sequence: upstreams
@@ -99,6 +99,6 @@
     let call = planner.next_call(at(0)).expect("a call");
     let end = CallEnd::Answered(vec![Ok(handle("1")), Err(PieceFailure::InputGone)]);
     let settled = planner.end_call(at(250), call.key, end);
-    assert_eq!(settled.finished[0].result, Err(PiecesRefusal::InputGone));
+    assert_eq!(settled.finished[0].result, Err(StageRefusal::InputGone));
     assert_eq!(settled.unwanted, [handle("1")]);
 }
--- a/crates/tc-policy/tests/batch/fuzz.rs
+++ b/crates/tc-policy/tests/batch/fuzz.rs
@@ -58,7 +58,7 @@
 impl Oracle {
     fn new() -> Self {
         let spec = BatchSpec {
-            room_bytes: 8 * LARGE,
+            result_capacity_bytes: 8 * LARGE,
             max_pieces: 6,
             ..spec()
         };
@@ -175,7 +175,7 @@
 
     fn end(&mut self, key: CallKey, how: u8) {
         let (call, sizes) = self.calls.remove(&key).expect("in progress");
-        let until = at(self.now).after(self.spec.result_life);
+        let until = at(self.now).after(self.spec.result_ttl);
         let end = match how % 8 {
             0 => CallEnd::NotRun,
             1 => CallEnd::Unreachable,
@@ -238,7 +238,10 @@
             "above the slots"
         );
         let most = bytes.values().max().copied().unwrap_or_default();
-        assert!(most <= self.spec.room_bytes, "above the room: {most}");
+        assert!(
+            most <= self.spec.result_capacity_bytes,
+            "above the room: {most}"
+        );
     }
 
     /// With all upstreams back and their calls ended, every job ends.
--- a/crates/tc-policy/tests/batch/handing.rs
+++ b/crates/tc-policy/tests/batch/handing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tc_policy::{NewJob, PiecesByDue};
-use tc_protocol::{ServiceName, routing::PiecesRefusal};
+use tc_protocol::{ServiceName, routing::StageRefusal};
 
 use crate::common::{at, job, made, planner, push};
 
@@ -21,7 +21,7 @@
         .iter()
         .map(|finished| (finished.job, finished.result.clone()))
         .collect();
-    assert_eq!(moved, [(waits, Err(PiecesRefusal::Moved))]);
+    assert_eq!(moved, [(waits, Err(StageRefusal::Moved))]);
     let settled = planner.end_call(at(380), call.key, made(&call));
     assert_eq!(settled.finished[0].job, begun, "what was begun is finished");
     assert_eq!(planner.next_call(at(380)), None);
--- a/crates/tc-policy/tests/batch/inputs.rs
+++ b/crates/tc-policy/tests/batch/inputs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tc_policy::{BatchCall, BatchPlanner, CallEnd, NewJob};
-use tc_protocol::routing::{PieceFailure, PieceInput, PiecesRefusal, ResultHandle};
+use tc_protocol::routing::{PieceFailure, PieceInput, ResultHandle, StageRefusal};
 
 use crate::common::{at, handle, job, made, push, repeats, spec, upstreams};
 
@@ -85,7 +85,7 @@
     assert_eq!(planner.inputs_read(at(150)).len(), 4);
     let end = CallEnd::Answered(vec![Ok(handle("1")), Err(PieceFailure::Failed)]);
     let settled = planner.end_call(at(230), call.key, end);
-    assert_eq!(settled.finished[0].result, Err(PiecesRefusal::InputGone));
+    assert_eq!(settled.finished[0].result, Err(StageRefusal::InputGone));
     assert_eq!(settled.unwanted, [handle("1")]);
 }
 
--- a/crates/tc-policy/tests/batch/limits.rs
+++ b/crates/tc-policy/tests/batch/limits.rs
@@ -5,7 +5,7 @@
 use tc_policy::{BatchPlanner, CallEnd};
 use tc_protocol::{
     MonoTime, UpstreamId,
-    routing::{PiecesRefusal, RateLimit},
+    routing::{RateLimit, StageRefusal},
 };
 
 use crate::common::{at, job, made, planner, push};
@@ -112,7 +112,7 @@
         planner.end_call(at(10), call.key, backoff);
     }
     let refused = planner.push(at(20), job("r2", 1));
-    let Err(PiecesRefusal::Overloaded { retry_after }) = refused else {
+    let Err(StageRefusal::Overloaded { retry_after }) = refused else {
         panic!("{refused:?}");
     };
     assert!(retry_after >= Duration::from_secs(29), "{retry_after:?}");
--- a/crates/tc-policy/tests/batch/order.rs
+++ b/crates/tc-policy/tests/batch/order.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tc_policy::{BatchCall, JobKey, NewJob};
-use tc_protocol::routing::PiecesRefusal;
+use tc_protocol::routing::StageRefusal;
 
 use crate::common::{at, handle, job, made, names, planner, push, upstreams};
 
@@ -237,7 +237,7 @@
             }
         }
     }
-    let Some(PiecesRefusal::Overloaded { retry_after }) = refusal else {
+    let Some(StageRefusal::Overloaded { retry_after }) = refusal else {
         panic!("nothing was refused: {refusal:?}");
     };
     // It tells when the queue is worked off, whatever the refused job itself would have had to wait.
@@ -253,7 +253,7 @@
     assert_eq!(planner.next_call(at(0)), None);
     assert_eq!(
         planner.push(at(0), job("y", 1)),
-        Err(PiecesRefusal::NoUpstream)
+        Err(StageRefusal::NoUpstream)
     );
 }
 
--- a/crates/tc-policy/tests/chain/homes.rs
+++ b/crates/tc-policy/tests/chain/homes.rs
@@ -5,7 +5,7 @@
 use tc_policy::{BatchCall, CallEnd, Settled};
 use tc_protocol::{
     FailureDomain, MonoTime,
-    routing::{PiecesRefusal, ResultHandle},
+    routing::{ResultHandle, StageRefusal},
 };
 
 use crate::{
@@ -60,7 +60,8 @@
                 .sum();
             let noise = 0.95 + 0.1 * self.chance.part();
             let speed = speed_of(call.upstream.as_str());
-            let took = (spec(service).call_time + pieces).mul_f64(noise * speed) + CALL_OVERHEAD;
+            let took =
+                (spec(service).call_overhead + pieces).mul_f64(noise * speed) + CALL_OVERHEAD;
             self.at(now.after(took), Event::CallEnds { service, call });
         }
     }
@@ -127,9 +128,9 @@
 }
 
 /// Time after which a caller is told to come back.
-pub(crate) fn come_back(refusal: PiecesRefusal) -> Duration {
+pub(crate) fn come_back(refusal: StageRefusal) -> Duration {
     match refusal {
-        PiecesRefusal::Overloaded { retry_after } => retry_after,
+        StageRefusal::Overloaded { retry_after } => retry_after,
         _ => Duration::from_millis(250),
     }
 }
--- a/crates/tc-policy/tests/chain/load.rs
+++ b/crates/tc-policy/tests/chain/load.rs
@@ -15,19 +15,19 @@
 
 /// Calls of a third of a second when full. The second service is the narrowest: 2,100 pieces a second in full calls.
 pub(crate) fn spec(service: usize) -> BatchSpec {
-    let (max_pieces, piece_us, room_bytes) = [
+    let (max_pieces, piece_us, result_capacity_bytes) = [
         (20, 8_600, 47_000_000),
         (52, 3_300, 7_000_000),
         (74, 2_300, 970_000),
     ][service];
     BatchSpec {
         slots: 1,
-        queue: 2,
+        queue_capacity: 2,
         max_pieces,
-        call_time: Duration::from_millis(200),
+        call_overhead: Duration::from_millis(200),
         piece_time: Duration::from_micros(piece_us),
-        room_bytes,
-        result_life: Duration::from_secs(4),
+        result_capacity_bytes,
+        result_ttl: Duration::from_secs(4),
         link_bytes_per_s: 1.25e9,
     }
 }
@@ -56,7 +56,7 @@
 fn stage(service: usize, after: &[usize], result_bytes: u64) -> RouteStage {
     RouteStage {
         service: SERVICES[service].into(),
-        after: after.to_vec(),
+        depends_on: after.to_vec(),
         result_bytes,
     }
 }
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -5,7 +5,7 @@
 use tc_policy::{Begun, HomeOutlook, JudgedRequest, NewJob, StageGraph};
 use tc_protocol::{
     FailureDomain, Fingerprint, MonoTime,
-    routing::{ChainAsk, PieceInput, ResultHandle},
+    routing::{PieceInput, ResultHandle, StageChain},
 };
 
 use crate::{
@@ -104,7 +104,7 @@
     /// Frees what nobody reads any more now that a stage is made.
     pub(crate) fn free_read(&mut self, now: MonoTime, request: usize, made: usize) {
         let before = self.kinds[self.requests[request].kind].stages[made]
-            .after
+            .depends_on
             .clone();
         for stage in before {
             self.free(now, request, stage);
@@ -171,12 +171,12 @@
         self.judges[service].note(now, &SERVICES[service].into(), own);
         let req = &self.requests[request];
         let kind = &self.kinds[req.kind];
-        let chain = ChainAsk {
+        let chain = StageChain {
             fingerprint: Fingerprint(req.fingerprint),
             stages: kind.stages.clone(),
             pieces: req.pieces.clone(),
-            until_aim: kind.aim.saturating_sub(now.since(req.at) + PROMPT),
-            until_left: kind.patience.saturating_sub(now.since(req.at)),
+            until_latency_target: kind.aim.saturating_sub(now.since(req.at) + PROMPT),
+            remaining: kind.patience.saturating_sub(now.since(req.at)),
         };
         let call_times = vec![Duration::from_millis(200); kind.stages.len()];
         self.judges[service].judge(now, &chain, kind.rank, stage, &call_times)
@@ -203,11 +203,11 @@
         );
         let spec = &kind.stages[stage];
         let inputs: Vec<ResultHandle> = spec
-            .after
+            .depends_on
             .iter()
             .flat_map(|before| req.results[*before].iter().cloned())
             .collect();
-        let held_bytes: u64 = spec.after.iter().map(|b| graph.size_of(*b)).sum();
+        let held_bytes: u64 = spec.depends_on.iter().map(|b| graph.size_of(*b)).sum();
         let prefer = preferred(&inputs, held_bytes * u64::from(req.pieces[stage]));
         let until_aim = if req.is_late_return {
             Duration::ZERO
@@ -280,7 +280,7 @@
     }
     let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
     for input in inputs {
-        let maker = input.maker()?;
+        let maker = input.upstream_address()?;
         let number: usize = maker.split('-').nth(1)?.parse().ok()?;
         *counts.entry(number % DOMAINS).or_default() += 1;
     }
--- a/crates/tc-policy/tests/chain/world.rs
+++ b/crates/tc-policy/tests/chain/world.rs
@@ -54,7 +54,7 @@
 /// Time of a call with so many pieces of the full time, on an upstream of the mean speed.
 pub(crate) fn call_time(service: usize, pieces: usize) -> Duration {
     let spec = spec(service);
-    (spec.call_time + spec.piece_time * pieces as u32).mul_f64(MEAN_SPEED) + CALL_OVERHEAD
+    (spec.call_overhead + spec.piece_time * pieces as u32).mul_f64(MEAN_SPEED) + CALL_OVERHEAD
 }
 
 /// A request, or its second coming after a refusal.
--- a/crates/tc-policy/tests/choice.rs
+++ b/crates/tc-policy/tests/choice.rs
@@ -4,10 +4,12 @@
 
 use rand::{SeedableRng, rngs::StdRng};
 use tc_policy::{Candidate, choose, rendezvous, rendezvous_score};
-use tc_protocol::{Ask, Attempt, Cost, Fingerprint, Upstream, UpstreamState, UpstreamSummary};
+use tc_protocol::{
+    Attempt, Cost, Fingerprint, PermitRequest, Upstream, UpstreamState, UpstreamSummary,
+};
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> PermitRequest {
+    PermitRequest {
         request: "kl-a-1-1-1".into(),
         // Not a first attempt, so that none of the random measurements come in between.
         attempt: Attempt(1),
@@ -19,7 +21,7 @@
         estimate: Cost::default(),
         prefix: None,
         fingerprint: Fingerprint(1),
-        avoid: Vec::new(),
+        excluded: Vec::new(),
     }
 }
 
@@ -46,7 +48,7 @@
 }
 
 /// How often each upstream is chosen in 1,000 tries; distances in milliseconds by index.
-fn counts(states: &[UpstreamState], distances_ms: &[f64], ask: &Ask) -> Vec<u32> {
+fn counts(states: &[UpstreamState], distances_ms: &[f64], ask: &PermitRequest) -> Vec<u32> {
     let candidates: Vec<Candidate<'_>> = states
         .iter()
         .zip(distances_ms.iter().cycle())
@@ -78,12 +80,12 @@
 /// Cause: the state is not looked at when choosing.
 #[test]
 fn unusable_upstreams_are_left_out() {
-    type Change = fn(&mut UpstreamState, &mut Ask);
+    type Change = fn(&mut UpstreamState, &mut PermitRequest);
     let table: [(&str, Change); 4] = [
         ("leaving", |state, _| state.leaving = true),
         ("without home", |state, _| state.home = None),
         ("to avoid", |state, ask| {
-            ask.avoid.push(state.upstream.id.clone());
+            ask.excluded.push(state.upstream.id.clone());
         }),
         ("ejected", |state, _| {
             state.summary = Some(UpstreamSummary {
--- a/crates/tc-policy/tests/cold.rs
+++ b/crates/tc-policy/tests/cold.rs
@@ -8,14 +8,14 @@
 use tc_policy::{ColdLimit, EngineCandidate, EnginePlanner, RecentSends, may_send_alone};
 use tc_protocol::{
     InstanceId, Member, MonoTime, UpstreamId,
-    routing::{EngineAsk, EngineNews, EngineSpec, Prompt, PromptPart},
+    routing::{EngineRequest, EngineSpec, Prompt, PromptPart, RunProgress},
 };
 
 use support::member;
 
 const SPEC: EngineSpec = EngineSpec {
     slots: 24,
-    memory_tokens: 476_000,
+    kv_cache_tokens: 476_000,
 };
 const INSTANCES: usize = 78;
 const READ: Duration = Duration::from_millis(20);
@@ -25,9 +25,9 @@
     ColdLimit::new(15.0, 1.5, 5.0)
 }
 
-fn ask(family: u64) -> EngineAsk {
+fn ask(family: u64) -> EngineRequest {
     let parts = [(family, 6_300), (1_000 + family, 500)];
-    EngineAsk {
+    EngineRequest {
         service: "model".into(),
         prompt: Prompt {
             tokens_in: 6_800,
@@ -38,7 +38,7 @@
                 .collect::<Arc<[_]>>(),
         },
         inputs: Vec::new(),
-        except: Vec::new(),
+        excluded: Vec::new(),
         remaining: Duration::from_secs(5),
     }
 }
@@ -167,8 +167,8 @@
     fn by_home(&mut self, which: usize, now: MonoTime, family: u8, late_ms: u8) {
         let home = &mut self.homes[which];
         if let Some(choice) = home.choose(now, &ask(u64::from(family))) {
-            home.note(now, choice.run, EngineNews::FirstEvent(READ));
-            home.note(now, choice.run, EngineNews::Ended);
+            home.note(now, choice.run, RunProgress::FirstEvent(READ));
+            home.note(now, choice.run, RunProgress::Ended);
             let at = now.after(Duration::from_millis(late_ms.into()));
             self.arrivals.push((choice.upstream, at));
         }
--- a/crates/tc-policy/tests/engines/choice.rs
+++ b/crates/tc-policy/tests/engines/choice.rs
@@ -1,7 +1,7 @@
 //! One choice at a time.
 
 use tc_policy::EnginePlanner;
-use tc_protocol::routing::{EngineAsk, EngineNews};
+use tc_protocol::routing::{EngineRequest, RunProgress};
 
 use crate::common::{ask, at, candidates, choose, id, ms, planner, read, spec, time_of};
 
@@ -33,7 +33,7 @@
     let mut planner = planner(&["a", "a"]);
     let first = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
     let mut other = ask(&[(1, 5_000), (3, 500)]);
-    other.except = vec![first.upstream.clone()];
+    other.excluded = vec![first.upstream.clone()];
     assert_eq!(choose(&mut planner, at(110), &other).fetch_from, None);
     let mut planner = self::planner_after_first_event();
     let again = choose(&mut planner.0, at(200), &planner.1);
@@ -41,12 +41,12 @@
 }
 
 /// A planner whose first engine has read a shared part, and an ask that must go to another one.
-fn planner_after_first_event() -> (EnginePlanner, EngineAsk) {
+fn planner_after_first_event() -> (EnginePlanner, EngineRequest) {
     let mut planner = planner(&["a", "a"]);
     let first = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
-    planner.note(at(190), first.run, EngineNews::FirstEvent(time_of(5_500)));
+    planner.note(at(190), first.run, RunProgress::FirstEvent(time_of(5_500)));
     let mut other = ask(&[(1, 5_000), (3, 500)]);
-    other.except = vec![first.upstream];
+    other.excluded = vec![first.upstream];
     (planner, other)
 }
 
@@ -56,13 +56,13 @@
 fn what_was_not_read_or_belongs_to_a_life_before_is_not_kept() {
     let (mut planner, other) = planner_after_first_event();
     let mut left = candidates(&["a", "a"]);
-    left.retain(|engine| !other.except.contains(&engine.id));
+    left.retain(|engine| !other.excluded.contains(&engine.id));
     planner.set_engines(spec(), &left);
     assert_eq!(choose(&mut planner, at(200), &other).fetch_from, None);
 
     let mut planner = self::planner(&["a", "a"]);
     let failed = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
-    planner.note(at(150), failed.run, EngineNews::Failed);
+    planner.note(at(150), failed.run, RunProgress::Failed);
     let next = choose(&mut planner, at(5_000), &ask(&[(1, 5_000), (3, 500)]));
     assert_eq!(next.fetch_from, None);
 }
@@ -71,7 +71,7 @@
 fn an_engine_that_failed_pauses_while_there_is_another() {
     let mut planner = planner(&["a", "a"]);
     let failed = choose(&mut planner, at(100), &ask(&[(1, 500)]));
-    planner.note(at(110), failed.run, EngineNews::Failed);
+    planner.note(at(110), failed.run, RunProgress::Failed);
     for part in 0..6 {
         let choice = choose(&mut planner, at(120), &ask(&[(10 + part, 500)]));
         assert_ne!(choice.upstream, failed.upstream);
@@ -90,8 +90,8 @@
         assert_eq!(choice.upstream, id(1));
         let run = choice.run;
         let read = at(150 + part * 1_000);
-        planner.note(read, run, EngineNews::FirstEvent(ms(50)));
-        planner.note(read, run, EngineNews::Ended);
+        planner.note(read, run, RunProgress::FirstEvent(ms(50)));
+        planner.note(read, run, RunProgress::Ended);
     }
 }
 
@@ -117,8 +117,8 @@
     assert_eq!(planner.size(), (1, 1));
     let last = choose(&mut planner, at(12_000), &ask(&[(2, 500)]));
     assert_eq!(planner.size(), (1, 1));
-    planner.note(at(12_100), last.run, EngineNews::Ended);
-    planner.note(at(12_100), last.run, EngineNews::Ended);
-    planner.note(at(12_100), 77, EngineNews::Failed);
+    planner.note(at(12_100), last.run, RunProgress::Ended);
+    planner.note(at(12_100), last.run, RunProgress::Ended);
+    planner.note(at(12_100), 77, RunProgress::Failed);
     assert_eq!(planner.size(), (0, 1));
 }
--- a/crates/tc-policy/tests/engines/common.rs
+++ b/crates/tc-policy/tests/engines/common.rs
@@ -5,7 +5,7 @@
 use tc_policy::{EngineCandidate, EnginePlanner};
 use tc_protocol::{
     MonoTime, UpstreamId,
-    routing::{EngineAsk, EngineChoice, EngineNews, EngineSpec, Prompt, PromptPart},
+    routing::{EngineChoice, EngineRequest, EngineSpec, Prompt, PromptPart, RunProgress},
 };
 
 /// Tokens that an engine reads in a millisecond.
@@ -22,7 +22,7 @@
 pub(crate) const fn spec() -> EngineSpec {
     EngineSpec {
         slots: 8,
-        memory_tokens: 100_000,
+        kv_cache_tokens: 100_000,
     }
 }
 
@@ -48,8 +48,8 @@
     for round in 0..20 {
         let tokens = if round % 2 == 0 { 600 } else { 6_000 };
         let choice = choose(&mut planner, at(0), &ask(&[(1_000 + round, tokens)]));
-        planner.note(at(0), choice.run, EngineNews::FirstEvent(time_of(tokens)));
-        planner.note(at(0), choice.run, EngineNews::Ended);
+        planner.note(at(0), choice.run, RunProgress::FirstEvent(time_of(tokens)));
+        planner.note(at(0), choice.run, RunProgress::Ended);
     }
     planner
 }
@@ -59,8 +59,8 @@
 }
 
 /// A prompt of these parts.
-pub(crate) fn ask(parts: &[(u64, u32)]) -> EngineAsk {
-    EngineAsk {
+pub(crate) fn ask(parts: &[(u64, u32)]) -> EngineRequest {
+    EngineRequest {
         service: "model".into(),
         prompt: Prompt {
             tokens_in: parts.iter().map(|(_, tokens)| tokens).sum(),
@@ -74,21 +74,25 @@
                 .collect(),
         },
         inputs: Vec::new(),
-        except: Vec::new(),
+        excluded: Vec::new(),
         remaining: ms(10_000),
     }
 }
 
 #[track_caller]
-pub(crate) fn choose(planner: &mut EnginePlanner, now: MonoTime, ask: &EngineAsk) -> EngineChoice {
+pub(crate) fn choose(
+    planner: &mut EnginePlanner,
+    now: MonoTime,
+    ask: &EngineRequest,
+) -> EngineChoice {
     planner.choose(now, ask).expect("there are engines")
 }
 
 /// Lets a prompt be read to its end; returns who read it.
-pub(crate) fn read(planner: &mut EnginePlanner, now: MonoTime, ask: &EngineAsk) -> UpstreamId {
+pub(crate) fn read(planner: &mut EnginePlanner, now: MonoTime, ask: &EngineRequest) -> UpstreamId {
     let choice = choose(planner, now, ask);
     let took = time_of(ask.prompt.tokens_in);
-    planner.note(now, choice.run, EngineNews::FirstEvent(took));
-    planner.note(now, choice.run, EngineNews::Ended);
+    planner.note(now, choice.run, RunProgress::FirstEvent(took));
+    planner.note(now, choice.run, RunProgress::Ended);
     choice.upstream
 }
--- a/crates/tc-policy/tests/engines/fuzz.rs
+++ b/crates/tc-policy/tests/engines/fuzz.rs
@@ -4,7 +4,7 @@
 
 use bolero::{TypeGenerator, generator::produce};
 use tc_policy::EnginePlanner;
-use tc_protocol::{UpstreamId, routing::EngineNews};
+use tc_protocol::{UpstreamId, routing::RunProgress};
 
 use crate::common::{ask, at, candidates, ms, spec};
 
@@ -53,13 +53,15 @@
                     ]);
                     ask.inputs =
                         vec![(DOMAINS[usize::from(away % 4)].into(), u64::from(away) << 14)];
-                    ask.except = vec![all[usize::from(except % 4)].id.clone()];
+                    ask.excluded = vec![all[usize::from(except % 4)].id.clone()];
                     let choice = planner.choose(at(now), &ask);
-                    let fit = listed.iter().any(|engine| !ask.except.contains(&engine.id));
+                    let fit = listed
+                        .iter()
+                        .any(|engine| !ask.excluded.contains(&engine.id));
                     assert_eq!(choice.is_some(), fit);
                     let Some(choice) = choice else { continue };
                     assert!(listed.iter().any(|engine| engine.id == choice.upstream));
-                    assert!(!ask.except.contains(&choice.upstream));
+                    assert!(!ask.excluded.contains(&choice.upstream));
                     assert_ne!(choice.fetch_from.as_ref(), Some(&choice.upstream));
                     if let Some(source) = &choice.fetch_from {
                         assert!(listed.iter().any(|engine| engine.id == *source));
@@ -76,9 +78,9 @@
                         continue;
                     };
                     let news = match what % 3 {
-                        0 => EngineNews::FirstEvent(ms(u64::from(took_ms))),
-                        1 => EngineNews::Ended,
-                        _ => EngineNews::Failed,
+                        0 => RunProgress::FirstEvent(ms(u64::from(took_ms))),
+                        1 => RunProgress::Ended,
+                        _ => RunProgress::Failed,
                     };
                     planner.note(at(now), *run, news);
                     if what % 3 != 0 {
@@ -86,7 +88,7 @@
                     }
                 }
                 Op::NewsOfNobody(run) if !runs.contains_key(&run) => {
-                    planner.note(at(now), run, EngineNews::Failed);
+                    planner.note(at(now), run, RunProgress::Failed);
                 }
                 Op::NewsOfNobody(_) => {}
                 Op::Listed(bits) => {
--- a/crates/tc-policy/tests/engines/load.rs
+++ b/crates/tc-policy/tests/engines/load.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use tc_protocol::{UpstreamId, routing::EngineNews};
+use tc_protocol::{UpstreamId, routing::RunProgress};
 
 use crate::common::{TOKENS_PER_MS, ask, at, choose, ms, planner};
 
@@ -23,8 +23,8 @@
     for number in 0..2_500_u64 {
         let now = 1_000 + number * 40;
         for (_, run, took) in reading.extract_if(.., |(ends, ..)| *ends <= now) {
-            planner.note(at(now), run, EngineNews::FirstEvent(ms(took)));
-            planner.note(at(now), run, EngineNews::Ended);
+            planner.note(at(now), run, RunProgress::FirstEvent(ms(took)));
+            planner.note(at(now), run, RunProgress::Ended);
         }
         let is_long = number % 8 == 0;
         let (family, own) = if is_long {
--- a/crates/tc-policy/tests/judge.rs
+++ b/crates/tc-policy/tests/judge.rs
@@ -5,7 +5,7 @@
 use tc_policy::{Begun, ChainJudge, HomeOutlook, PiecesByDue};
 use tc_protocol::{
     Fingerprint, MonoTime,
-    routing::{ChainAsk, RouteStage},
+    routing::{RouteStage, StageChain},
 };
 
 const CALL: Duration = Duration::from_millis(200);
@@ -15,18 +15,18 @@
     MonoTime::from_millis(10_000 + ms)
 }
 
-fn chain(fingerprint: u64) -> ChainAsk {
-    let stage = |service: &str, after| RouteStage {
+fn chain(fingerprint: u64) -> StageChain {
+    let stage = |service: &str, depends_on| RouteStage {
         service: service.into(),
-        after,
+        depends_on,
         result_bytes: 8_000,
     };
-    ChainAsk {
+    StageChain {
         fingerprint: Fingerprint(fingerprint),
         stages: vec![stage("first", vec![]), stage("second", vec![0])],
         pieces: vec![1, 6],
-        until_aim: AIM,
-        until_left: 4 * AIM,
+        until_latency_target: AIM,
+        remaining: 4 * AIM,
     }
 }
 
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -14,7 +14,7 @@
 fn stage(service: &str, after: &[usize], result_bytes: u64) -> RouteStage {
     RouteStage {
         service: service.into(),
-        after: after.to_vec(),
+        depends_on: after.to_vec(),
         result_bytes,
     }
 }
@@ -66,12 +66,12 @@
     fn new(upstreams: usize, pieces: usize) -> Self {
         let spec = BatchSpec {
             slots: 1,
-            queue: 2,
+            queue_capacity: 2,
             max_pieces: pieces,
-            call_time: ms(200),
+            call_overhead: ms(200),
             piece_time: ms(6),
-            room_bytes: 1 << 30,
-            result_life: Duration::from_secs(4),
+            result_capacity_bytes: 1 << 30,
+            result_ttl: Duration::from_secs(4),
             link_bytes_per_s: 1.25e9,
         };
         let repeats = RepeatBudget::new(RepeatLimits {
--- a/crates/tc-policy/tests/upstream_limit/world.rs
+++ b/crates/tc-policy/tests/upstream_limit/world.rs
@@ -9,7 +9,7 @@
 use tc_policy::{EngineCandidate, EnginePlanner, KnownLimits, LoneSends, LoneShare};
 use tc_protocol::{
     Member, MonoTime, UpstreamId,
-    routing::{EngineAsk, EngineNews, EngineSpec, LimitNews, Prompt, RateLimit},
+    routing::{EngineRequest, EngineSpec, Prompt, RateLimit, RateLimitUpdate, RunProgress},
 };
 
 use crate::judge::{Arrival, PASSED_ON};
@@ -17,7 +17,7 @@
 
 const SPEC: EngineSpec = EngineSpec {
     slots: 1_000,
-    memory_tokens: 100_000,
+    kv_cache_tokens: 100_000,
 };
 const STEP: Duration = Duration::from_millis(10);
 const GOSSIP_EVERY: Duration = Duration::from_millis(200);
@@ -78,7 +78,7 @@
     },
     Report {
         home: usize,
-        news: Vec<LimitNews>,
+        news: Vec<RateLimitUpdate>,
     },
 }
 
@@ -236,7 +236,7 @@
     fn answer(&mut self, sender: usize, limit: Option<RateLimit>, leave: Leave) {
         let now = self.now;
         if let Leave::Granted(Grant { home, run }) = leave {
-            self.nodes[home].planner.note(now, run, EngineNews::Ended);
+            self.nodes[home].planner.note(now, run, RunProgress::Ended);
         }
         if self.is_silent(sender) {
             return;
@@ -252,7 +252,7 @@
         self.at(REPORT_TIME, Event::Report { home, news });
     }
 
-    fn receive(&mut self, number: usize, news: &[LimitNews]) {
+    fn receive(&mut self, number: usize, news: &[RateLimitUpdate]) {
         let now = self.now;
         for news in news {
             let at = now.before(news.age);
@@ -329,7 +329,7 @@
                 lone.borrow_mut().may_send(now, me, &members, id, share)
             })
         })?;
-        node.planner.note(now, choice.run, EngineNews::Ended);
+        node.planner.note(now, choice.run, RunProgress::Ended);
         node.lone.record(now, &choice.upstream);
         Some(Leave::Alone)
     }
@@ -363,8 +363,8 @@
     }
 }
 
-fn ask() -> EngineAsk {
-    EngineAsk {
+fn ask() -> EngineRequest {
+    EngineRequest {
         service: "model".into(),
         prompt: Prompt {
             tokens_in: 500,
@@ -372,7 +372,7 @@
             parts: Arc::default(),
         },
         inputs: Vec::new(),
-        except: Vec::new(),
+        excluded: Vec::new(),
         remaining: Duration::from_secs(5),
     }
 }
--- a/crates/tc-protocol/src/claim.rs
+++ b/crates/tc-protocol/src/claim.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
     /// The claim is ours: run the request, then record its outcome.
-    Ours {
+    Acquired {
         /// Proves later that the claim is ours.
         claim_id: String,
     },
@@ -41,7 +41,7 @@
     /// An earlier run recorded this outcome.
     Recorded(RecordedOutcome),
     /// The key was claimed with another body.
-    OtherBody,
+    BodyMismatch,
     /// The store cannot be reached, and no claim of ours can have taken effect in time to be acted on: not run.
     Unavailable,
 }
--- a/crates/tc-protocol/src/clock.rs
+++ b/crates/tc-protocol/src/clock.rs
@@ -53,10 +53,10 @@
     ///
     /// ```
     /// use tc_protocol::MonoTime;
-    /// assert_eq!(MonoTime(4_000).millis_from(MonoTime(5_500)), -2);
+    /// assert_eq!(MonoTime(4_000).millis_since(MonoTime(5_500)), -2);
     /// ```
     #[must_use]
-    pub fn millis_from(self, origin: Self) -> i64 {
+    pub fn millis_since(self, origin: Self) -> i64 {
         let micros = i128::from(self.0) - i128::from(origin.0);
         i64::try_from(micros.div_euclid(1_000)).unwrap_or(i64::MAX)
     }
@@ -83,7 +83,7 @@
 /// ```
 /// use std::time::Duration;
 /// use tc_protocol::{Deadline, MonoTime};
-/// let deadline = Deadline::in_from(MonoTime::from_millis(10), Duration::from_millis(5));
+/// let deadline = Deadline::from_budget(MonoTime::from_millis(10), Duration::from_millis(5));
 /// assert_eq!(deadline.remaining(MonoTime::from_millis(12)), Duration::from_millis(3));
 /// assert!(deadline.is_past(MonoTime::from_millis(15)));
 /// ```
@@ -93,7 +93,7 @@
 impl Deadline {
     /// The deadline that is `budget` after `now`.
     #[must_use]
-    pub const fn in_from(now: MonoTime, budget: Duration) -> Self {
+    pub const fn from_budget(now: MonoTime, budget: Duration) -> Self {
         Self(now.after(budget))
     }
 
--- a/crates/tc-protocol/src/decision.rs
+++ b/crates/tc-protocol/src/decision.rs
@@ -47,7 +47,8 @@
         waited_ms: f64,
     },
     /// A permit was refused.
-    AskRefused {
+    #[serde(rename = "ask_refused")]
+    PermitRefused {
         /// The stage it was for.
         stage: StageName,
         /// Which try.
--- a/crates/tc-protocol/src/guard.rs
+++ b/crates/tc-protocol/src/guard.rs
@@ -39,7 +39,7 @@
 
     /// Why this upstream was chosen, in words.
     #[must_use]
-    pub fn why(&self) -> &str {
+    pub fn selection_reason(&self) -> &str {
         &self.why
     }
 
@@ -93,12 +93,12 @@
 }
 
 /// One request's part of its workspace's limits; dropping it ends the request's concurrency.
-pub struct ShareGuard {
+pub struct WorkspaceLimitGuard {
     on_end: Option<Box<dyn FnOnce(f64) + Send>>,
     cost_units: f64,
 }
 
-impl ShareGuard {
+impl WorkspaceLimitGuard {
     /// `on_end` is called exactly once with the cost units the request used.
     pub fn new(on_end: impl FnOnce(f64) + Send + 'static) -> Self {
         Self {
@@ -113,7 +113,7 @@
     }
 }
 
-impl Drop for ShareGuard {
+impl Drop for WorkspaceLimitGuard {
     fn drop(&mut self) {
         if let Some(on_end) = self.on_end.take() {
             on_end(self.cost_units);
@@ -121,9 +121,9 @@
     }
 }
 
-impl fmt::Debug for ShareGuard {
+impl fmt::Debug for WorkspaceLimitGuard {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("ShareGuard")
+        f.debug_struct("WorkspaceLimitGuard")
             .field("cost_units", &self.cost_units)
             .finish_non_exhaustive()
     }
--- a/crates/tc-protocol/src/lib.rs
+++ b/crates/tc-protocol/src/lib.rs
@@ -23,12 +23,12 @@
 };
 pub use decision::{Decision, Explanation, Step};
 pub use error::TcError;
-pub use guard::{Permit, ShareGuard};
+pub use guard::{Permit, WorkspaceLimitGuard};
 pub use name::{
     Attempt, FailureDomain, Fingerprint, Incarnation, InstanceId, PermitId, PipelineName, Region,
     RequestId, ServiceName, StageName, UpstreamId, WorkspaceName,
 };
-pub use permit::{Ask, AskRefusal, Cost, Grant, Outcome, RefusalReason, Release};
+pub use permit::{Cost, Grant, Outcome, PermitRefusal, PermitRequest, RefusalReason, Release};
 pub use problem::{Problem, ProblemKind};
 pub use run_state::RunState;
 pub use view::{FleetView, Member, MemberState, StoreHealth, UpstreamState, UpstreamSummary};
--- a/crates/tc-protocol/src/name.rs
+++ b/crates/tc-protocol/src/name.rs
@@ -104,7 +104,7 @@
     /// use tc_protocol::{Incarnation, RequestId};
     /// let id = RequestId::new(&"kl-a-1".into(), Incarnation(16), 255);
     /// assert_eq!(id.as_str(), "kl-a-1-10-ff");
-    /// assert_eq!(id.entry().unwrap().as_str(), "kl-a-1");
+    /// assert_eq!(id.entry_instance().unwrap().as_str(), "kl-a-1");
     /// ```
     #[must_use]
     pub fn new(entry: &InstanceId, incarnation: Incarnation, counter: u64) -> Self {
@@ -122,7 +122,7 @@
 
     /// The instance that accepted the request, or `None` when the text was not made by [`RequestId::new`].
     #[must_use]
-    pub fn entry(&self) -> Option<InstanceId> {
+    pub fn entry_instance(&self) -> Option<InstanceId> {
         let (rest, _) = self.0.rsplit_once('-')?;
         let (entry, _) = rest.rsplit_once('-')?;
         Some(entry.into())
--- a/crates/tc-protocol/src/permit.rs
+++ b/crates/tc-protocol/src/permit.rs
@@ -44,7 +44,7 @@
 
 /// An entry's request to use an upstream of a service.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PermitRequest {
     /// Whose request it is.
     pub request: RequestId,
     /// Which try of the stage.
@@ -66,7 +66,7 @@
     /// Identifies the input, to keep one that crashes upstreams from reaching many.
     pub fingerprint: Fingerprint,
     /// Upstreams already tried or in use for this stage, not to be chosen again.
-    pub avoid: Vec<UpstreamId>,
+    pub excluded: Vec<UpstreamId>,
 }
 
 /// A home's leave to call one upstream once.
@@ -104,7 +104,7 @@
 
 /// A refused ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AskRefusal {
+pub struct PermitRefusal {
     /// Why.
     pub reason: RefusalReason,
     /// When asking again may help.
--- a/crates/tc-protocol/src/routing/config.rs
+++ b/crates/tc-protocol/src/routing/config.rs
@@ -22,7 +22,7 @@
     /// Workspaces by the keys that callers present; empty when no key is needed.
     pub keys: HashMap<Arc<str>, Arc<RoutedWorkspace>>,
     /// Whether requests of routes that are not public need a key.
-    pub keys_needed: bool,
+    pub keys_required: bool,
 }
 
 /// A workspace as requests see it.
@@ -61,7 +61,7 @@
 
 /// What may be repeated of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatRule {
+pub enum RouteKind {
     /// Any request may run more than once.
     Idempotent,
     /// A request runs at most once.
@@ -72,10 +72,10 @@
     ResumableStream,
 }
 
-impl RepeatRule {
+impl RouteKind {
     /// Whether a request that may have run may be sent again.
     #[must_use]
-    pub const fn may_repeat(self) -> bool {
+    pub const fn allows_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
@@ -96,11 +96,11 @@
     /// Begins and ends with a slash.
     pub path_prefix: Arc<str>,
     /// What may be repeated.
-    pub repeat: RepeatRule,
+    pub kind: RouteKind,
     /// Longest time a caller is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer (a stream's first event) is worth most.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Rank, 0 first.
     pub priority: u8,
     /// Services and the weights by which requests are split between them.
@@ -112,9 +112,9 @@
     /// Whether requests need no key.
     pub public: bool,
     /// Longest pause between two events of a stream.
-    pub max_pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// How long callers wait for a stream's first event before they leave, if that is less than their deadline.
-    pub patience: Option<Duration>,
+    pub first_event_timeout: Option<Duration>,
 }
 
 /// One stage of a route.
@@ -123,7 +123,7 @@
     /// Who makes its pieces.
     pub service: ServiceName,
     /// Indices of the stages whose results it needs.
-    pub after: Vec<usize>,
+    pub depends_on: Vec<usize>,
     /// About the size of one piece's result, in bytes.
     pub result_bytes: u64,
 }
@@ -140,16 +140,16 @@
     /// Set when its upstreams are model engines.
     pub engine: Option<EngineSpec>,
     /// Set when its upstreams are fragile for a while after they start.
-    pub cold: Option<ColdSpec>,
+    pub cold_start: Option<ColdStartSpec>,
 }
 
 /// How an upstream behaves while it is cold: just started, or with what it had warmed up lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdSpec {
+pub struct ColdStartSpec {
     /// How long it is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second that it bears meanwhile; well above them it crashes.
-    pub bears_per_s: f64,
+    pub max_requests_per_s: f64,
 }
 
 /// How one upstream of a batch service works.
@@ -158,17 +158,17 @@
     /// Calls worked on at the same time.
     pub slots: u32,
     /// Calls that may wait.
-    pub queue: u32,
+    pub queue_capacity: u32,
     /// Most pieces in one call.
     pub max_pieces: usize,
     /// Time of a call besides its pieces.
-    pub call_time: Duration,
+    pub call_overhead: Duration,
     /// About the time of one piece.
     pub piece_time: Duration,
     /// Room for results, in bytes.
-    pub room_bytes: u64,
+    pub result_capacity_bytes: u64,
     /// How long a result is kept unless it is given up before.
-    pub result_life: Duration,
+    pub result_ttl: Duration,
     /// Bytes a second over its link.
     pub link_bytes_per_s: f64,
 }
@@ -179,5 +179,5 @@
     /// Requests run at the same time.
     pub slots: u32,
     /// Memory shared by running requests and kept prompt parts, in tokens.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
 }
--- a/crates/tc-protocol/src/routing/mod.rs
+++ b/crates/tc-protocol/src/routing/mod.rs
@@ -9,13 +9,13 @@
 mod upstream;
 
 pub use config::{
-    BatchSpec, CallerLimits, ColdSpec, EngineSpec, RepeatRule, Route, RouteStage, RoutedService,
-    RoutedWorkspace, RoutingConfig,
+    BatchSpec, CallerLimits, ColdStartSpec, EngineSpec, Route, RouteKind, RouteStage,
+    RoutedService, RoutedWorkspace, RoutingConfig,
 };
 pub use piece::{
-    ChainAsk, PieceFailure, PieceInput, PieceOrder, PieceResult, PiecesAsk, PiecesRefusal,
-    ResultHandle,
+    PieceFailure, PieceInput, PieceRequest, PieceResult, ResultHandle, StageChain, StageRefusal,
+    StageRequest,
 };
-pub use prompt::{EngineAsk, EngineChoice, EngineNews, Prompt, PromptPart, RunReport};
-pub use rate_limit::{AnnouncedLimit, LimitNews, RateLimit};
+pub use prompt::{EngineChoice, EngineRequest, Prompt, PromptPart, RunProgress, RunReport};
+pub use rate_limit::{AnnouncedLimit, RateLimit, RateLimitUpdate};
 pub use upstream::RegisteredUpstream;
--- a/crates/tc-protocol/src/routing/piece.rs
+++ b/crates/tc-protocol/src/routing/piece.rs
@@ -14,10 +14,10 @@
     ///
     /// ```
     /// use tc_protocol::routing::ResultHandle;
-    /// assert_eq!(ResultHandle("10.0.0.1:80/a".into()).maker(), Some("10.0.0.1:80"));
+    /// assert_eq!(ResultHandle("10.0.0.1:80/a".into()).upstream_address(), Some("10.0.0.1:80"));
     /// ```
     #[must_use]
-    pub fn maker(&self) -> Option<&str> {
+    pub fn upstream_address(&self) -> Option<&str> {
         self.0.split_once('/').map(|(maker, _)| maker)
     }
 }
@@ -33,7 +33,7 @@
 
 /// All stages of a request that is to be begun, for whoever judges whether it is worth it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ChainAsk {
+pub struct StageChain {
     /// What is the same in every sending of the request.
     pub fingerprint: Fingerprint,
     /// The stages, in the route's order.
@@ -41,14 +41,14 @@
     /// How many pieces each has; none for a stage that is left out.
     pub pieces: Vec<u32>,
     /// Time until the last stage must be made for the request to be answered within its aim.
-    pub until_aim: Duration,
+    pub until_latency_target: Duration,
     /// Time until nobody waits for the request any more.
-    pub until_left: Duration,
+    pub remaining: Duration,
 }
 
 /// All pieces of one stage of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PiecesAsk {
+pub struct StageRequest {
     /// The request they are for, as its caller named it.
     pub request: Arc<str>,
     /// The service that makes them.
@@ -62,26 +62,26 @@
     /// About the size of one result, in bytes.
     pub result_bytes: u64,
     /// Rank of the request, 0 first.
-    pub rank: u8,
+    pub priority: u8,
     /// Time until the stage must be done for the request to be answered within its aim; zero when that has passed.
-    pub in_time_for: Duration,
+    pub until_latency_target: Duration,
     /// Time until nobody waits for the request any more.
     pub remaining: Duration,
     /// Where the results will be read, when that is known and matters.
-    pub prefer: Option<FailureDomain>,
+    pub preferred_domain: Option<FailureDomain>,
     /// Bytes of inputs that are kept at their makers until the stage has read them.
     pub held_bytes: u64,
     /// Whether no other stage reads its inputs any more, so that they are given up as soon as its pieces have them.
     pub is_last_reader: bool,
     /// Pieces of the stages that read its results, by their service.
-    pub following: Vec<(ServiceName, u32)>,
+    pub dependents: Vec<(ServiceName, u32)>,
     /// All stages of the request, if it begins with this one: its home judges whether they are worth beginning.
-    pub chain: Option<ChainAsk>,
+    pub chain: Option<StageChain>,
 }
 
 /// One piece in a call to an upstream.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PieceOrder {
+pub struct PieceRequest {
     /// The request it is for.
     pub request: Arc<str>,
     /// The stage's index in the route.
@@ -102,7 +102,7 @@
     /// A result it needs is no longer kept.
     InputGone,
     /// The upstream has no room for its result.
-    NoRoom,
+    ResultStoreFull,
     /// The upstream failed it.
     Failed,
 }
@@ -112,7 +112,7 @@
 
 /// Why a stage of a request was not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PiecesRefusal {
+pub enum StageRefusal {
     /// It would be done too late; `retry_after` is when the backlog is expected to be worked off.
     Overloaded {
         /// When to come back.
--- a/crates/tc-protocol/src/routing/prompt.rs
+++ b/crates/tc-protocol/src/routing/prompt.rs
@@ -33,11 +33,11 @@
     /// let prompt = |parts: Vec<_>| Prompt { tokens_in: 30, tokens_out: 5, parts: parts.into() };
     /// let first = prompt(vec![part(1), part(2), part(8)]);
     /// let second = prompt(vec![part(1), part(2), part(9)]);
-    /// assert_eq!(first.shared_key(), second.shared_key());
-    /// assert_eq!(prompt(vec![part(1)]).shared_key(), None);
+    /// assert_eq!(first.shared_prefix_id(), second.shared_prefix_id());
+    /// assert_eq!(prompt(vec![part(1)]).shared_prefix_id(), None);
     /// ```
     #[must_use]
-    pub fn shared_key(&self) -> Option<u64> {
+    pub fn shared_prefix_id(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2)?;
         Some(self.parts[shared].id)
     }
@@ -45,7 +45,7 @@
 
 /// Asks the home of a model service for an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineAsk {
+pub struct EngineRequest {
     /// The service.
     pub service: ServiceName,
     /// The prompt.
@@ -53,7 +53,7 @@
     /// Bytes of results that the engine will fetch, by where they lie.
     pub inputs: Vec<(FailureDomain, u64)>,
     /// Engines not to be chosen again.
-    pub except: Vec<UpstreamId>,
+    pub excluded: Vec<UpstreamId>,
     /// Time until the request is over in any case.
     pub remaining: Duration,
 }
@@ -75,12 +75,12 @@
     /// The run's number at the home that chose its engine.
     pub run: u64,
     /// What became of it.
-    pub news: EngineNews,
+    pub progress: RunProgress,
 }
 
 /// What became of a run at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EngineNews {
+pub enum RunProgress {
     /// Its first event came, this long after it was sent: the engine has read the prompt.
     FirstEvent(Duration),
     /// It is over.
--- a/crates/tc-protocol/src/routing/rate_limit.rs
+++ b/crates/tc-protocol/src/routing/rate_limit.rs
@@ -47,7 +47,7 @@
 
 /// What one instance tells another about an upstream's rate limit.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LimitNews {
+pub struct RateLimitUpdate {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Its limit; `None` after it announced none any more.
--- a/crates/tc-protocol/src/view.rs
+++ b/crates/tc-protocol/src/view.rs
@@ -40,14 +40,14 @@
     /// What the fleet thinks of it.
     pub state: MemberState,
     /// How much it can do beside the others, in thousandths of a core; roles go to instances in proportion to it.
-    #[serde(default = "Member::ordinary_strength")]
+    #[serde(default = "Member::default_strength")]
     pub strength: u32,
 }
 
 impl Member {
     /// Strength of an instance that tells none: one core.
     #[must_use]
-    pub const fn ordinary_strength() -> u32 {
+    pub const fn default_strength() -> u32 {
         1_000
     }
 }
