--- a/crates/tc-protocol/src/claim.rs
+++ b/crates/tc-protocol/src/claim.rs
@@ -1,47 +1,47 @@
-//! Claims: the platform's record that a non-idempotent request was started, so that it is never started twice.
+//! Claims: records in the platform's store that a non-idempotent request was started, so that it never starts twice.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{RunState, WorkspaceName};
 
-/// What a claim is on. The caller's key is scoped to its workspace and the path it was used on.
+/// Identifies a claim. An idempotency key is scoped to its workspace and to the target it was used on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// Whose key.
+    /// Workspace of the caller.
     pub workspace: WorkspaceName,
     /// `pipeline/<name>` or `service/<name>/<path>`.
     pub target: String,
-    /// The `Idempotency-Key` header.
+    /// Value of the `Idempotency-Key` header.
     pub key: String,
 }
 
-/// What the caller was told, kept so that a resend gets the same.
+/// The response sent to the caller, stored so that a resent request gets the same one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedOutcome {
     /// HTTP status code.
     pub status: u16,
     /// Content type of the body.
     pub content_type: String,
-    /// The body, or `None` when it was too large to keep.
+    /// Body, or `None` if it was too large to store.
     pub body: Option<String>,
-    /// Whether the request ran.
+    /// Whether an upstream ran the request.
     pub run_state: RunState,
 }
 
-/// What asking for a claim found.
+/// Result of trying to acquire a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// The claim is ours: run the request, then record its outcome.
+    /// The claim was acquired: run the request, then record its outcome.
     Acquired {
-        /// Proves later that the claim is ours.
+        /// Proves ownership of the claim in later calls.
         claim_id: String,
     },
-    /// Another run holds the claim and has not recorded an outcome.
+    /// Another run holds the claim and has not recorded an outcome yet.
     Held,
-    /// An earlier run recorded this outcome.
+    /// An earlier run has completed with this outcome.
     Recorded(RecordedOutcome),
-    /// The key was claimed with another body.
+    /// The key was claimed with a different request body.
     BodyMismatch,
-    /// The store cannot be reached, and no claim of ours can have taken effect in time to be acted on: not run.
+    /// The store is unreachable and no claim can have taken effect in time to be used, so the request has not run.
     Unavailable,
 }
--- a/crates/tc-protocol/src/clock.rs
+++ b/crates/tc-protocol/src/clock.rs
@@ -7,9 +7,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Monotonic time in microseconds since this process first asked for it.
+/// Monotonic time in microseconds since the process first read the clock.
 ///
-/// Decision code takes it as an argument, so that a test can drive it. Between processes only durations travel.
+/// Decision code takes the time as an argument, so that tests can control it. Messages between processes carry only
+/// durations, because the origin differs per process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,31 +26,31 @@
         Self(origin.elapsed().as_micros() as u64 + 1)
     }
 
-    /// The time `millis` milliseconds after the origin.
+    /// Returns the time `millis` milliseconds after the origin.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// How long after `earlier` this is; zero if it is not after it.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// This time moved back by `by`, at most to the origin.
+    /// Subtracts `by`, saturating at the origin.
     #[must_use]
     pub const fn before(self, by: Duration) -> Self {
         Self(self.0.saturating_sub(by.as_micros() as u64))
     }
 
-    /// This time moved forward by `by`.
+    /// Adds `by`, saturating at the largest value.
     #[must_use]
     pub const fn after(self, by: Duration) -> Self {
         Self(self.0.saturating_add(by.as_micros() as u64))
     }
 
-    /// Whole milliseconds from `origin` to this time, rounded down; negative if this time is before `origin`.
+    /// Returns the milliseconds since `origin`, rounded down; negative if this time is before `origin`.
     ///
     /// ```
     /// use tc_protocol::MonoTime;
@@ -61,7 +62,7 @@
         i64::try_from(micros.div_euclid(1_000)).unwrap_or(i64::MAX)
     }
 
-    /// This time moved by `millis` milliseconds, into the past if negative.
+    /// Moves this time by `millis` milliseconds, into the past if negative.
     ///
     /// ```
     /// use tc_protocol::MonoTime;
@@ -78,7 +79,7 @@
     }
 }
 
-/// The time by which a request must be answered.
+/// The time by which a request must be completed.
 ///
 /// ```
 /// use std::time::Duration;
@@ -91,19 +92,19 @@
 pub struct Deadline(pub MonoTime);
 
 impl Deadline {
-    /// The deadline that is `budget` after `now`.
+    /// Returns the deadline `budget` after `now`.
     #[must_use]
     pub const fn from_budget(now: MonoTime, budget: Duration) -> Self {
         Self(now.after(budget))
     }
 
-    /// Time left at `now`; zero once past.
+    /// Returns the time left at `now`, or zero if the deadline has passed.
     #[must_use]
     pub const fn remaining(self, now: MonoTime) -> Duration {
         self.0.since(now)
     }
 
-    /// Whether no time is left at `now`.
+    /// Returns whether the deadline has passed at `now`.
     #[must_use]
     pub const fn is_past(self, now: MonoTime) -> bool {
         self.0.0 <= now.0
--- a/crates/tc-protocol/src/config.rs
+++ b/crates/tc-protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration model: what operators write, after all files are merged.
+//! The configuration model: the operators' configuration after all files are merged.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -8,11 +8,11 @@
     FailureDomain, PipelineName, Region, ServiceName, StageName, UpstreamId, WorkspaceName,
 };
 
-/// One whole, valid configuration.
+/// A complete, validated configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetConfig {
-    /// Rises by one with every accepted change; 0 is "none yet". Not written by operators.
+    /// Incremented with every accepted change; 0 if there is none yet. Not written by operators.
     pub revision: u64,
     /// Pipelines by name.
     pub pipelines: BTreeMap<PipelineName, Pipeline>,
@@ -20,25 +20,25 @@
     pub services: BTreeMap<ServiceName, Service>,
     /// Workspaces by name.
     pub workspaces: BTreeMap<WorkspaceName, Workspace>,
-    /// Models that engines may be ordered to load, by name.
+    /// Models that engines may be instructed to load, by name.
     pub models: BTreeMap<String, Model>,
-    /// Fleet-wide policy numbers.
+    /// Fleet-wide policy settings.
     pub policy: Policy,
 }
 
-/// A sequence of stages under one deadline.
+/// A sequence of stages that share one deadline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
-    /// Longest time a request may take, in milliseconds; callers may ask for less.
+    /// Maximum duration of a request, in milliseconds; callers may set a shorter deadline.
     pub deadline_ms: u64,
-    /// Priority of its requests when the caller gives none: 0 (most urgent) to 7, as in RFC 9218.
+    /// Priority of requests that specify none: 0 (most urgent) to 7, as in RFC 9218.
     #[serde(default = "default_priority")]
     pub priority: u8,
-    /// Workspaces that may call it; empty means all.
+    /// Workspaces that may call the pipeline; empty allows all.
     #[serde(default)]
     pub workspaces: Vec<WorkspaceName>,
-    /// The stages in the order they run.
+    /// Stages in execution order.
     pub stages: Vec<Stage>,
 }
 
@@ -50,11 +50,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// Name of the stage, unique within its pipeline.
+    /// Stage name, unique within the pipeline.
     pub name: StageName,
-    /// The service that runs it.
+    /// Service that runs the stage.
     pub service: ServiceName,
-    /// Most tokens an engine may generate; ignored by other services.
+    /// Maximum number of tokens an engine may generate; ignored by other services.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
 }
@@ -63,7 +63,7 @@
     64
 }
 
-/// How a service's upstreams are spoken to.
+/// Protocol that the upstreams of a service use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -79,21 +79,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// How its upstreams are spoken to.
+    /// Protocol of the upstreams.
     pub kind: ServiceKind,
-    /// Whether a call may be repeated without doubling an effect.
+    /// Whether calls can be retried without repeating a side effect.
     #[serde(default = "default_true")]
     pub idempotent: bool,
-    /// Whether its upstreams themselves refuse an order with an old fencing number.
+    /// Whether the upstreams themselves reject an order with a stale fencing token.
     #[serde(default)]
     pub checks_orders: bool,
-    /// Model its engines run; engines only.
+    /// Model the engines run; for engines only.
     #[serde(default)]
     pub model: Option<String>,
-    /// Calls one upstream takes at once at most, unless its own load report says less.
+    /// Maximum number of concurrent calls to one upstream, unless its load report gives a lower one.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Its upstreams.
+    /// Upstreams of the service.
     #[serde(default)]
     pub upstreams: Vec<Upstream>,
 }
@@ -110,13 +110,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Its identifier, unique over all services.
+    /// Identifier, unique across all services.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// Address the upstream listens on.
     pub address: SocketAddr,
-    /// The failure domain it is in.
+    /// Failure domain of the upstream.
     pub failure_domain: FailureDomain,
-    /// The region it is in.
+    /// Region of the upstream.
     #[serde(default = "default_region")]
     pub region: Region,
 }
@@ -125,16 +125,16 @@
     "default".into()
 }
 
-/// One customer.
+/// A tenant of the system, such as one customer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// SHA-256 of its bearer token, as 64 lower-case hexadecimal digits.
+    /// SHA-256 of the bearer token, as 64 lower-case hexadecimal digits.
     pub token_sha256: Arc<str>,
-    /// Share of a contended service relative to other workspaces; above zero.
+    /// Weight for sharing a contended service among workspaces; greater than zero.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Most urgent priority its callers may ask for: 0 (most urgent) to 7.
+    /// Most urgent priority that callers may request: 0 (most urgent) to 7.
     #[serde(default)]
     pub highest_priority: u8,
     /// Fleet-wide limits.
@@ -146,28 +146,28 @@
     1
 }
 
-/// Fleet-wide limits of one workspace; an absent one does not bind.
+/// Fleet-wide limits of a workspace; `None` means unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: Option<f64>,
-    /// Requests in progress at once.
+    /// Concurrent requests.
     pub concurrency: Option<u32>,
-    /// Cost units a second; see [`crate::Cost::units`].
+    /// Cost units per second; see [`crate::Cost::units`].
     pub cost_per_s: Option<f64>,
 }
 
-/// A model that engines may be ordered to load.
+/// A model that engines may be instructed to load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Version engines should have loaded.
+    /// Version that engines should load.
     pub version: String,
-    /// Engines that must keep it loaded at least.
+    /// Minimum number of engines that must keep the model loaded.
     #[serde(default = "default_floor")]
     pub floor: u32,
-    /// Adapters to have loaded with it.
+    /// Adapters to load with the model.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
@@ -176,29 +176,29 @@
     1
 }
 
-/// Fleet-wide policy numbers, each with a default that was measured or is marked as a first value in the docs.
+/// Fleet-wide policy settings.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// How long callers may keep an address answer, in seconds.
+    /// How long callers may cache an address response, in seconds.
     pub address_max_age_s: u64,
-    /// Instances one workspace of weight 1 is spread over.
+    /// Number of instances that a workspace of weight 1 is spread over.
     pub shard_size: u32,
-    /// Quantile of the remaining pipeline's time used by admission.
+    /// Quantile of the time of the remaining pipeline that admission control uses as its estimate.
     pub admission_quantile: f64,
-    /// Hedged calls allowed per call of a service.
+    /// Maximum ratio of hedged calls to calls of a service.
     pub hedge_ratio: f64,
-    /// Retried calls allowed per call of a service.
+    /// Maximum ratio of retries to calls of a service.
     pub retry_ratio: f64,
-    /// Crashes after which a fingerprint is quarantined.
+    /// Number of crashes after which a fingerprint is quarantined.
     pub crashes_to_quarantine: u32,
-    /// How long a claim and its recorded outcome are kept, in seconds.
+    /// Retention time of a claim and its recorded outcome, in seconds.
     pub claim_retention_s: u64,
-    /// Asks one workspace may have waiting at one home.
+    /// Maximum number of permit requests of one workspace queued at one home.
     pub queue_per_workspace: u32,
-    /// Network distance to another failure domain of the region, in milliseconds one way.
+    /// One-way network latency to another failure domain of the region, in milliseconds.
     pub cross_domain_ms: f64,
-    /// Network distance to another region, in milliseconds one way.
+    /// One-way network latency to another region, in milliseconds.
     pub cross_region_ms: f64,
 }
 
--- a/crates/tc-protocol/src/decision.rs
+++ b/crates/tc-protocol/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions kept per request, so that operators can ask what happened to it and why.
+//! The per-request decision log that explains to operators what happened to a request and why.
 
 use std::collections::BTreeMap;
 
@@ -10,126 +10,126 @@
     UpstreamId, WorkspaceName,
 };
 
-/// One decision taken for a request.
+/// A decision taken for a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Decision {
-    /// Admitted with this much time.
+    /// The request was admitted.
     Admitted {
         /// Time until the deadline, in milliseconds.
         budget_ms: u64,
         /// Estimated time for all stages, in milliseconds.
         estimate_ms: f64,
     },
-    /// Refused; nothing was run unless the run state says otherwise.
+    /// The request was refused; `run_state` states whether any part of it may have run.
     Refused {
-        /// Why, in words.
+        /// Reason, for people to read.
         why: String,
-        /// Whether any part may have run.
+        /// Whether any part of the request may have run.
         run_state: RunState,
     },
-    /// A claim on the idempotency key was made, joined or found.
+    /// A claim on the idempotency key was acquired, joined or found.
     Claimed {
-        /// What the claim turned out to be, in words.
+        /// State of the claim, for people to read.
         how: String,
     },
     /// A permit was granted.
     Granted {
-        /// The stage it is for.
+        /// Stage the permit is for.
         stage: StageName,
-        /// Which try.
+        /// Attempt the permit is for.
         attempt: Attempt,
-        /// The chosen upstream.
+        /// Selected upstream.
         upstream: UpstreamId,
-        /// Why that one, in words.
+        /// Why this upstream was selected, for people to read.
         why: String,
-        /// Time in the home's queue, in milliseconds.
+        /// Time in the queue of the home, in milliseconds.
         waited_ms: f64,
     },
     /// A permit was refused.
     #[serde(rename = "ask_refused")]
     PermitRefused {
-        /// The stage it was for.
+        /// Stage the permit was requested for.
         stage: StageName,
-        /// Which try.
+        /// Attempt the permit was requested for.
         attempt: Attempt,
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
     },
     /// A hedge was started.
     Hedged {
         /// The stage.
         stage: StageName,
-        /// The slow attempt's age, in milliseconds.
+        /// Age of the slow attempt, in milliseconds.
         after_ms: f64,
     },
     /// A retry was started.
     Retried {
         /// The stage.
         stage: StageName,
-        /// What went wrong before.
+        /// Failure that the retry follows.
         after: String,
     },
     /// A stream was resumed after a broken connection.
     Resumed {
         /// The stage.
         stage: StageName,
-        /// Last event that had arrived.
+        /// Last event received before the connection broke.
         last_event_id: u64,
     },
     /// A call ended.
     Ended {
-        /// The stage.
+        /// Stage of the call.
         stage: StageName,
-        /// Which try.
+        /// Attempt of the stage.
         attempt: Attempt,
-        /// How.
+        /// How the call ended.
         outcome: Outcome,
-        /// Whether it ran.
+        /// Whether the call ran.
         run_state: RunState,
-        /// What it cost.
+        /// Actual cost of the call.
         cost: Cost,
     },
-    /// The caller got its whole answer.
+    /// The complete response was sent to the caller.
     Answered,
-    /// The caller got a failure.
+    /// An error was sent to the caller.
     Failed {
-        /// Why, in words.
+        /// Reason, for people to read.
         why: String,
-        /// Whether any part may have run.
+        /// Whether any part of the request may have run.
         run_state: RunState,
     },
-    /// The caller went away first.
+    /// The caller disconnected before the request was complete.
     CallerLeft,
-    /// A decision as a process logged it.
+    /// A decision as a process wrote it to its log.
     Logged {
-        /// What was decided.
+        /// Log message.
         message: String,
-        /// What decided it, and the outcome.
+        /// Structured fields of the log line: inputs of the decision and its outcome.
         #[serde(flatten)]
         details: BTreeMap<String, Value>,
     },
 }
 
-/// A decision and when it was taken.
+/// A decision with the time it was taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Milliseconds since the request arrived.
+    /// Time since the request arrived, in milliseconds.
     pub at_ms: f64,
     /// The decision.
     #[serde(flatten)]
     pub decision: Decision,
 }
 
-/// All that is kept of one request.
+/// The decision log of one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The request.
     pub request: RequestId,
-    /// Its workspace.
+    /// Workspace of the request.
     pub workspace: WorkspaceName,
-    /// Its pipeline, or `None` for a call to a plain service.
+    /// Pipeline of the request, or `None` for a call to a plain service.
     pub pipeline: Option<PipelineName>,
-    /// Decisions in order.
+    /// Decisions in chronological order.
     pub steps: Vec<Step>,
 }
--- a/crates/tc-protocol/src/error.rs
+++ b/crates/tc-protocol/src/error.rs
@@ -1,103 +1,103 @@
-//! The central error: what ends a command or a process.
+//! The top-level error type, which ends a command or a process.
 //!
-//! Layers have their own error types and turn the errors of those below into their own; this one is what reaches
-//! the command line.
+//! Each layer has its own error type and converts the errors of lower layers into it. [`TcError`] is the one that
+//! reaches the command line.
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 use thiserror::Error;
 
-/// An error shown to an operator, with a code, a place where there is one, and what to do.
+/// An error shown to an operator, with a code, help and, where available, a source location.
 #[derive(Debug, Error, Diagnostic)]
 pub enum TcError {
-    /// A setting is missing, unknown or wrong.
+    /// A setting is missing, unknown or invalid.
     #[error("setting {name}: {problem}")]
     #[diagnostic(code(tc::settings::invalid))]
     Setting {
-        /// The flag or variable.
+        /// Command line flag or environment variable.
         name: String,
-        /// What is wrong with it.
+        /// Description of the problem.
         problem: String,
-        /// What to do.
+        /// How to resolve the problem.
         #[help]
         help: String,
     },
-    /// A configuration file is wrong.
+    /// A configuration file is invalid.
     #[error("{problem}")]
     #[diagnostic(code(tc::config::invalid))]
     Config {
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
         /// The file's text.
         #[source_code]
         file: NamedSource<String>,
-        /// Where in it.
+        /// Location of the problem in the file.
         #[label("here")]
         at: Option<SourceSpan>,
-        /// What to do.
+        /// How to resolve the problem.
         #[help]
         help: String,
     },
-    /// A configuration folder cannot be used as a whole.
+    /// A configuration folder cannot be used.
     #[error("folder {folder}: {problem}")]
     #[diagnostic(code(tc::config::folder))]
     Folder {
-        /// The folder.
+        /// Path of the folder.
         folder: String,
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
-        /// What to do.
+        /// How to resolve the problem.
         #[help]
         help: String,
     },
-    /// Another operator changed the same thing first.
+    /// Another operator made a conflicting change first.
     #[error("{problem}")]
     #[diagnostic(code(tc::config::conflict))]
     Conflict {
-        /// Which file or object, and who was first.
+        /// The file or object in conflict and who changed it.
         problem: String,
-        /// What to do.
+        /// How to resolve the problem.
         #[help]
         help: String,
     },
-    /// A peer cannot be reached or does not answer as it should.
+    /// A peer is unreachable or sends unexpected responses.
     #[error("{peer}: {problem}")]
     #[diagnostic(code(tc::peer::unavailable))]
     Peer {
-        /// Which peer.
+        /// Name or address of the peer.
         peer: String,
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
-        /// What to do.
+        /// How to resolve the problem.
         #[help]
         help: String,
     },
-    /// A command line is wrong.
+    /// The command line is invalid.
     #[error("{problem}")]
     #[diagnostic(code(tc::command::usage))]
     Usage {
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
-        /// What to do.
+        /// How to resolve the problem.
         #[help]
         help: String,
     },
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     #[error("cannot listen on {address}: {problem}")]
     #[diagnostic(code(tc::serve::listen))]
     Listen {
         /// The address.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// Error reported by the operating system.
         problem: String,
-        /// What to do.
+        /// How to resolve the problem.
         #[help]
         help: String,
     },
-    /// Something inside failed that should not.
+    /// An internal error.
     #[error("{problem}")]
     #[diagnostic(code(tc::internal))]
     Internal {
-        /// What failed.
+        /// Description of the failure.
         problem: String,
     },
 }
--- a/crates/tc-protocol/src/guard.rs
+++ b/crates/tc-protocol/src/guard.rs
@@ -1,4 +1,4 @@
-//! Guards that give back what they hold when dropped.
+//! RAII guards that release a held resource when dropped.
 
 use std::fmt;
 
@@ -9,41 +9,41 @@
 
 /// A granted permit; dropping it without [`Permit::settle`] releases it as unused.
 ///
-/// Without the release on drop, a cancelled task would leak the permit: the home would count a call that is not
-/// there until the permit's expiry, seen as an upstream that never gets its full concurrency.
+/// Without the release on drop, a cancelled task would leak the permit: the home would count a nonexistent call as in
+/// flight until the permit expires, and the upstream would never reach its full concurrency.
 pub struct Permit {
     grant: Grant,
-    why: String,
+    selection_reason: String,
     on_release: Option<OnRelease>,
 }
 
 impl Permit {
-    /// Wraps a grant; `on_release` is called exactly once. `why` says in words why this upstream was chosen.
+    /// Wraps a grant; `on_release` is called exactly once. `selection_reason` explains why the upstream was selected.
     pub fn new(
         grant: Grant,
-        why: String,
+        selection_reason: String,
         on_release: impl FnOnce(Release) + Send + 'static,
     ) -> Self {
         Self {
             grant,
-            why,
+            selection_reason,
             on_release: Some(Box::new(on_release)),
         }
     }
 
-    /// What was granted.
+    /// Returns the grant.
     #[must_use]
     pub fn grant(&self) -> &Grant {
         &self.grant
     }
 
-    /// Why this upstream was chosen, in words.
+    /// Returns why this upstream was selected, as text for people to read.
     #[must_use]
     pub fn selection_reason(&self) -> &str {
-        &self.why
+        &self.selection_reason
     }
 
-    /// Gives the permit back, telling how the call ended.
+    /// Releases the permit and reports how the call ended.
     pub fn settle(
         mut self,
         outcome: Outcome,
@@ -92,14 +92,14 @@
     }
 }
 
-/// One request's part of its workspace's limits; dropping it ends the request's concurrency.
+/// Counts one request towards the limits of its workspace; dropping the guard frees its concurrency slot.
 pub struct WorkspaceLimitGuard {
     on_end: Option<Box<dyn FnOnce(f64) + Send>>,
     cost_units: f64,
 }
 
 impl WorkspaceLimitGuard {
-    /// `on_end` is called exactly once with the cost units the request used.
+    /// Creates a guard; `on_end` is called exactly once with the cost units the request used.
     pub fn new(on_end: impl FnOnce(f64) + Send + 'static) -> Self {
         Self {
             on_end: Some(Box::new(on_end)),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Adds cost units the request used, charged when the guard is dropped.
+    /// Adds cost units used by the request; they are charged when the guard is dropped.
     pub fn charge(&mut self, cost_units: f64) {
         self.cost_units += cost_units;
     }
--- a/crates/tc-protocol/src/lib.rs
+++ b/crates/tc-protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! Names, identifiers, deadlines, run states, the configuration model and the wire types that all crates share.
+//! Shared types: names, identifiers, deadlines, run states, the configuration model and wire types.
 //!
-//! This crate depends on nothing of the project's own; every dependency arrow points towards it.
+//! This crate depends on no other crate of the workspace, so that all of them can depend on it.
 
 mod claim;
 mod clock;
--- a/crates/tc-protocol/src/name.rs
+++ b/crates/tc-protocol/src/name.rs
@@ -1,10 +1,10 @@
-//! Names and identifiers: cheap to clone, compared by content, never interchangeable by accident.
+//! Newtypes for names and identifiers: cheap to clone, compared by content, and not interchangeable with each other.
 
 use std::{borrow::Borrow, fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-macro_rules! shared_name {
+macro_rules! string_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -12,7 +12,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as a string slice.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -57,48 +57,49 @@
     };
 }
 
-shared_name!(
-    /// One machine running this system.
+string_newtype!(
+    /// A running instance of this system.
     InstanceId
 );
-shared_name!(
-    /// A set of machines that fail together, such as a zone.
+string_newtype!(
+    /// A set of machines that can fail together, such as an availability zone.
     FailureDomain
 );
-shared_name!(
-    /// A group of failure domains close to each other.
+string_newtype!(
+    /// A group of failure domains with low network latency between them.
     Region
 );
-shared_name!(
-    /// One customer, isolated from all others.
+string_newtype!(
+    /// A tenant, isolated from all others.
     WorkspaceName
 );
-shared_name!(
-    /// One back end that runs calls.
+string_newtype!(
+    /// A backend that runs calls.
     UpstreamId
 );
-shared_name!(
+string_newtype!(
     /// A group of interchangeable upstreams.
     ServiceName
 );
-shared_name!(
-    /// A sequence of stages under one deadline.
+string_newtype!(
+    /// A sequence of stages that share one deadline.
     PipelineName
 );
-shared_name!(
+string_newtype!(
     /// One step of a pipeline.
     StageName
 );
 
 /// Identifies one accepted request.
 ///
-/// The text form is `<entry instance>-<incarnation>-<counter>`, so any instance can tell who keeps its explanation.
+/// The text form is `<entry instance>-<incarnation>-<counter>`, so that any instance can find the one that keeps the
+/// request's [`Explanation`](crate::Explanation).
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(Arc<str>);
 
 impl RequestId {
-    /// Builds the identifier of request `counter` accepted by `entry`.
+    /// Builds the identifier of request number `counter` accepted by the instance `entry`.
     ///
     /// ```
     /// use tc_protocol::{Incarnation, RequestId};
@@ -114,13 +115,13 @@
         )))
     }
 
-    /// The identifier as a string slice.
+    /// Returns the identifier as a string slice.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The instance that accepted the request, or `None` when the text was not made by [`RequestId::new`].
+    /// Returns the instance that accepted the request, or `None` if the text does not come from [`RequestId::new`].
     #[must_use]
     pub fn entry_instance(&self) -> Option<InstanceId> {
         let (rest, _) = self.0.rsplit_once('-')?;
@@ -147,7 +148,7 @@
     }
 }
 
-macro_rules! number {
+macro_rules! number_newtype {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -162,25 +163,25 @@
     };
 }
 
-number!(
-    /// One life of a process: milliseconds since the Unix epoch at its start. A restart has a higher one.
+number_newtype!(
+    /// Distinguishes restarts of a process: its start time in Unix milliseconds, so a restart has a higher number.
     Incarnation(u64)
 );
-number!(
-    /// Which try of a stage this is, counted from 0 over retries and hedges.
+number_newtype!(
+    /// Attempt number within a stage, from 0; retries and hedges count.
     Attempt(u32)
 );
-number!(
-    /// A permit, unique within one home's incarnation.
+number_newtype!(
+    /// Identifies a permit; unique within one incarnation of its home.
     PermitId(u64)
 );
-number!(
-    /// Hash of (workspace, service, input): two calls with the same one would do the same to an upstream.
+number_newtype!(
+    /// Hash of (workspace, service, input): calls with equal fingerprints have the same effect on an upstream.
     Fingerprint(u64)
 );
 
 impl Fingerprint {
-    /// Fingerprint of one call's input.
+    /// Computes the fingerprint of a call.
     ///
     /// ```
     /// use tc_protocol::Fingerprint;
--- a/crates/tc-protocol/src/permit.rs
+++ b/crates/tc-protocol/src/permit.rs
@@ -1,4 +1,7 @@
-//! Permits: what an entry asks an upstream's home for, and what it tells the home afterwards.
+//! Permits to call an upstream.
+//!
+//! The instance that accepted a request (the entry) obtains a permit from the upstream's home, the instance that
+//! grants permits for it, and releases the permit when the call ends.
 
 use std::time::Duration;
 
@@ -8,24 +11,24 @@
     Attempt, Fingerprint, PermitId, RequestId, RunState, ServiceName, UpstreamId, WorkspaceName,
 };
 
-/// What a call is expected to cost, or did cost.
+/// Estimated or actual cost of a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Tokens read.
+    /// Input tokens.
     pub tokens_in: u32,
-    /// Tokens generated.
+    /// Generated tokens.
     pub tokens_out: u32,
-    /// Time the upstream was busy with it, in milliseconds.
+    /// Time the upstream was busy with the call, in milliseconds.
     pub busy_ms: f64,
 }
 
-/// Cost units of one token read; reading is batched and cheap beside generating.
+/// Cost units per input token; input is processed in batches and is much cheaper than generation.
 const UNITS_PER_TOKEN_IN: f64 = 0.1;
-/// Cost units of one token generated.
+/// Cost units per generated token.
 const UNITS_PER_TOKEN_OUT: f64 = 1.0;
 
 impl Cost {
-    /// One number to compare calls by: weighted tokens for a model, milliseconds for anything else.
+    /// Returns a single number to compare calls by: weighted tokens for a model, busy milliseconds for anything else.
     ///
     /// ```
     /// use tc_protocol::Cost;
@@ -42,72 +45,72 @@
     }
 }
 
-/// An entry's request to use an upstream of a service.
+/// A request for a permit to call an upstream of a service.
 #[derive(Clone, Debug)]
 pub struct PermitRequest {
-    /// Whose request it is.
+    /// Request the call belongs to.
     pub request: RequestId,
-    /// Which try of the stage.
+    /// Attempt of the stage.
     pub attempt: Attempt,
-    /// The workspace that is charged.
+    /// Workspace that is charged.
     pub workspace: WorkspaceName,
-    /// The service that runs the stage.
+    /// Service that runs the stage.
     pub service: ServiceName,
-    /// 0 (most urgent) to 7.
+    /// Priority: 0 (most urgent) to 7.
     pub priority: u8,
-    /// Longest the ask may wait for its grant; after that starting is pointless.
+    /// Maximum queueing time; a call that starts later cannot meet its deadline.
     pub slack: Duration,
-    /// How long the call may run once granted; the permit ends a grace after it.
+    /// How long the call may run once granted; the permit expires a grace period later.
     pub run_for: Duration,
-    /// Estimated cost, settled on release.
+    /// Estimated cost, replaced by the actual cost on release.
     pub estimate: Cost,
-    /// Hash of workspace and prompt prefix, for services that cache prefixes.
+    /// Hash of workspace and prompt prefix, for services with a prefix cache.
     pub prefix: Option<u64>,
-    /// Identifies the input, to keep one that crashes upstreams from reaching many.
+    /// Identifies the input, so that one that crashes upstreams does not reach many of them.
     pub fingerprint: Fingerprint,
-    /// Upstreams already tried or in use for this stage, not to be chosen again.
+    /// Upstreams already tried or in use for this stage, which must not be selected again.
     pub excluded: Vec<UpstreamId>,
 }
 
-/// A home's leave to call one upstream once.
+/// Permission from a home to make one call to one upstream.
 #[derive(Clone, Debug)]
 pub struct Grant {
-    /// Names the permit on release.
+    /// Identifies the permit on release.
     pub permit: PermitId,
-    /// The upstream to call.
+    /// Upstream to call.
     pub upstream: UpstreamId,
-    /// Where it listens.
+    /// Address of the upstream.
     pub address: std::net::SocketAddr,
-    /// How long the permit lasts.
+    /// Time until the permit expires.
     pub expires_in: Duration,
-    /// Time the ask spent in the home's queue.
+    /// Time the permit request spent in the home's queue.
     pub waited: Duration,
 }
 
-/// Why an ask was refused. Every refusal means the call was not sent.
+/// Why a permit request was refused. After a refusal the call has not been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// It could not have started before its slack was gone.
+    /// The call could not start within its slack.
     TooLate,
-    /// The workspace's queue at the home is full.
+    /// The queue of the workspace at the home is full.
     QueueFull,
-    /// The service has no upstream that may be used.
+    /// The service has no eligible upstream.
     NoUpstream,
-    /// The home could not be reached.
+    /// The home is unreachable.
     HomeUnreachable,
-    /// The input crashed upstreams before and is quarantined.
+    /// The input is quarantined because it has crashed upstreams.
     Quarantined,
-    /// The workspace's limit is used up.
+    /// The limit of the workspace is exhausted.
     OverLimit,
 }
 
-/// A refused ask.
+/// Refusal of a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PermitRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When asking again may help.
+    /// Suggested delay before the next request.
     pub retry_after: Duration,
 }
 
@@ -115,35 +118,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// A whole result came back.
+    /// A complete result was received.
     Answered,
-    /// The upstream answered that the call itself is wrong; says nothing about its health.
+    /// The upstream rejected the call as invalid; this does not reflect on the upstream's health.
     Rejected,
-    /// The upstream answered with a failure, or broke the connection.
+    /// The upstream returned an error or closed the connection.
     Failed,
-    /// The connection broke in a way that suggests the upstream's process died.
+    /// The connection broke in a way that suggests that the upstream's process crashed.
     Died,
-    /// No result in time.
+    /// No result was received in time.
     TimedOut,
-    /// Given up by us: the caller left or another attempt won.
+    /// Cancelled on this side: the caller disconnected or another attempt finished first.
     Cancelled,
     /// The permit was never used.
     Unused,
 }
 
-/// What an entry tells the home when it is done with a permit.
+/// Report to the home that a permit is no longer in use.
 #[derive(Clone, Debug)]
 pub struct Release {
-    /// The permit.
+    /// Permit to release.
     pub permit: PermitId,
     /// How the call ended.
     pub outcome: Outcome,
-    /// What is known of whether it ran.
+    /// Whether the call ran, as far as known.
     pub run_state: RunState,
-    /// What it cost.
+    /// Actual cost.
     pub cost: Cost,
-    /// Time from sending to the whole result.
+    /// Time from sending the call to the complete result.
     pub took: Duration,
-    /// Time from sending to the first byte of the result, when there was one.
+    /// Time from sending the call to the first byte of the result, if any arrived.
     pub first_byte: Option<Duration>,
 }
--- a/crates/tc-protocol/src/problem.rs
+++ b/crates/tc-protocol/src/problem.rs
@@ -1,55 +1,55 @@
-//! Problem details towards callers (RFC 9457).
+//! Problem details sent to callers (RFC 9457).
 
 use serde::{Deserialize, Serialize};
 
 use crate::{RequestId, RunState};
 
-/// What kind of problem it is; decides HTTP status, type and title.
+/// Kind of a problem; determines HTTP status, type and title.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProblemKind {
     /// The request is malformed.
     BadRequest,
-    /// No or a wrong token.
+    /// The token is missing or invalid.
     Unauthorized,
-    /// The workspace may not use this pipeline or service.
+    /// The workspace is not allowed to use this pipeline or service.
     Forbidden,
-    /// No such path, pipeline or service.
+    /// The path, pipeline or service does not exist.
     NotFound,
-    /// The method does not fit the path.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// A header is larger than allowed.
+    /// The headers exceed the size limit.
     HeadersTooLarge,
-    /// A non-idempotent request carries no key.
+    /// A non-idempotent request has no idempotency key.
     KeyRequired,
-    /// The same key came with another body.
+    /// The idempotency key was used before with a different body.
     KeyReused,
-    /// The workspace's limit is used up.
+    /// The limit of the workspace is exhausted.
     OverLimit,
-    /// The request could not be answered within its deadline, so it was not started.
+    /// The request could not complete within its deadline, so it was not started.
     CannotFinish,
-    /// The fleet has no room for it now.
+    /// The fleet has no free capacity for the request.
     Overloaded,
     /// The deadline passed.
     DeadlineExceeded,
-    /// An upstream failed and no retry was possible.
+    /// An upstream failed and the call could not be retried.
     UpstreamFailed,
-    /// The input crashed upstreams before.
+    /// The input is quarantined because it has crashed upstreams.
     Quarantined,
-    /// Whether the earlier run with this key happened cannot be known.
+    /// It is unknown whether an earlier request with this idempotency key ran.
     OutcomeUnknown,
-    /// The platform's store is needed and cannot be reached.
+    /// The request needs the platform's store, which is unreachable.
     StoreUnavailable,
-    /// This instance is not ready: it has no configuration yet.
+    /// The instance is not ready because it has no configuration yet.
     NotReady,
-    /// A fault of this system.
+    /// An internal error of this system.
     Internal,
 }
 
 impl ProblemKind {
-    /// HTTP status code.
+    /// Returns the HTTP status code.
     #[must_use]
     pub const fn status(self) -> u16 {
         match self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The word after `urn:tanagercroft:problem:` in the type member.
+    /// Returns the suffix after `urn:tanagercroft:problem:` in the `type` member.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -96,7 +96,7 @@
     }
 }
 
-/// One problem, as sent to a caller in `application/problem+json`.
+/// A problem document, sent to callers as `application/problem+json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
     /// `urn:tanagercroft:problem:<kind>`.
@@ -104,22 +104,22 @@
     pub type_: String,
     /// HTTP status code.
     pub status: u16,
-    /// The kind in words.
+    /// Readable form of the kind.
     pub title: String,
-    /// What happened and what to do.
+    /// What happened and what the caller can do.
     pub detail: String,
-    /// Whether any part of the request may have been run.
+    /// Whether any part of the request may have run.
     pub run_state: RunState,
-    /// The request's identifier, once it has one.
+    /// Identifier of the request, if one was assigned.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_id: Option<RequestId>,
-    /// When asking again may help, in milliseconds; also sent as `Retry-After` in whole seconds.
+    /// Suggested delay before a retry, in milliseconds; also sent as `Retry-After` in whole seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// A problem with no request identifier and no retry hint.
+    /// Creates a problem without a request identifier or a retry hint.
     ///
     /// ```
     /// use tc_protocol::{Problem, ProblemKind, RunState};
@@ -140,14 +140,14 @@
         }
     }
 
-    /// The same problem with the request's identifier.
+    /// Sets the request identifier.
     #[must_use]
     pub fn with_request(mut self, id: RequestId) -> Self {
         self.request_id = Some(id);
         self
     }
 
-    /// The same problem with a hint when to ask again.
+    /// Sets the suggested delay before a retry.
     #[must_use]
     pub fn with_retry_after(mut self, after: std::time::Duration) -> Self {
         self.retry_after_ms = Some(after.as_millis() as u64);
--- a/crates/tc-protocol/src/routing/config.rs
+++ b/crates/tc-protocol/src/routing/config.rs
@@ -1,4 +1,4 @@
-//! One version of the operators' routes, services and workspaces.
+//! The operators' configuration for routed requests: routes, services and workspaces.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -8,47 +8,47 @@
 
 use crate::{ServiceName, WorkspaceName};
 
-/// One version of the configuration for routed requests.
+/// A version of the configuration for routed requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingConfig {
-    /// Rises with every change, not always by one.
+    /// Increases with every change, not necessarily by one.
     pub version: u64,
-    /// All routes.
+    /// Routes.
     pub routes: Vec<Arc<Route>>,
-    /// All services by name.
+    /// Services by name.
     pub services: BTreeMap<ServiceName, Arc<RoutedService>>,
-    /// Bounds on what callers may send.
+    /// Limits for callers' connections and requests.
     pub limits: CallerLimits,
-    /// Workspaces by the keys that callers present; empty when no key is needed.
+    /// Workspaces by API key; empty if no key is required.
     pub keys: HashMap<Arc<str>, Arc<RoutedWorkspace>>,
-    /// Whether requests of routes that are not public need a key.
+    /// Whether requests to non-public routes require an API key.
     pub keys_required: bool,
 }
 
-/// A workspace as requests see it.
+/// A workspace that sends routed requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutedWorkspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceName,
-    /// Rank of its requests, 0 first; goes before a route's.
+    /// Priority of its requests, 0 most urgent; overrides the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits for callers' connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest request header in bytes.
+    /// Maximum size of the request headers, in bytes.
     pub header_bytes: usize,
-    /// Largest request body in bytes.
+    /// Maximum size of the request body, in bytes.
     pub body_bytes: usize,
-    /// How long a caller may take to send a header.
+    /// Maximum time for a caller to send the request headers.
     pub header_timeout: Duration,
-    /// How long a connection may stay idle.
+    /// Maximum idle time of a connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds before a configuration is known: common defaults of HTTP servers.
+    /// Limits that apply until a configuration is known: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -59,125 +59,125 @@
     }
 }
 
-/// What may be repeated of a route's requests.
+/// Whether the requests of a route may be retried, and whether responses are streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Any request may run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// A request runs at most once.
+    /// Each request runs at most once.
     NonIdempotent,
-    /// The answer is a stream of numbered events; the request runs at most once.
+    /// The response is a stream of numbered events; each request runs at most once.
     Stream,
-    /// A stream that may be resumed after the last event delivered, on another upstream too.
+    /// A stream that can be resumed after the last delivered event, also on another upstream.
     ResumableStream,
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request may be sent again although it may have run.
     #[must_use]
     pub const fn allows_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
 
-/// Where requests of a host and path prefix go, and by which rules.
+/// Routing rule for the requests to a host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// The host it belongs to.
+    /// Host that the route matches.
     pub host: Arc<str>,
-    /// Begins and ends with a slash.
+    /// Path prefix that the route matches; starts and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be retried, and whether responses are streams.
     pub kind: RouteKind,
-    /// Longest time a caller is kept waiting.
+    /// Maximum time a caller waits.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) is worth most.
+    /// Latency objective of the response, or of the first event of a stream.
     pub latency_target: Duration,
-    /// Rank, 0 first.
+    /// Priority, 0 most urgent.
     pub priority: u8,
-    /// Services and the weights by which requests are split between them.
+    /// Services with the weights by which requests are distributed among them.
     pub targets: Vec<(ServiceName, u32)>,
-    /// Most upstreams one request is sent to.
+    /// Maximum number of upstreams a request is sent to.
     pub max_attempts: u32,
-    /// Work to be done before the request itself, by index.
+    /// Stages to run before the request itself; [`RouteStage::depends_on`] refers to them by index.
     pub stages: Vec<RouteStage>,
-    /// Whether requests need no key.
+    /// Whether requests require no API key.
     pub public: bool,
-    /// Longest pause between two events of a stream.
+    /// Maximum time between two events of a stream.
     pub max_event_gap: Option<Duration>,
-    /// How long callers wait for a stream's first event before they leave, if that is less than their deadline.
+    /// How long callers wait for the first event of a stream before they disconnect, if less than their deadline.
     pub first_event_timeout: Option<Duration>,
 }
 
 /// One stage of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteStage {
-    /// Who makes its pieces.
+    /// Service that processes the pieces of the stage.
     pub service: ServiceName,
-    /// Indices of the stages whose results it needs.
+    /// Indices of the stages whose results this stage reads.
     pub depends_on: Vec<usize>,
-    /// About the size of one piece's result, in bytes.
+    /// Approximate size of the result of one piece, in bytes.
     pub result_bytes: u64,
 }
 
-/// A service that routes or stages name.
+/// A service that routes or stages refer to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutedService {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Most connections one upstream accepts from all callers together.
+    /// Maximum number of connections one upstream accepts from all clients together.
     pub max_connections: u32,
-    /// Set when its upstreams make pieces of stages in batches.
+    /// Set if the upstreams process pieces of stages in batches.
     pub batch: Option<BatchSpec>,
-    /// Set when its upstreams are model engines.
+    /// Set if the upstreams are model engines.
     pub engine: Option<EngineSpec>,
-    /// Set when its upstreams are fragile for a while after they start.
+    /// Set if the upstreams tolerate only a reduced load for some time after a start.
     pub cold_start: Option<ColdStartSpec>,
 }
 
-/// How an upstream behaves while it is cold: just started, or with what it had warmed up lost.
+/// Reduced capacity of a cold upstream: one that has just started or has lost its warmed-up state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStartSpec {
-    /// How long it is cold after its start.
+    /// How long an upstream stays cold after its start.
     pub duration: Duration,
-    /// Requests a second that it bears meanwhile; well above them it crashes.
+    /// Requests per second that a cold upstream tolerates; it crashes at rates well above.
     pub max_requests_per_s: f64,
 }
 
-/// How one upstream of a batch service works.
+/// Parameters of an upstream of a batch service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BatchSpec {
-    /// Calls worked on at the same time.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Calls that may wait.
+    /// Maximum number of queued calls.
     pub queue_capacity: u32,
-    /// Most pieces in one call.
+    /// Maximum number of pieces per call.
     pub max_pieces: usize,
-    /// Time of a call besides its pieces.
+    /// Fixed time per call, in addition to the time of its pieces.
     pub call_overhead: Duration,
-    /// About the time of one piece.
+    /// Approximate time per piece.
     pub piece_time: Duration,
-    /// Room for results, in bytes.
+    /// Storage for results, in bytes.
     pub result_capacity_bytes: u64,
-    /// How long a result is kept unless it is given up before.
+    /// How long a result is kept unless it is freed earlier.
     pub result_ttl: Duration,
-    /// Bytes a second over its link.
+    /// Bandwidth of the network link, in bytes per second.
     pub link_bytes_per_s: f64,
 }
 
-/// How one model engine works.
+/// Parameters of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Requests run at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Memory shared by running requests and kept prompt parts, in tokens.
+    /// Capacity of the KV cache, in tokens; running requests and cached prompt parts share it.
     pub kv_cache_tokens: u64,
 }
--- a/crates/tc-protocol/src/routing/mod.rs
+++ b/crates/tc-protocol/src/routing/mod.rs
@@ -1,6 +1,6 @@
-//! What routed requests go by: routes, services with their upstreams, and the calls of batch stages.
+//! Types for routed requests: routes, services with their upstreams, and calls to batch stages.
 //!
-//! The types hold decoded values only; whoever decodes an operator's configuration validates it there.
+//! These types hold decoded values; the code that decodes an operator's configuration also validates it.
 
 mod config;
 mod piece;
--- a/crates/tc-protocol/src/routing/piece.rs
+++ b/crates/tc-protocol/src/routing/piece.rs
@@ -1,16 +1,18 @@
-//! Pieces of stages: what is asked of the home of a batch service, and what comes back.
+//! Requests to the home of a batch service to process the pieces of a stage, and their results.
+//!
+//! The work of a stage is divided into pieces, which its service processes in batches.
 
 use std::{sync::Arc, time::Duration};
 
 use super::RouteStage;
 use crate::{FailureDomain, Fingerprint, ServiceName};
 
-/// Names a result that is kept at the upstream that made it: `IP:PORT/ID`.
+/// Identifies a result that is stored at the upstream that produced it: `IP:PORT/ID`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ResultHandle(pub Arc<str>);
 
 impl ResultHandle {
-    /// Address of the upstream that keeps the result.
+    /// Returns the address of the upstream that stores the result.
     ///
     /// ```
     /// use tc_protocol::routing::ResultHandle;
@@ -18,114 +20,114 @@
     /// ```
     #[must_use]
     pub fn upstream_address(&self) -> Option<&str> {
-        self.0.split_once('/').map(|(maker, _)| maker)
+        self.0.split_once('/').map(|(address, _)| address)
     }
 }
 
-/// What a piece is made from.
+/// Input of a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceInput {
-    /// The request's own input, by its key.
+    /// Input of the request itself, identified by its key.
     Request(Arc<str>),
     /// Results of earlier stages.
     Results(Arc<[ResultHandle]>),
 }
 
-/// All stages of a request that is to be begun, for whoever judges whether it is worth it.
+/// All stages of a request that has not started, for the admission decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageChain {
-    /// What is the same in every sending of the request.
+    /// Fingerprint of the request, equal each time it is sent.
     pub fingerprint: Fingerprint,
-    /// The stages, in the route's order.
+    /// Stages, in the order of the route.
     pub stages: Vec<RouteStage>,
-    /// How many pieces each has; none for a stage that is left out.
+    /// Number of pieces per stage; 0 for a skipped stage.
     pub pieces: Vec<u32>,
-    /// Time until the last stage must be made for the request to be answered within its aim.
+    /// Time until the last stage must complete for the request to meet its latency target.
     pub until_latency_target: Duration,
-    /// Time until nobody waits for the request any more.
+    /// Time until the caller no longer waits for the response.
     pub remaining: Duration,
 }
 
-/// All pieces of one stage of one request.
+/// A request to process all pieces of one stage of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageRequest {
-    /// The request they are for, as its caller named it.
+    /// Identifier that the caller gave the request.
     pub request: Arc<str>,
-    /// The service that makes them.
+    /// Service that processes the pieces.
     pub service: ServiceName,
-    /// The stage's index in the route.
+    /// Index of the stage in the route.
     pub stage: u32,
-    /// How many pieces the stage has.
+    /// Number of pieces of the stage.
     pub pieces: u32,
-    /// What they are made from.
+    /// Input of the pieces.
     pub input: PieceInput,
-    /// About the size of one result, in bytes.
+    /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// Rank of the request, 0 first.
+    /// Priority of the request, 0 most urgent.
     pub priority: u8,
-    /// Time until the stage must be done for the request to be answered within its aim; zero when that has passed.
+    /// Time until the stage must complete for the request to meet its latency target; zero if that time has passed.
     pub until_latency_target: Duration,
-    /// Time until nobody waits for the request any more.
+    /// Time until the caller no longer waits for the response.
     pub remaining: Duration,
-    /// Where the results will be read, when that is known and matters.
+    /// Failure domain in which the results will be read, if known and relevant.
     pub preferred_domain: Option<FailureDomain>,
-    /// Bytes of inputs that are kept at their makers until the stage has read them.
+    /// Bytes of inputs that stay stored at their upstreams until the stage has read them.
     pub held_bytes: u64,
-    /// Whether no other stage reads its inputs any more, so that they are given up as soon as its pieces have them.
+    /// Whether no other stage will read the inputs, so that they are freed as soon as the pieces have read them.
     pub is_last_reader: bool,
-    /// Pieces of the stages that read its results, by their service.
+    /// Service and number of pieces of each stage that reads the results.
     pub dependents: Vec<(ServiceName, u32)>,
-    /// All stages of the request, if it begins with this one: its home judges whether they are worth beginning.
+    /// All stages of the request, if this is the first one: the home decides whether to admit them.
     pub chain: Option<StageChain>,
 }
 
-/// One piece in a call to an upstream.
+/// A piece in a batch call to an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PieceRequest {
-    /// The request it is for.
+    /// Identifier that the caller gave the request.
     pub request: Arc<str>,
-    /// The stage's index in the route.
+    /// Index of the stage in the route.
     pub stage: u32,
-    /// Number within the stage, from 0.
+    /// Index of the piece within the stage, from 0.
     pub piece: u32,
-    /// Time until its result is of no use.
+    /// Time until the result is no longer useful.
     pub remaining: Duration,
-    /// What it is made from.
+    /// Input of the piece.
     pub input: PieceInput,
 }
 
-/// Why a piece was not made.
+/// Why a piece was not processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceFailure {
-    /// Its time was over at its turn.
+    /// Its time had run out when the upstream reached it.
     Late,
-    /// A result it needs is no longer kept.
+    /// A result it reads is no longer stored.
     InputGone,
-    /// The upstream has no room for its result.
+    /// The upstream has no storage left for the result.
     ResultStoreFull,
-    /// The upstream failed it.
+    /// The upstream failed to process it.
     Failed,
 }
 
-/// What became of one piece.
+/// Result of a piece.
 pub type PieceResult = Result<ResultHandle, PieceFailure>;
 
-/// Why a stage of a request was not made.
+/// Why a stage of a request was not completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageRefusal {
-    /// It would be done too late; `retry_after` is when the backlog is expected to be worked off.
+    /// The stage would complete too late; the backlog is expected to clear after `retry_after`.
     Overloaded {
-        /// When to come back.
+        /// Suggested delay before a retry.
         retry_after: Duration,
     },
-    /// An input is gone; the stages before have to be done again.
+    /// An input is no longer stored; the preceding stages must run again.
     InputGone,
-    /// Its pieces failed too often.
+    /// The pieces failed too often.
     Failed,
-    /// The time of the request is over.
+    /// The time of the request has run out.
     Late,
-    /// This instance is not able to make it: it knows no upstream of the service.
+    /// This instance knows no upstream of the service.
     NoUpstream,
-    /// The service has another home by now; it is to be asked.
+    /// The service has moved to another home, which must get the request instead.
     Moved,
 }
--- a/crates/tc-protocol/src/routing/prompt.rs
+++ b/crates/tc-protocol/src/routing/prompt.rs
@@ -1,31 +1,31 @@
-//! Prompts of model requests, and the choice of an engine for them.
+//! Prompts of model requests and the selection of an engine for them.
 
 use std::{sync::Arc, time::Duration};
 
 use crate::{FailureDomain, ServiceName, UpstreamId};
 
-/// A model request's prompt as a chain of parts that requests share.
+/// Prompt of a model request, as a sequence of parts; requests can share a prefix of parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Tokens in.
+    /// Number of input tokens.
     pub tokens_in: u32,
-    /// Most tokens out.
+    /// Maximum number of output tokens.
     pub tokens_out: u32,
-    /// The parts in their order; the last one belongs to the request itself.
+    /// Parts in order; the last one is specific to the request.
     pub parts: Arc<[PromptPart]>,
 }
 
-/// One part of a prompt.
+/// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identifies its content.
+    /// Identifies the content of the part.
     pub id: u64,
-    /// How many tokens it has.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
 impl Prompt {
-    /// The longest chain of parts that other requests share too, as one number; `None` when nothing is shared.
+    /// Returns an identifier of the longest prefix that other requests can share, or `None` if there is none.
     ///
     /// ```
     /// use tc_protocol::routing::{Prompt, PromptPart};
@@ -43,48 +43,48 @@
     }
 }
 
-/// Asks the home of a model service for an engine.
+/// A request to the home of a model service to select an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRequest {
-    /// The service.
+    /// Model service.
     pub service: ServiceName,
-    /// The prompt.
+    /// Prompt of the request.
     pub prompt: Prompt,
-    /// Bytes of results that the engine will fetch, by where they lie.
+    /// Bytes of results that the engine will fetch, by the failure domain that stores them.
     pub inputs: Vec<(FailureDomain, u64)>,
-    /// Engines not to be chosen again.
+    /// Engines that must not be selected again.
     pub excluded: Vec<UpstreamId>,
-    /// Time until the request is over in any case.
+    /// Time until the request ends in any case.
     pub remaining: Duration,
 }
 
-/// An engine for one run of a request.
+/// The engine selected for a run of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineChoice {
-    /// The engine.
+    /// Selected engine.
     pub upstream: UpstreamId,
-    /// Another engine that keeps more of the prompt, to fetch it from.
+    /// Another engine that has more of the prompt cached, to fetch it from.
     pub fetch_from: Option<UpstreamId>,
-    /// The run's number at its home, for news of it.
+    /// Number of the run at the home, for progress reports.
     pub run: u64,
 }
 
-/// News of one run.
+/// Progress report of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunReport {
-    /// The run's number at the home that chose its engine.
+    /// Number of the run at the home that selected the engine.
     pub run: u64,
-    /// What became of it.
+    /// Progress of the run.
     pub progress: RunProgress,
 }
 
-/// What became of a run at its engine.
+/// Progress of a run at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunProgress {
-    /// Its first event came, this long after it was sent: the engine has read the prompt.
+    /// The first event arrived this long after the request was sent: the engine has processed the prompt.
     FirstEvent(Duration),
-    /// It is over.
+    /// The run has ended.
     Ended,
-    /// The engine broke off, could not be reached, or was full.
+    /// The engine aborted the run, was unreachable or had no free capacity.
     Failed,
 }
--- a/crates/tc-protocol/src/routing/rate_limit.rs
+++ b/crates/tc-protocol/src/routing/rate_limit.rs
@@ -1,18 +1,18 @@
-//! Request rates that upstreams announce.
+//! Rate limits that upstreams announce.
 
 use std::time::Duration;
 
 use crate::UpstreamId;
 
-/// Rates above this are no limit in practice; the cap keeps arithmetic on them finite.
+/// Upper bound of rates. Higher ones are no limit in practice; the cap keeps arithmetic on them finite.
 const MAX_PER_S: f64 = 1e6;
 
-/// Requests per second that an upstream takes from all instances together.
+/// Requests per second that an upstream accepts from all instances together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// Returns `None` for negative and non-finite rates.
+    /// Creates a rate limit; returns `None` for negative and non-finite rates.
     ///
     /// ```
     /// use tc_protocol::routing::RateLimit;
@@ -33,25 +33,25 @@
     }
 }
 
-/// The rate limit that one answer of an upstream announces.
+/// The rate limit that a response of an upstream announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AnnouncedLimit {
-    /// The answer announces no limit.
+    /// The response announces no limit.
     #[default]
     None,
-    /// The answer announces this limit.
+    /// The response announces this limit.
     PerSecond(RateLimit),
-    /// The answer announces a limit that cannot be read; earlier announcements stand.
+    /// The response announces a limit that cannot be parsed; earlier announcements stay in effect.
     Unreadable,
 }
 
-/// What one instance tells another about an upstream's rate limit.
+/// Update about the rate limit of an upstream, sent between instances.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RateLimitUpdate {
-    /// The upstream.
+    /// Upstream the limit applies to.
     pub upstream: UpstreamId,
-    /// Its limit; `None` after it announced none any more.
+    /// Current limit; `None` if the upstream no longer announces one.
     pub limit: Option<RateLimit>,
-    /// Time since the answer that said so.
+    /// Time since the response with this announcement.
     pub age: Duration,
 }
--- a/crates/tc-protocol/src/routing/upstream.rs
+++ b/crates/tc-protocol/src/routing/upstream.rs
@@ -1,32 +1,33 @@
-//! Upstreams as they register themselves.
+//! Upstreams that register themselves in the store.
 
 use std::net::SocketAddr;
 
 use crate::{FailureDomain, MonoTime, ServiceName, UpstreamId};
 
-/// One life of an upstream's process. A restart registers under another identifier.
+/// A registered upstream process. A restarted process registers under a new identifier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegisteredUpstream {
-    /// Identifies this life of the process; upstreams check it when it is sent along.
+    /// Identifies this start of the process; upstreams check it if a request carries it.
     pub id: UpstreamId,
-    /// What it serves.
+    /// Service the upstream belongs to.
     pub service: ServiceName,
-    /// Where it listens. Another process may have the address later.
+    /// Address it listens on; another process may get the address later.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Failure domain of the upstream.
     pub failure_domain: FailureDomain,
-    /// Requests it works on at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is about to stop and must get no new work.
+    /// Whether the upstream is about to stop and must get no new work.
     pub draining: bool,
-    /// Whether operators have its failure domain evacuated: it must get no new work until they take that back.
+    /// Whether operators have evacuated the failure domain: no new work until they revoke the evacuation.
     pub evacuated: bool,
-    /// Until when it is cold, as far as known: by its own word, or as it may have lost what it had warmed up.
+    /// End of the cold phase, as far as known: announced by the upstream, or assumed because it may have lost its
+    /// warmed-up state.
     pub cold_until: MonoTime,
 }
 
 impl RegisteredUpstream {
-    /// Whether anything new may be sent to it.
+    /// Returns whether new requests may be sent to the upstream.
     ///
     /// ```
     /// use tc_protocol::{MonoTime, routing::RegisteredUpstream};
--- a/crates/tc-protocol/src/run_state.rs
+++ b/crates/tc-protocol/src/run_state.rs
@@ -1,23 +1,23 @@
-//! What is known of whether a failed request was run.
+//! Whether a failed request has run, as far as known.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether any part of a request may have been run by an upstream.
+/// Whether an upstream may have run any part of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// No byte of it reached any upstream: asking again cannot double anything.
+    /// No byte of the request reached an upstream, so a retry cannot repeat a side effect.
     NotRun,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
-    /// It ran.
+    /// The request has run.
     Ran,
 }
 
 impl RunState {
-    /// The state of a whole made of two parts that may each have run.
+    /// Combines the states of two parts into the state of the whole.
     ///
     /// ```
     /// use tc_protocol::RunState::{NotRun, Ran, Unknown};
@@ -30,7 +30,7 @@
         self.max(other)
     }
 
-    /// The word used on the wire.
+    /// Returns the name used on the wire.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/tc-protocol/src/view.rs
+++ b/crates/tc-protocol/src/view.rs
@@ -1,4 +1,4 @@
-//! The immutable snapshot of the fleet that the control thread publishes and traffic threads read.
+//! Immutable snapshot of the fleet, published by the control thread and read by the traffic threads.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,106 +8,107 @@
     FailureDomain, FleetConfig, Incarnation, InstanceId, Region, ServiceName, Upstream, UpstreamId,
 };
 
-/// What the fleet thinks of an instance.
+/// Membership state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Answers probes.
+    /// The instance responds to probes.
     Alive,
-    /// Missed probes; gone soon unless it refutes.
+    /// The instance missed probes and is declared dead soon unless it refutes the suspicion.
     Suspect,
-    /// Stopping on purpose: serves what it has, gets nothing new.
+    /// The instance is shutting down: it finishes the requests it has and gets no new ones.
     Leaving,
-    /// Gone.
+    /// The instance has left the fleet or was declared dead.
     Dead,
 }
 
-/// One instance as others see it.
+/// An instance as seen by the rest of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its identifier.
+    /// Identifier of the instance.
     pub id: InstanceId,
-    /// Which life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where instances connect (TCP for calls, UDP for probes; the same port number).
+    /// Address for other instances (TCP for calls, UDP for probes, on the same port number).
     pub fleet_address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: FailureDomain,
-    /// Its region.
+    /// Region of the instance.
     pub region: Region,
-    /// What the fleet thinks of it.
+    /// Membership state.
     pub state: MemberState,
-    /// How much it can do beside the others, in thousandths of a core; roles go to instances in proportion to it.
+    /// Relative capacity in thousandths of a core; roles are assigned to instances in proportion to it.
     #[serde(default = "Member::default_strength")]
     pub strength: u32,
 }
 
 impl Member {
-    /// Strength of an instance that tells none: one core.
+    /// Strength of an instance that announces none: one core.
     #[must_use]
     pub const fn default_strength() -> u32 {
         1_000
     }
 }
 
-/// How well the platform's store can be reached from this instance.
+/// Reachability of the platform's store from this instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreHealth {
-    /// Whether the last call succeeded.
+    /// Whether the last call to the store succeeded.
     pub reachable: bool,
-    /// Time since the last call that succeeded.
+    /// Time since the last successful call.
     pub age: Duration,
 }
 
-/// Load of an upstream as its home last told.
+/// Load of an upstream, as last reported by its home.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamSummary {
-    /// Calls granted and not released.
+    /// Permits granted and not yet released.
     pub in_flight: u32,
-    /// Calls the home lets run at once now.
+    /// Current concurrency limit set by the home.
     pub concurrency: u32,
-    /// Asks waiting at the home.
+    /// Permit requests queued at the home.
     pub waiting: u32,
-    /// Expected wait of a new ask, in milliseconds.
+    /// Expected queueing time of a new permit request, in milliseconds.
     pub wait_ms: f64,
     /// Median service time, in milliseconds.
     pub service_ms: f64,
-    /// Whether the home lets it take no ordinary calls now because it is an outlier.
+    /// Whether the home has ejected the upstream as an outlier, so that it gets no regular calls.
     pub ejected: bool,
 }
 
-/// One upstream and what is known of it.
+/// Configuration and current state of an upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamState {
-    /// As configured or listed.
+    /// The upstream as configured or listed.
     pub upstream: Upstream,
-    /// Gets no new work: listed as leaving, says so itself, or drained by an operator.
+    /// Whether the upstream gets no new work: it is listed as leaving, announced that it is leaving, or is drained by
+    /// an operator.
     pub leaving: bool,
-    /// The instance that grants permits for it.
+    /// Instance that grants permits for the upstream.
     pub home: Option<InstanceId>,
-    /// Last summary seen from its home.
+    /// Latest summary from the home.
     pub summary: Option<UpstreamSummary>,
 }
 
-/// Everything a traffic thread needs to decide, as of one moment.
+/// Consistent snapshot of everything that traffic threads base their decisions on.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     /// This instance.
     pub me: Member,
-    /// All known instances, this one included, in order of identifier.
+    /// All known instances including this one, sorted by identifier.
     pub members: Arc<[Member]>,
-    /// The configuration in force; `revision` 0 before the first one.
+    /// Current configuration; `revision` is 0 before the first one is known.
     pub config: Arc<FleetConfig>,
     /// Upstreams by service.
     pub upstreams: Arc<BTreeMap<ServiceName, Vec<UpstreamState>>>,
-    /// How well the platform's store can be reached.
+    /// Reachability of the platform's store.
     pub store: StoreHealth,
 }
 
 impl FleetView {
-    /// The state of one upstream of a service.
+    /// Returns the state of an upstream of a service.
     #[must_use]
     pub fn upstream(&self, service: &ServiceName, id: &UpstreamId) -> Option<&UpstreamState> {
         self.upstreams
@@ -116,7 +117,7 @@
             .find(|u| u.upstream.id == *id)
     }
 
-    /// A member by identifier.
+    /// Looks up a member by identifier.
     #[must_use]
     pub fn member(&self, id: &InstanceId) -> Option<&Member> {
         self.members.iter().find(|m| m.id == *id)
--- a/crates/tc-protocol/src/wire/mod.rs
+++ b/crates/tc-protocol/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Types on the wire towards upstreams and the platform, shared by clients and stand-ins.
+//! Wire types of the upstream and platform APIs, shared by the clients and the stand-in servers.
 
 mod headers;
 mod platform;
--- a/crates/tc-protocol/src/wire/platform.rs
+++ b/crates/tc-protocol/src/wire/platform.rs
@@ -1,11 +1,16 @@
-//! The platform's object API and instance list, and the address answer.
+//! The platform's object API and instance list, and the address response.
 //!
-//! Object API: `GET /objects/{kind}/{name}` answers the value with its version as `ETag: "7"`;
-//! `PUT` with `If-Match: "7"` or `If-None-Match: *` writes if the version still fits (200 with the new `ETag`, else
-//! 412); `DELETE` with `If-Match`; `GET /objects/{kind}` lists; `GET /objects/{kind}/{name}?watch=7&timeout_ms=1000`
-//! answers as soon as the version is above 7 (200), or 304 after the timeout. Watching version 0 of an object that
-//! does not exist waits for its creation. Versions rise by one over all objects, so a deleted and re-created object
-//! never has an old version. `GET /instances` answers an [`InstanceList`].
+//! Object API:
+//!
+//! - `GET /objects/{kind}/{name}` returns the value, with its version as `ETag: "7"`.
+//! - `PUT` with `If-Match: "7"` or `If-None-Match: *` writes if the version still matches: 200 with the new `ETag`,
+//!   otherwise 412. `DELETE` takes `If-Match`.
+//! - `GET /objects/{kind}` lists the objects of a kind.
+//! - `GET /objects/{kind}/{name}?watch=7&timeout_ms=1000` returns 200 as soon as the version is above 7, or 304 after
+//!   the timeout. Watching version 0 of an object that does not exist waits for its creation.
+//!
+//! One version counter covers all objects and is incremented with every write, so a deleted and re-created object never
+//! has an old version. `GET /instances` returns an [`InstanceList`].
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -14,52 +19,52 @@
 
 use crate::{FailureDomain, Incarnation, InstanceId, Region, ServiceName};
 
-/// Largest object value the platform holds, in bytes.
+/// Maximum size of an object value, in bytes.
 pub const MAX_OBJECT_BYTES: usize = 1_000_000;
-/// Kind of the configuration object.
+/// Object kind of the configuration.
 pub const CONFIG_KIND: &str = "tanagercroft-config";
-/// Name of the one configuration object.
+/// Name of the configuration object, the only one of its kind.
 pub const CONFIG_NAME: &str = "fleet";
 
-/// One object in a list answer.
+/// An object in an [`ObjectList`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectItem {
     /// Name within its kind.
     pub name: String,
-    /// Its version.
+    /// Version of the object.
     pub version: u64,
-    /// Its value.
+    /// Value of the object.
     pub value: Value,
 }
 
-/// Answer to a list request.
+/// Response to a list request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectList {
-    /// The objects in order of name.
+    /// Objects, sorted by name.
     pub items: Vec<ObjectItem>,
 }
 
-/// Value of the configuration object: the operators' files as they are, merged by whoever reads it.
+/// Value of the configuration object: the operators' files verbatim, which each reader merges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigObject {
-    /// Rises by one with every accepted change.
+    /// Incremented with every accepted change.
     pub revision: u64,
-    /// Files by name; merged in this order.
+    /// Files by name; they are merged in this order.
     pub files: BTreeMap<String, ConfigFile>,
-    /// Who applied it, for `config history`.
+    /// User who applied the configuration, shown by `config history`.
     pub applied_by: String,
-    /// Random identifier of the apply, to recognise our own write when its answer was lost.
+    /// Random identifier of the apply, to recognise this process's own write if its response was lost.
     pub apply_id: String,
-    /// Unix time of the apply in milliseconds; for people only.
+    /// Unix time of the apply, in milliseconds; informational only.
     pub applied_at_ms: u64,
 }
 
-/// One configuration file.
+/// A configuration file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigFile {
-    /// The file's text.
+    /// Text of the file.
     pub text: String,
-    /// Revision in which the text last changed.
+    /// Configuration revision that last changed the text.
     pub revision: u64,
 }
 
@@ -67,59 +72,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// Running.
+    /// The instance is running.
     Live,
-    /// About to stop; must get no new work.
+    /// The instance is about to stop and must get no new work.
     Leaving,
 }
 
-/// One entry of the instance list: an entry instance of this system or an upstream.
+/// An entry of the instance list: an instance of this system or an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// Identifier: an [`InstanceId`] or, with `service`, an upstream's identifier.
+    /// Identifier of the instance or, if `service` is set, of the upstream.
     pub id: InstanceId,
-    /// The service it belongs to; absent for an instance of this system.
+    /// Service of the upstream; absent for an instance of this system.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<ServiceName>,
-    /// Where it listens; for an instance of this system, its fleet address.
+    /// Address it listens on; for an instance of this system, the fleet address.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: FailureDomain,
-    /// Its region.
+    /// Region.
     pub region: Region,
-    /// Its state.
+    /// State of the instance.
     pub state: ListedState,
 }
 
-/// Answer of the platform's instance list.
+/// The platform's instance list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// Rises with every change.
+    /// Increases with every change.
     pub version: u64,
-    /// The instances in order of identifier.
+    /// Instances, sorted by identifier.
     pub instances: Vec<ListedInstance>,
 }
 
-/// Answer to `GET /v1/instances`.
+/// Response to `GET /v1/instances`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressAnswer {
-    /// Addresses to use, best first.
+    /// Addresses to use, in order of preference.
     pub instances: Vec<CallerAddress>,
-    /// How long the answer may be kept, in seconds.
+    /// How long the response may be cached, in seconds.
     pub max_age_s: u64,
 }
 
-/// One address in the answer.
+/// An address in an [`AddressAnswer`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerAddress {
-    /// The instance.
+    /// Identifier of the instance.
     pub id: InstanceId,
-    /// Which life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Where to connect.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: FailureDomain,
-    /// Text to echo as `Tanagercroft-Binding` with an idempotency key: `<id>@<incarnation>`.
+    /// Value to echo in `Tanagercroft-Binding` along with an idempotency key: `<id>@<incarnation>`.
     pub binding: String,
 }
--- a/crates/tc-protocol/src/wire/upstream.rs
+++ b/crates/tc-protocol/src/wire/upstream.rs
@@ -1,32 +1,36 @@
-//! Engines, pools and plain services.
+//! APIs of engines, pools and plain services.
 //!
-//! Engines: `POST /v1/completions` (JSON, or server-sent events when `stream`), `GET /load`, `POST /orders`.
-//! Pools: `POST /run`. Plain services: any method and path. Every call carries `x-request-id`, `x-stage`,
-//! `x-attempt`, `request-timeout-ms`, `priority` and `traceparent`; engines and pools echo the first three as headers.
-//! A stream's events have ids counting from 1; the last data is [`STREAM_DONE`]. Asking again with the same
+//! - Engines: `POST /v1/completions` (JSON, or server-sent events if `stream` is set), `GET /load`, `POST /orders`.
+//! - Pools: `POST /run`.
+//! - Plain services: any method and path.
+//!
+//! Every call carries `x-request-id`, `x-stage`, `x-attempt`, `request-timeout-ms`, `priority` and `traceparent`;
+//! engines and pools echo the first three as headers.
+//!
+//! The events of a stream have ids starting at 1; the data of the last one is [`STREAM_DONE`]. A call with the same
 //! `x-request-id`, `x-stage`, `x-attempt` and `last-event-id: N` resumes after event N, on the same engine. Closing
-//! the connection cancels, after the engine's resume window when streaming.
+//! the connection cancels the call; a streaming call only after the engine's resume window.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Attempt, Incarnation, RequestId, ServiceName, StageName};
 
-/// Data of a stream's last event.
+/// Data of the last event of a stream.
 pub const STREAM_DONE: &str = "[DONE]";
 
 /// A completion request to an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletionRequest {
-    /// Model to run.
+    /// Name of the model.
     pub model: String,
     /// Text to complete.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether to stream.
+    /// Whether to stream the completion as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// 0 (most urgent) to 7.
+    /// Priority: 0 (most urgent) to 7.
     #[serde(default)]
     pub priority: u8,
 }
@@ -34,30 +38,30 @@
 /// Token counts of a completion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// Prompt tokens found in the prefix cache.
+    /// Number of prompt tokens found in the prefix cache.
     #[serde(default)]
     pub cached_tokens: u32,
 }
 
-/// One completion.
+/// A completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChoice {
-    /// The generated text.
+    /// Generated text.
     pub text: String,
-    /// Why it ended: `length` or `stop`.
+    /// Why generation ended: `length` or `stop`.
     pub finish_reason: String,
 }
 
-/// Answer to a completion request that does not stream.
+/// Response to a completion request without streaming.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionResponse {
-    /// The request it answers.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// One choice.
+    /// Completions; always exactly one.
     pub choices: Vec<CompletionChoice>,
     /// Token counts.
     pub usage: Usage,
@@ -66,11 +70,11 @@
 /// Data of one server-sent event of a streamed completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamEvent {
-    /// The request it belongs to.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Generated text since the last event.
+    /// Text generated since the previous event.
     pub text: String,
-    /// Token counts, in the last event before [`STREAM_DONE`].
+    /// Token counts; only in the last event before [`STREAM_DONE`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
@@ -78,17 +82,17 @@
 /// A call to a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolRequest {
-    /// Whose request it is.
+    /// Identifier of the request.
     pub request_id: RequestId,
-    /// The stage.
+    /// Stage to run.
     pub stage: StageName,
-    /// Which try.
+    /// Attempt of the stage.
     pub attempt: Attempt,
-    /// Output of the stage before, or the caller's input.
+    /// Output of the previous stage, or the caller's input.
     pub input: String,
 }
 
-/// A pool's answer.
+/// Response of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolResponse {
     /// Echo of the request's identifier.
@@ -97,50 +101,50 @@
     pub stage: StageName,
     /// Echo of the attempt.
     pub attempt: Attempt,
-    /// The result, input of the next stage.
+    /// Result, which is the input of the next stage.
     pub output: String,
-    /// Time the pool was busy with it, in milliseconds.
+    /// Time the pool was busy with the call, in milliseconds.
     pub busy_ms: f64,
 }
 
-/// Answer to `GET /load`, as old as `age_ms` says.
+/// Response to `GET /load`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Which life of the upstream's process.
+    /// Incarnation of the upstream's process.
     pub incarnation: Incarnation,
-    /// Calls running.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls waiting.
+    /// Number of queued calls.
     pub queued: u32,
-    /// Calls it runs at once at most.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
     /// Age of these numbers, in milliseconds.
     pub age_ms: u64,
-    /// It is about to stop and wants no new work.
+    /// Whether the upstream is about to stop and must get no new work.
     #[serde(default)]
     pub leaving: bool,
-    /// Models loaded, as `name@version`.
+    /// Loaded models, as `name@version`.
     #[serde(default)]
     pub models: Vec<String>,
 }
 
-/// An order to an upstream: a desired state, so that a repeat is harmless.
+/// An order to an upstream. It describes a desired state and is therefore idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The service the lease is on.
+    /// Service that the lease covers.
     pub service: ServiceName,
-    /// Fencing number: version of the lease object under which the order was planned.
+    /// Fencing token: version of the lease object under which the order was planned.
     pub fence: u64,
-    /// Models it should have loaded, as `name@version`.
+    /// Models the upstream should have loaded, as `name@version`.
     pub models: Vec<String>,
-    /// Role it should have, such as `prefill` or `decode`.
+    /// Role the upstream should have, such as `prefill` or `decode`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<String>,
 }
 
-/// Body of a 409 answer to an order with an old fencing number.
+/// Body of a 409 response to an order with a stale fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRefused {
-    /// Highest fencing number the upstream has seen.
+    /// Highest fencing token the upstream has seen.
     pub highest_fence: u64,
 }
