--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -33,7 +33,7 @@
     /// ```
     /// use tc_policy::StageGraph;
     /// use tc_protocol::{ServiceName, routing::RouteStage};
-    /// let stage = |service: &str, after| RouteStage { service: service.into(), after, result_bytes: 8_000 };
+    /// let stage = |service: &str, depends_on| RouteStage { service: service.into(), depends_on, result_bytes: 8_000 };
     /// let stages = [stage("read", vec![]), stage("draw", vec![0])];
     /// let mut graph = StageGraph::new(&stages, &[1, 2]);
     /// assert_eq!(graph.startable(), [0]);
