--- a/crates/tc-policy/examples/decision_rate.rs
+++ b/crates/tc-policy/examples/decision_rate.rs
@@ -6,12 +6,10 @@
 };
 
 use rand::{SeedableRng, rngs::StdRng};
-use tc_policy::{
-    Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, UpstreamCandidate, choose_upstream,
-};
+use tc_policy::{Home, HomeConfig, HomeEvent, PermitDecision, UpstreamCandidate, choose_upstream};
 use tc_protocol::{
-    Ask, Attempt, Cost, Fingerprint, MonoTime, Outcome, PermitId, Release, RunState, Upstream,
-    UpstreamState, UpstreamSummary, WorkspaceName,
+    Attempt, Cost, Fingerprint, MonoTime, Outcome, PermitId, PermitRequest, Release, RunState,
+    Upstream, UpstreamState, UpstreamSummary, WorkspaceName,
 };
 
 /// Number of workspaces that send asks.
@@ -44,9 +42,9 @@
     })
 }
 
-fn new_asks() -> Vec<PermitRequest> {
+fn new_asks() -> Vec<tc_policy::PermitRequest> {
     (0..WORKSPACES)
-        .map(|i| PermitRequest {
+        .map(|i| tc_policy::PermitRequest {
             entry: "entry-1".into(),
             workspace: WorkspaceName::from(format!("workspace-{i}")),
             weight: 1,
@@ -140,7 +138,7 @@
             distance_ms: (i % 4) as f64,
         })
         .collect();
-    let mut ask = Ask {
+    let mut ask = PermitRequest {
         request: "kl-a-1-1-1".into(),
         attempt: Attempt(0),
         workspace: "workspace-1".into(),
@@ -151,7 +149,7 @@
         estimate: cost(),
         prefix: None,
         fingerprint: Fingerprint(1),
-        avoid: vec!["generate-3".into()],
+        excluded: vec!["generate-3".into()],
     };
     let mut random = StdRng::seed_from_u64(1);
     let started = Instant::now();
--- a/crates/tc-policy/src/batch/completion.rs
+++ b/crates/tc-policy/src/batch/completion.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{
     MonoTime, UpstreamId,
-    routing::{PieceFailure, PieceResult, PiecesRefusal, ResultHandle},
+    routing::{PieceFailure, PieceResult, ResultHandle, StageRefusal},
 };
 
 use super::{
@@ -40,7 +40,7 @@
     /// Key of the job.
     pub job: JobKey,
     /// Results in the order of the pieces, or the reason for a refusal.
-    pub result: Result<Vec<ResultHandle>, PiecesRefusal>,
+    pub result: Result<Vec<ResultHandle>, StageRefusal>,
 }
 
 /// Changes that the driver must act on.
@@ -99,7 +99,7 @@
             .saturating_sub(call.result_sizes.iter().sum::<u64>());
         match end {
             CallEnd::Answered(results) => {
-                if results.contains(&Err(PieceFailure::NoRoom)) {
+                if results.contains(&Err(PieceFailure::ResultStoreFull)) {
                     upstream.record_refusal(now);
                 }
                 self.typical_call_s +=
@@ -138,17 +138,17 @@
             Ok(handle) => {
                 let bytes = job.params.result_bytes;
                 job.results[piece as usize] = Some(handle.clone());
-                let expires_at = now.after(self.spec.result_life);
+                let expires_at = now.after(self.spec.result_ttl);
                 self.result_memory
                     .insert(handle, upstream, bytes, expires_at);
                 self.finish_if_done(key, effects);
             }
-            Err(PieceFailure::Late) => self.refuse(key, PiecesRefusal::Late, effects),
+            Err(PieceFailure::Late) => self.refuse(key, StageRefusal::Late, effects),
             Err(PieceFailure::InputGone) => {
                 self.record_input_gone(key);
-                self.refuse(key, PiecesRefusal::InputGone, effects);
+                self.refuse(key, StageRefusal::InputGone, effects);
             }
-            Err(PieceFailure::NoRoom) => self.retry_piece(now, key, piece, false, effects),
+            Err(PieceFailure::ResultStoreFull) => self.retry_piece(now, key, piece, false, effects),
             Err(PieceFailure::Failed) => self.retry_piece(now, key, piece, true, effects),
         }
     }
@@ -202,7 +202,7 @@
         };
         job.failures += u32::from(failed);
         if job.failures > MAX_FAILURES || !self.repeats.try_spend(now) {
-            self.refuse(key, PiecesRefusal::Failed, effects);
+            self.refuse(key, StageRefusal::Failed, effects);
             return;
         }
         self.requeue_piece(key, piece, effects);
@@ -212,7 +212,7 @@
     fn requeue_piece(&mut self, key: JobKey, piece: u32, effects: &mut PlannerEffects) {
         let job = &mut self.jobs[key];
         if job.inputs_released() {
-            self.refuse(key, PiecesRefusal::InputGone, effects);
+            self.refuse(key, StageRefusal::InputGone, effects);
             return;
         }
         job.inputs = InputState::Held;
@@ -222,7 +222,7 @@
     pub(super) fn refuse(
         &mut self,
         key: JobKey,
-        refusal: PiecesRefusal,
+        refusal: StageRefusal,
         effects: &mut PlannerEffects,
     ) {
         effects.discarded_results.extend(self.cancel(key));
--- a/crates/tc-policy/src/batch/dispatch.rs
+++ b/crates/tc-policy/src/batch/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use tc_protocol::{FailureDomain, MonoTime, UpstreamId, routing::PieceOrder};
+use tc_protocol::{FailureDomain, MonoTime, UpstreamId, routing::PieceRequest};
 
 use super::{
     job::{Job, JobKey},
@@ -86,7 +86,7 @@
 
     /// Bytes of result memory available at an upstream.
     fn free_result_bytes(&self, id: &UpstreamId) -> u64 {
-        let usable = (self.spec.room_bytes as f64 * USABLE_RESULT_MEMORY) as u64;
+        let usable = (self.spec.result_capacity_bytes as f64 * USABLE_RESULT_MEMORY) as u64;
         let reserved_bytes = self
             .upstreams
             .get(id)
@@ -176,7 +176,7 @@
     /// Work given to a slow upstream just because it is free ends late, although faster upstreams would have done it on
     /// time.
     fn should_stay_idle(&self, now: MonoTime, upstream: &UpstreamState) -> bool {
-        let own_call = self.spec.call_time.mul_f64(upstream.slowdown);
+        let own_call = self.spec.call_overhead.mul_f64(upstream.slowdown);
         let faster: Vec<&UpstreamState> = self
             .upstreams
             .values()
@@ -193,7 +193,7 @@
                     other.busy_until.since(now)
                 };
                 let start = start.max(other.rate_limit_wait(now));
-                start + self.spec.call_time.mul_f64(other.slowdown)
+                start + self.spec.call_overhead.mul_f64(other.slowdown)
             })
             .min()
         else {
@@ -262,13 +262,13 @@
         now: MonoTime,
         pieces: &[(JobKey, u32)],
         domain: &FailureDomain,
-    ) -> Vec<PieceOrder> {
+    ) -> Vec<PieceRequest> {
         let mut orders = Vec::with_capacity(pieces.len());
         for (key, piece) in pieces {
             let job = &mut self.jobs[*key];
             job.waiting.retain(|waiting| waiting != piece);
-            job.set_preferred_domain(now, domain, self.spec.call_time);
-            orders.push(PieceOrder {
+            job.set_preferred_domain(now, domain, self.spec.call_overhead);
+            orders.push(PieceRequest {
                 request: job.params.request.clone(),
                 stage: job.params.stage,
                 piece: *piece,
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -128,7 +128,7 @@
         stage: usize,
     ) -> impl Iterator<Item = (usize, &'a FollowingPieces)> + 'a {
         let service = &graph.stages()[stage].service;
-        let before = graph.stages()[stage].after.iter().copied();
+        let before = graph.stages()[stage].depends_on.iter().copied();
         before.filter_map(move |before| {
             let outlook = self.outlook_of(now, graph, before)?;
             Some((before, outlook.following.get(service)?))
--- a/crates/tc-policy/src/batch/piece_times.rs
+++ b/crates/tc-policy/src/batch/piece_times.rs
@@ -24,7 +24,7 @@
             .iter()
             .map(|result_size| self.piece_seconds(spec, *result_size))
             .sum();
-        spec.call_time + Duration::from_secs_f64(pieces)
+        spec.call_overhead + Duration::from_secs_f64(pieces)
     }
 
     /// Updates the estimates from a call that took `took` on an upstream with this slowdown.
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -5,7 +5,7 @@
 use slotmap::SlotMap;
 use tc_protocol::{
     FailureDomain, MonoTime, UpstreamId,
-    routing::{BatchSpec, PieceOrder, PiecesRefusal, RateLimit, ResultHandle},
+    routing::{BatchSpec, PieceRequest, RateLimit, ResultHandle, StageRefusal},
 };
 
 use super::{
@@ -43,7 +43,7 @@
     /// Upstream to call.
     pub upstream: UpstreamId,
     /// Pieces in the order in which they must be sent.
-    pub pieces: Vec<PieceOrder>,
+    pub pieces: Vec<PieceRequest>,
     /// Time after which the driver must abandon the call.
     pub timeout: Duration,
 }
@@ -93,7 +93,7 @@
             repeats,
             demand: Demand::default(),
             last_refused: false,
-            typical_call_s: spec.call_time.as_secs_f64() * INITIAL_CALL_FACTOR,
+            typical_call_s: spec.call_overhead.as_secs_f64() * INITIAL_CALL_FACTOR,
             next_expiry: MonoTime::default(),
         }
     }
@@ -146,12 +146,12 @@
     }
 
     /// Adds a job, or refuses it at once if it would probably miss its deadline.
-    pub fn push(&mut self, now: MonoTime, new: NewJob) -> Result<JobKey, PiecesRefusal> {
+    pub fn push(&mut self, now: MonoTime, new: NewJob) -> Result<JobKey, StageRefusal> {
         if !self.has_upstreams() {
-            return Err(PiecesRefusal::NoUpstream);
+            return Err(StageRefusal::NoUpstream);
         }
-        if new.deadline.since(now) < self.spec.call_time {
-            return Err(PiecesRefusal::Late);
+        if new.deadline.since(now) < self.spec.call_overhead {
+            return Err(StageRefusal::Late);
         }
         let mut job = Job::new(new);
         let done_after = self.queue_wait(now, &job) + self.typical_call().mul_f64(NEXT_CALL_FACTOR);
@@ -166,14 +166,14 @@
             self.demand.add(now, self.remaining_work(&job));
         }
         if self.has_healthy_upstream_in(job.params.preferred_domain.as_ref()) {
-            job.hold_for_domain(now, self.spec.call_time);
+            job.hold_for_domain(now, self.spec.call_overhead);
         }
         Ok(self.jobs.insert(job))
     }
 
     /// Refusal with the time until the current backlog is done; a retry at that time has the queue to itself.
-    fn overloaded(&self, now: MonoTime) -> PiecesRefusal {
-        PiecesRefusal::Overloaded {
+    fn overloaded(&self, now: MonoTime) -> StageRefusal {
+        StageRefusal::Overloaded {
             retry_after: self.expected_wait() + self.shortest_backoff(now),
         }
     }
@@ -212,7 +212,7 @@
             let job = &self.jobs[key];
             let work = self.remaining_work(job);
             if job.params.deadline <= now {
-                self.refuse(key, PiecesRefusal::Late, &mut effects);
+                self.refuse(key, StageRefusal::Late, &mut effects);
                 continue;
             }
             let wait = self.wait_behind(now, position, work_ahead);
@@ -242,7 +242,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in unstarted {
-            self.refuse(key, PiecesRefusal::Moved, &mut effects);
+            self.refuse(key, StageRefusal::Moved, &mut effects);
         }
         effects
     }
--- a/crates/tc-policy/src/batch/queue_time.rs
+++ b/crates/tc-policy/src/batch/queue_time.rs
@@ -35,7 +35,7 @@
             Duration::from_secs_f64(work / capacity)
         } else if work > 0.0 {
             // All upstreams are failing; the next call shows whether one has recovered.
-            self.spec.call_time
+            self.spec.call_overhead
         } else {
             Duration::ZERO
         }
@@ -102,7 +102,7 @@
 
     /// Upstream time of one piece in a full call, in seconds, including its share of the fixed time.
     pub(super) fn piece_share(&self, result_size: u64) -> f64 {
-        let fixed = self.spec.call_time.as_secs_f64() / self.spec.max_pieces.max(1) as f64;
+        let fixed = self.spec.call_overhead.as_secs_f64() / self.spec.max_pieces.max(1) as f64;
         fixed + self.piece_times.piece_seconds(&self.spec, result_size)
     }
 
@@ -115,6 +115,6 @@
         max_fraction: f64,
     ) -> bool {
         let max_wait = job.params.deadline.since(now).mul_f64(max_fraction);
-        wait.is_zero() || wait + self.spec.call_time <= max_wait
+        wait.is_zero() || wait + self.spec.call_overhead <= max_wait
     }
 }
--- a/crates/tc-policy/src/choice.rs
+++ b/crates/tc-policy/src/choice.rs
@@ -1,7 +1,7 @@
 //! Selection of an upstream by an entry instance.
 
 use rand::RngExt;
-use tc_protocol::{Ask, UpstreamState, UpstreamSummary};
+use tc_protocol::{PermitRequest, UpstreamState, UpstreamSummary};
 
 use crate::rendezvous::hashed_score;
 
@@ -53,7 +53,7 @@
 
 /// Selects an upstream for `ask`, or returns `None` if no upstream is usable.
 ///
-/// Upstreams that are leaving, have no home or are listed in `ask.avoid` are excluded, and ejected ones too while
+/// Upstreams that are leaving, have no home or are listed in `ask.excluded` are excluded, and ejected ones too while
 /// others remain. A call with a prefix goes to the upstream that rendezvous hashing assigns to the prefix, unless that
 /// upstream is busier than the others. Any other call goes to the better of two random upstreams by wait and speed, and
 /// leaves the nearest failure domain only if the wait it saves exceeds the added distance.
@@ -63,7 +63,7 @@
 /// temporary slowdown.
 pub fn choose_upstream(
     candidates: &[UpstreamCandidate<'_>],
-    ask: &Ask,
+    ask: &PermitRequest,
     random: &mut impl rand::Rng,
 ) -> Option<UpstreamChoice> {
     let usable: Vec<usize> = (0..candidates.len())
@@ -96,9 +96,9 @@
     UpstreamChoice { index, why }
 }
 
-fn is_usable(candidate: &UpstreamCandidate<'_>, ask: &Ask) -> bool {
+fn is_usable(candidate: &UpstreamCandidate<'_>, ask: &PermitRequest) -> bool {
     let state = candidate.state;
-    !candidate.leaving && state.home.is_some() && !ask.avoid.contains(&state.upstream.id)
+    !candidate.leaving && state.home.is_some() && !ask.excluded.contains(&state.upstream.id)
 }
 
 fn is_ejected(candidate: &UpstreamCandidate<'_>) -> bool {
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -5,7 +5,7 @@
 use slotmap::{Key, KeyData, SlotMap};
 use tc_protocol::{
     FailureDomain, MonoTime, UpstreamId,
-    routing::{EngineAsk, EngineChoice, EngineNews, EngineSpec, PromptPart, RateLimit},
+    routing::{EngineChoice, EngineRequest, EngineSpec, PromptPart, RateLimit, RunProgress},
 };
 
 use super::engine::Engine;
@@ -141,7 +141,7 @@
     }
 
     /// Selects an engine as the home of the service; returns `None` if no engine may get the request.
-    pub fn choose(&mut self, now: MonoTime, ask: &EngineAsk) -> Option<EngineChoice> {
+    pub fn choose(&mut self, now: MonoTime, ask: &EngineRequest) -> Option<EngineChoice> {
         let cold_limit = self.cold_limit;
         self.choose_among(now, ask, |_, engine| {
             let is_warm_enough =
@@ -154,7 +154,7 @@
     pub fn choose_without_home(
         &mut self,
         now: MonoTime,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         may: impl Fn(&UpstreamId) -> bool,
     ) -> Option<EngineChoice> {
         self.choose_among(now, ask, |id, engine| !engine.is_cold(now) && may(id))
@@ -163,7 +163,7 @@
     fn choose_among(
         &mut self,
         now: MonoTime,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         may: impl Fn(&UpstreamId, &Engine) -> bool,
     ) -> Option<EngineChoice> {
         self.drop_lost_runs(now);
@@ -204,12 +204,12 @@
     }
 
     /// Records news of a run. News of unknown runs is ignored.
-    pub fn record(&mut self, now: MonoTime, run: u64, news: EngineNews) {
+    pub fn record(&mut self, now: MonoTime, run: u64, news: RunProgress) {
         let key = RunKey::from(KeyData::from_ffi(run));
         match news {
-            EngineNews::FirstEvent(took) => self.record_first_event(now, key, took),
-            EngineNews::Ended => self.end_run(now, key),
-            EngineNews::Failed => {
+            RunProgress::FirstEvent(took) => self.record_first_event(now, key, took),
+            RunProgress::Ended => self.end_run(now, key),
+            RunProgress::Failed => {
                 let upstream = self.runs.get(key).map(|run| run.upstream.clone());
                 self.end_run(now, key);
                 if let Some(engine) = upstream.and_then(|id| self.engines.get_mut(&id)) {
@@ -228,13 +228,13 @@
     fn best_engine<'a>(
         &'a self,
         now: MonoTime,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         may: impl Fn(&UpstreamId, &Engine) -> bool,
     ) -> Option<EngineCost<'a>> {
         let candidates: Vec<(Availability, &UpstreamId, &Engine)> = self
             .engines
             .iter()
-            .filter(|(id, engine)| engine.ready && !ask.except.contains(id) && may(id, engine))
+            .filter(|(id, engine)| engine.ready && !ask.excluded.contains(id) && may(id, engine))
             .map(|(id, engine)| (self.availability(now, engine), id, engine))
             .collect();
         let best_availability = candidates
@@ -277,7 +277,7 @@
     fn evaluate<'a>(
         &self,
         now: MonoTime,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         id: &'a UpstreamId,
         engine: &Engine,
         sources: &[(u32, &'a UpstreamId)],
@@ -311,7 +311,7 @@
             + reread_time.mul_f64(REREAD_WEIGHT)
             + FETCH_COST_PER_TOKEN * (available - cached_here.min(available))
             + CROSS_DOMAIN_COST_PER_MB.mul_f64(cross_domain_bytes as f64 / BYTES_PER_MB);
-        let key = ask.prompt.shared_key().unwrap_or_default();
+        let key = ask.prompt.shared_prefix_id().unwrap_or_default();
         EngineCost {
             id,
             prefill_tokens,
@@ -389,6 +389,6 @@
     }
 
     fn cache_capacity(&self) -> u64 {
-        (self.spec.memory_tokens as f64 * CACHE_FRACTION) as u64
+        (self.spec.kv_cache_tokens as f64 * CACHE_FRACTION) as u64
     }
 }
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -34,7 +34,7 @@
     /// ```
     /// use tc_policy::StageGraph;
     /// use tc_protocol::{ServiceName, routing::RouteStage};
-    /// let stage = |service: &str, after| RouteStage { service: service.into(), after, result_bytes: 8_000 };
+    /// let stage = |service: &str, depends_on| RouteStage { service: service.into(), depends_on, result_bytes: 8_000 };
     /// let stages = [stage("read", vec![]), stage("draw", vec![0])];
     /// let mut graph = StageGraph::new(&stages, &[1, 2]);
     /// assert_eq!(graph.startable(), [0]);
@@ -126,7 +126,7 @@
     /// Returns the inputs of `stage`, which is now done, whose results all dependent stages have read.
     #[must_use]
     pub fn fully_read_inputs(&self, stage: usize) -> Vec<usize> {
-        let inputs = self.stages[stage].after.iter().copied();
+        let inputs = self.stages[stage].depends_on.iter().copied();
         inputs
             .filter(|input| {
                 self.dependents(*input)
@@ -138,7 +138,7 @@
     /// Returns true if no other unfinished stage reads the inputs of this one.
     #[must_use]
     pub fn is_last_reader(&self, stage: usize) -> bool {
-        let mut inputs = self.stages[stage].after.iter();
+        let mut inputs = self.stages[stage].depends_on.iter();
         inputs.all(|input| {
             let mut others = self.dependents(*input).filter(|other| *other != stage);
             others.all(|other| self.is_complete(other))
@@ -148,7 +148,8 @@
     /// Returns the time of the longest unfinished chain of stages, given the time of each stage.
     #[must_use]
     pub fn critical_path(&self, times: &[Duration]) -> Duration {
-        let first = (0..self.stages.len()).filter(|stage| self.stages[*stage].after.is_empty());
+        let first =
+            (0..self.stages.len()).filter(|stage| self.stages[*stage].depends_on.is_empty());
         first
             .map(|stage| self.remaining_time(stage, times) + self.critical_path_after(stage, times))
             .max()
@@ -167,7 +168,7 @@
     /// Returns the time of the longest unfinished chain before a stage.
     #[must_use]
     pub fn critical_path_before(&self, stage: usize, times: &[Duration]) -> Duration {
-        let inputs = self.stages[stage].after.iter().copied();
+        let inputs = self.stages[stage].depends_on.iter().copied();
         inputs
             .map(|input| {
                 self.remaining_time(input, times) + self.critical_path_before(input, times)
@@ -206,12 +207,12 @@
     }
 
     fn has_inputs(&self, stage: usize) -> bool {
-        let mut inputs = self.stages[stage].after.iter();
+        let mut inputs = self.stages[stage].depends_on.iter();
         inputs.all(|stage| self.is_complete(*stage))
     }
 
     fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
-        (0..self.stages.len()).filter(move |next| self.stages[*next].after.contains(&stage))
+        (0..self.stages.len()).filter(move |next| self.stages[*next].depends_on.contains(&stage))
     }
 
     /// Returns the number of stages on the longest chain that starts with this one.
--- a/crates/tc-policy/tests/batch/completion.rs
+++ b/crates/tc-policy/tests/batch/completion.rs
@@ -1,7 +1,7 @@
 //! Ends of calls and jobs, and retries.
 
 use tc_policy::{BatchPlanner, CallEnd};
-use tc_protocol::routing::{PieceFailure, PiecesRefusal};
+use tc_protocol::routing::{PieceFailure, StageRefusal};
 
 use crate::common::{at, handle, job, planner, push, repeat_budget, spec, success, upstreams};
 
@@ -14,7 +14,7 @@
     let effects = planner.expire(at(3_600));
     assert_eq!(effects.finished.len(), 1);
     assert_eq!(effects.finished[0].job, key);
-    assert_eq!(effects.finished[0].result, Err(PiecesRefusal::Late));
+    assert_eq!(effects.finished[0].result, Err(StageRefusal::Late));
     assert_eq!(effects.discarded_results.len(), 14);
 }
 
@@ -52,7 +52,7 @@
     push(&mut planner, at(0), job("x", 3));
     let call = planner.next_call(at(0)).expect("a call");
     let effects = planner.end_call(at(100), call.key, CallEnd::Failed);
-    assert_eq!(effects.finished[0].result, Err(PiecesRefusal::Failed));
+    assert_eq!(effects.finished[0].result, Err(StageRefusal::Failed));
 }
 
 /// Guards against stages refused as failed for two seconds after a restart of all instances. Upstreams still run calls
@@ -99,6 +99,6 @@
     let call = planner.next_call(at(0)).expect("a call");
     let end = CallEnd::Answered(vec![Ok(handle("1")), Err(PieceFailure::InputGone)]);
     let effects = planner.end_call(at(250), call.key, end);
-    assert_eq!(effects.finished[0].result, Err(PiecesRefusal::InputGone));
+    assert_eq!(effects.finished[0].result, Err(StageRefusal::InputGone));
     assert_eq!(effects.discarded_results, [handle("1")]);
 }
--- a/crates/tc-policy/tests/batch/fuzz.rs
+++ b/crates/tc-policy/tests/batch/fuzz.rs
@@ -59,7 +59,7 @@
 impl Oracle {
     fn new() -> Self {
         let spec = BatchSpec {
-            room_bytes: 8 * LARGE,
+            result_capacity_bytes: 8 * LARGE,
             max_pieces: 6,
             ..spec()
         };
@@ -176,7 +176,7 @@
 
     fn end(&mut self, key: CallKey, outcome: u8) {
         let (call, sizes) = self.calls.remove(&key).expect("in progress");
-        let until = at(self.now).after(self.spec.result_life);
+        let until = at(self.now).after(self.spec.result_ttl);
         let end = match outcome % 8 {
             0 => CallEnd::NotRun,
             1 => CallEnd::Unreachable,
@@ -243,7 +243,7 @@
         );
         let max_bytes = bytes.values().max().copied().unwrap_or_default();
         assert!(
-            max_bytes <= self.spec.room_bytes,
+            max_bytes <= self.spec.result_capacity_bytes,
             "more results than memory: {max_bytes}"
         );
     }
--- a/crates/tc-policy/tests/batch/handover.rs
+++ b/crates/tc-policy/tests/batch/handover.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tc_policy::{DueHistogram, NewJob};
-use tc_protocol::{ServiceName, routing::PiecesRefusal};
+use tc_protocol::{ServiceName, routing::StageRefusal};
 
 use crate::common::{at, job, planner, push, success};
 
@@ -22,7 +22,7 @@
         .iter()
         .map(|finished| (finished.job, finished.result.clone()))
         .collect();
-    assert_eq!(moved, [(waiting, Err(PiecesRefusal::Moved))]);
+    assert_eq!(moved, [(waiting, Err(StageRefusal::Moved))]);
     let effects = planner.end_call(at(380), call.key, success(&call));
     assert_eq!(
         effects.finished[0].job, started,
--- a/crates/tc-policy/tests/batch/inputs.rs
+++ b/crates/tc-policy/tests/batch/inputs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tc_policy::{BatchCall, BatchPlanner, CallEnd, NewJob};
-use tc_protocol::routing::{PieceFailure, PieceInput, PiecesRefusal, ResultHandle};
+use tc_protocol::routing::{PieceFailure, PieceInput, ResultHandle, StageRefusal};
 
 use crate::common::{at, handle, job, push, repeat_budget, spec, success, upstreams};
 
@@ -97,7 +97,7 @@
     assert_eq!(planner.take_read_inputs(at(150)).len(), 4);
     let end = CallEnd::Answered(vec![Ok(handle("1")), Err(PieceFailure::Failed)]);
     let effects = planner.end_call(at(230), call.key, end);
-    assert_eq!(effects.finished[0].result, Err(PiecesRefusal::InputGone));
+    assert_eq!(effects.finished[0].result, Err(StageRefusal::InputGone));
     assert_eq!(effects.discarded_results, [handle("1")]);
 }
 
--- a/crates/tc-policy/tests/batch/order.rs
+++ b/crates/tc-policy/tests/batch/order.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tc_policy::{BatchCall, JobKey, NewJob};
-use tc_protocol::routing::PiecesRefusal;
+use tc_protocol::routing::StageRefusal;
 
 use crate::common::{at, handle, job, piece_names, planner, push, success, upstreams};
 
@@ -249,7 +249,7 @@
             }
         }
     }
-    let Some(PiecesRefusal::Overloaded { retry_after }) = refusal else {
+    let Some(StageRefusal::Overloaded { retry_after }) = refusal else {
         panic!("nothing was refused: {refusal:?}");
     };
     // The retry time is when the queue is done, regardless of the expected wait of the refused job.
@@ -265,7 +265,7 @@
     assert_eq!(planner.next_call(at(0)), None);
     assert_eq!(
         planner.push(at(0), job("y", 1)),
-        Err(PiecesRefusal::NoUpstream)
+        Err(StageRefusal::NoUpstream)
     );
 }
 
--- a/crates/tc-policy/tests/chain/homes.rs
+++ b/crates/tc-policy/tests/chain/homes.rs
@@ -5,7 +5,7 @@
 use tc_policy::{BatchCall, CallEnd, PlannerEffects};
 use tc_protocol::{
     FailureDomain, MonoTime,
-    routing::{PiecesRefusal, ResultHandle},
+    routing::{ResultHandle, StageRefusal},
 };
 
 use crate::{
@@ -60,7 +60,8 @@
                 .sum();
             let noise = 0.95 + 0.1 * self.random.unit();
             let slowdown = slowdown_of(call.upstream.as_str());
-            let took = (spec(service).call_time + pieces).mul_f64(noise * slowdown) + CALL_OVERHEAD;
+            let took =
+                (spec(service).call_overhead + pieces).mul_f64(noise * slowdown) + CALL_OVERHEAD;
             self.schedule(now.after(took), Event::CallEnded { service, call });
         }
     }
@@ -135,9 +136,9 @@
 }
 
 /// Time after which a caller is told to retry.
-pub(crate) fn retry_delay(refusal: PiecesRefusal) -> Duration {
+pub(crate) fn retry_delay(refusal: StageRefusal) -> Duration {
     match refusal {
-        PiecesRefusal::Overloaded { retry_after } => retry_after,
+        StageRefusal::Overloaded { retry_after } => retry_after,
         _ => Duration::from_millis(250),
     }
 }
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -5,7 +5,7 @@
 use tc_policy::{AdmittedChain, ChainQuery, HomeOutlook, NewJob, StageGraph};
 use tc_protocol::{
     FailureDomain, Fingerprint, MonoTime,
-    routing::{ChainAsk, PieceInput, ResultHandle},
+    routing::{PieceInput, ResultHandle, StageChain},
 };
 
 use crate::{
@@ -104,7 +104,7 @@
     /// Frees the inputs of a finished stage.
     pub(crate) fn free_inputs(&mut self, now: MonoTime, request: usize, finished: usize) {
         let before = self.kinds[self.requests[request].kind].stages[finished]
-            .after
+            .depends_on
             .clone();
         for stage in before {
             self.free_stage_results(now, request, stage);
@@ -179,14 +179,14 @@
         self.admissions[service].record(now, &SERVICES[service].into(), outlook);
         let req = &self.requests[request];
         let kind = &self.kinds[req.kind];
-        let chain = ChainAsk {
+        let chain = StageChain {
             fingerprint: Fingerprint(req.fingerprint),
             stages: kind.stages.clone(),
             pieces: req.pieces.clone(),
-            until_aim: kind
+            until_latency_target: kind
                 .target_latency
                 .saturating_sub(now.since(req.arrived_at) + REQUEST_TIME),
-            until_left: kind.time_limit.saturating_sub(now.since(req.arrived_at)),
+            remaining: kind.time_limit.saturating_sub(now.since(req.arrived_at)),
         };
         let call_times = vec![Duration::from_millis(200); kind.stages.len()];
         self.admissions[service].admit(now, &chain, kind.rank, stage, &call_times)
@@ -215,12 +215,12 @@
         );
         let spec = &kind.stages[stage];
         let inputs: Vec<ResultHandle> = spec
-            .after
+            .depends_on
             .iter()
             .flat_map(|before| req.results[*before].iter().cloned())
             .collect();
         let held_bytes: u64 = spec
-            .after
+            .depends_on
             .iter()
             .map(|b| graph.total_result_bytes(*b))
             .sum();
@@ -299,7 +299,7 @@
     }
     let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
     for input in inputs {
-        let maker = input.maker()?;
+        let maker = input.upstream_address()?;
         let number: usize = maker.split('-').nth(1)?.parse().ok()?;
         *counts.entry(number % DOMAINS).or_default() += 1;
     }
--- a/crates/tc-policy/tests/chain/simulation.rs
+++ b/crates/tc-policy/tests/chain/simulation.rs
@@ -54,7 +54,7 @@
 /// Duration of a call with `pieces` full-time pieces, on an upstream of mean slowdown.
 pub(crate) fn call_time(service: usize, pieces: usize) -> Duration {
     let spec = spec(service);
-    (spec.call_time + spec.piece_time * pieces as u32).mul_f64(MEAN_SLOWDOWN) + CALL_OVERHEAD
+    (spec.call_overhead + spec.piece_time * pieces as u32).mul_f64(MEAN_SLOWDOWN) + CALL_OVERHEAD
 }
 
 /// One attempt of a request: the first, or the retry after a refusal.
--- a/crates/tc-policy/tests/upstream_limit/simulation.rs
+++ b/crates/tc-policy/tests/upstream_limit/simulation.rs
@@ -11,7 +11,7 @@
 };
 use tc_protocol::{
     Member, MonoTime, UpstreamId,
-    routing::{EngineAsk, EngineNews, EngineSpec, LimitNews, Prompt, RateLimit},
+    routing::{EngineRequest, EngineSpec, Prompt, RateLimit, RateLimitUpdate, RunProgress},
 };
 
 use crate::arrivals::{Arrival, COUNT_DELAY};
@@ -19,7 +19,7 @@
 
 const SPEC: EngineSpec = EngineSpec {
     slots: 1_000,
-    memory_tokens: 100_000,
+    kv_cache_tokens: 100_000,
 };
 const STEP: Duration = Duration::from_millis(10);
 const GOSSIP_EVERY: Duration = Duration::from_millis(200);
@@ -80,7 +80,7 @@
     },
     Report {
         home: usize,
-        news: Vec<LimitNews>,
+        news: Vec<RateLimitUpdate>,
     },
 }
 
@@ -245,7 +245,7 @@
         if let Permission::Granted(Grant { home, run }) = permission {
             self.instances[home]
                 .planner
-                .record(now, run, EngineNews::Ended);
+                .record(now, run, RunProgress::Ended);
         }
         if self.is_silent(sender) {
             return;
@@ -261,7 +261,7 @@
         self.at(REPORT_DELAY, Event::Report { home, news });
     }
 
-    fn receive(&mut self, number: usize, news: &[LimitNews]) {
+    fn receive(&mut self, number: usize, news: &[RateLimitUpdate]) {
         let now = self.now;
         for news in news {
             let at = now.before(news.age);
@@ -348,7 +348,7 @@
                     .may_send(now, me, &members, id, share)
             })
         })?;
-        instance.planner.record(now, choice.run, EngineNews::Ended);
+        instance.planner.record(now, choice.run, RunProgress::Ended);
         instance.uncoordinated.record(now, &choice.upstream);
         Some(Permission::Ungranted)
     }
@@ -387,8 +387,8 @@
     }
 }
 
-fn ask() -> EngineAsk {
-    EngineAsk {
+fn ask() -> EngineRequest {
+    EngineRequest {
         service: "model".into(),
         prompt: Prompt {
             tokens_in: 500,
@@ -396,7 +396,7 @@
             parts: Arc::default(),
         },
         inputs: Vec::new(),
-        except: Vec::new(),
+        excluded: Vec::new(),
         remaining: Duration::from_secs(5),
     }
 }
--- a/crates/tc-protocol/src/routing/mod.rs
+++ b/crates/tc-protocol/src/routing/mod.rs
@@ -1,6 +1,6 @@
-//! What routed requests go by: routes, services with their upstreams, and the calls of batch stages.
+//! Types for routed requests: routes, services with their upstreams, and calls to batch stages.
 //!
-//! The types hold decoded values only; whoever decodes an operator's configuration validates it there.
+//! These types hold decoded values; the code that decodes an operator's configuration also validates it.
 
 mod config;
 mod piece;
@@ -9,13 +9,13 @@
 mod upstream;
 
 pub use config::{
-    BatchSpec, CallerLimits, ColdSpec, EngineSpec, RepeatRule, Route, RouteStage, RoutedService,
-    RoutedWorkspace, RoutingConfig,
+    BatchSpec, CallerLimits, ColdStartSpec, EngineSpec, Route, RouteKind, RouteStage,
+    RoutedService, RoutedWorkspace, RoutingConfig,
 };
 pub use piece::{
-    ChainAsk, PieceFailure, PieceInput, PieceOrder, PieceResult, PiecesAsk, PiecesRefusal,
-    ResultHandle,
+    PieceFailure, PieceInput, PieceRequest, PieceResult, ResultHandle, StageChain, StageRefusal,
+    StageRequest,
 };
-pub use prompt::{EngineAsk, EngineChoice, EngineNews, Prompt, PromptPart, RunReport};
-pub use rate_limit::{AnnouncedLimit, LimitNews, RateLimit};
+pub use prompt::{EngineChoice, EngineRequest, Prompt, PromptPart, RunProgress, RunReport};
+pub use rate_limit::{AnnouncedLimit, RateLimit, RateLimitUpdate};
 pub use upstream::RegisteredUpstream;
