--- a/crates/tc-caller/src/run/plain.rs
+++ b/crates/tc-caller/src/run/plain.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Method, StatusCode, header::CONTENT_LENGTH, uri::PathAndQuery};
 use http_body_util::BodyExt;
 use tc_protocol::{Outcome, ProblemKind, RunState, Service, ServiceName};
-use tc_upstream::{CallError, PlainBody, PlainCall, PlainReply};
+use tc_upstream::{CallError, PlainBody, PlainCall, PlainResponse};
 use tracing::Instrument;
 
 use crate::{
@@ -161,9 +161,9 @@
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
     facts: InputFacts,
-    mut won: Won<PlainReply>,
+    mut won: Won<PlainResponse>,
 ) -> PlainAnswer {
-    let PlainReply {
+    let PlainResponse {
         status,
         headers,
         body,
--- a/crates/tc-caller/src/run/stage.rs
+++ b/crates/tc-caller/src/run/stage.rs
@@ -7,7 +7,7 @@
 
 use tc_policy::StageEstimate;
 use tc_protocol::{Outcome, RunState};
-use tc_upstream::{StageCall, StageReply};
+use tc_upstream::{StageCall, StageResponse};
 use tracing::Instrument;
 
 use crate::{
@@ -56,7 +56,7 @@
                 .run_stage(stage_call(cx, plan, input, &target))
         })
         .await?;
-    let StageReply {
+    let StageResponse {
         output,
         cost,
         first_byte,
--- a/crates/tc-fleet/src/loads.rs
+++ b/crates/tc-fleet/src/loads.rs
@@ -26,7 +26,7 @@
             let client = client.clone();
             let address = k.upstream.address;
             async move {
-                let report = tokio::time::timeout(LOAD_TIMEOUT, client.load(address)).await;
+                let report = tokio::time::timeout(LOAD_TIMEOUT, client.load_report(address)).await;
                 (id.clone(), report)
             }
         });
--- a/crates/tc-fleet/src/orders/desk.rs
+++ b/crates/tc-fleet/src/orders/desk.rs
@@ -69,7 +69,7 @@
             models: order.models,
             role: (!order.role.is_empty()).then_some(order.role),
         };
-        match self.client.order(known.upstream.address, &sent).await {
+        match self.client.send_order(known.upstream.address, &sent).await {
             Ok(()) => OrderAnswer {
                 accepted: true,
                 ..OrderAnswer::default()
--- a/crates/tc-fleet/src/orders/planner.rs
+++ b/crates/tc-fleet/src/orders/planner.rs
@@ -244,7 +244,8 @@
         .filter(|state| !state.leaving)
         .map(|state| async move {
             let report =
-                tokio::time::timeout(REPORT_TIMEOUT, client.load(state.upstream.address)).await;
+                tokio::time::timeout(REPORT_TIMEOUT, client.load_report(state.upstream.address))
+                    .await;
             let report = report.ok()?.ok()?;
             Some(EngineState {
                 id: state.upstream.id.clone(),
--- a/crates/tc-fleet/src/suspects/confirm.rs
+++ b/crates/tc-fleet/src/suspects/confirm.rs
@@ -45,7 +45,7 @@
         let address = called.address;
         let asked = self
             .control
-            .spawn(async move { tokio::time::timeout(TIMEOUT, client.load(address)).await });
+            .spawn(async move { tokio::time::timeout(TIMEOUT, client.load_report(address)).await });
         match asked.await {
             Ok(Ok(Ok(report))) => {
                 called.incarnation == Incarnation(0) || report.incarnation != called.incarnation
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -5,7 +5,7 @@
 use http::{Request, Uri, uri::PathAndQuery};
 use http_body_util::Full;
 use tc_protocol::{RunState, UpstreamId, routing::RegisteredUpstream};
-use tc_upstream::{CallError, CallErrorKind, RawCall, RawReply};
+use tc_upstream::{CallError, CallErrorKind, RawCall, RawResponse};
 use tokio::time::Instant;
 
 use super::{Refusal, RoutedRequest, RunContext, stages::StageResults, target::Target};
@@ -79,7 +79,7 @@
 
 /// An answer whose head was checked.
 pub(super) struct Answered {
-    pub(super) reply: RawReply,
+    pub(super) reply: RawResponse,
     pub(super) head: AnswerHead,
     pub(super) upstream: Arc<RegisteredUpstream>,
     pub(super) sent_at: Instant,
--- a/crates/tc-upstream/src/call.rs
+++ b/crates/tc-upstream/src/call.rs
@@ -41,7 +41,7 @@
 
 /// A whole, checked answer of an engine or a pool.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StageReply {
+pub struct StageResponse {
     /// The result.
     pub output: String,
     /// What it cost.
@@ -85,7 +85,7 @@
 
 /// A plain service's answer, with its body still to come.
 #[derive(Debug)]
-pub struct PlainReply {
+pub struct PlainResponse {
     /// Status code, whatever it is.
     pub status: StatusCode,
     /// Headers meant for the caller.
--- a/crates/tc-upstream/src/client.rs
+++ b/crates/tc-upstream/src/client.rs
@@ -9,7 +9,7 @@
 use tracing::{Instrument, Span};
 
 use crate::{
-    call::{PlainCall, PlainReply, StageCall, StageReply},
+    call::{PlainCall, PlainResponse, StageCall, StageResponse},
     connection::IdleConnections,
     control,
     error::{CallError, OrderError},
@@ -53,7 +53,7 @@
 /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
 /// let client = UpstreamClient::new(ClientSettings::default());
 /// let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-/// let error = client.load(nobody).await.unwrap_err();
+/// let error = client.load_report(nobody).await.unwrap_err();
 /// assert_eq!(error.kind, CallErrorKind::Connect);
 /// assert_eq!(error.run_state, RunState::NotRun);
 /// # });
@@ -81,7 +81,7 @@
     }
 
     /// Calls an engine (whole answer) or a pool. The answer is returned only if it is whole and names this call.
-    pub async fn run_stage(&self, call: StageCall) -> Result<StageReply, CallError> {
+    pub async fn run_stage(&self, call: StageCall) -> Result<StageResponse, CallError> {
         let span = stage_span(&call);
         let mut meter = CallMeter::start(kind_label(call.kind));
         let result = stage::run_stage(&self.shared, call).instrument(span).await;
@@ -109,7 +109,7 @@
     }
 
     /// Calls a plain service and returns once the answer's header is there, whatever its status.
-    pub async fn forward(&self, call: PlainCall) -> Result<PlainReply, CallError> {
+    pub async fn forward(&self, call: PlainCall) -> Result<PlainResponse, CallError> {
         let span = tracing::info_span!(
             "upstream_call",
             upstream = %call.upstream,
@@ -123,9 +123,9 @@
     }
 
     /// Reads an upstream's load report. It has no identifier of the upstream, so errors name its address.
-    pub async fn load(&self, address: SocketAddr) -> Result<LoadReport, CallError> {
+    pub async fn load_report(&self, address: SocketAddr) -> Result<LoadReport, CallError> {
         let mut meter = CallMeter::start("load");
-        let result = control::load(&self.shared, address).await;
+        let result = control::load_report(&self.shared, address).await;
         meter.end(
             result
                 .as_ref()
@@ -135,9 +135,9 @@
     }
 
     /// Sends an order; repeating it is harmless.
-    pub async fn order(&self, address: SocketAddr, order: &Order) -> Result<(), OrderError> {
+    pub async fn send_order(&self, address: SocketAddr, order: &Order) -> Result<(), OrderError> {
         let mut meter = CallMeter::start("order");
-        let result = control::order(&self.shared, address, order).await;
+        let result = control::send_order(&self.shared, address, order).await;
         meter.end(match &result {
             Ok(()) => Outcome::Answered,
             Err(OrderError::Refused { .. }) => Outcome::Rejected,
--- a/crates/tc-upstream/src/control.rs
+++ b/crates/tc-upstream/src/control.rs
@@ -27,7 +27,10 @@
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reads an upstream's load report.
-pub(crate) async fn load(shared: &Shared, address: SocketAddr) -> Result<LoadReport, CallError> {
+pub(crate) async fn load_report(
+    shared: &Shared,
+    address: SocketAddr,
+) -> Result<LoadReport, CallError> {
     let site = CallSite::new(address.to_string().into(), address, LOAD_TIMEOUT);
     let path = PathAndQuery::from_static(LOAD_PATH);
     let request = build_request(&site, Method::GET, path, HeaderMap::new(), Bytes::new())?;
@@ -43,7 +46,7 @@
 ///
 /// On a kept connection a doubled acknowledgement of the order before would be read as this one's, noticed as an
 /// upstream that never reaches the planned state although its home was told it would.
-pub(crate) async fn order(
+pub(crate) async fn send_order(
     shared: &Shared,
     address: SocketAddr,
     order: &Order,
--- a/crates/tc-upstream/src/lib.rs
+++ b/crates/tc-upstream/src/lib.rs
@@ -17,10 +17,10 @@
 mod stage;
 mod stream;
 
-pub use call::{PlainCall, PlainReply, StageCall, StageReply};
+pub use call::{PlainCall, PlainResponse, StageCall, StageResponse};
 pub use client::{ClientSettings, UpstreamClient};
 pub use error::{CallError, CallErrorKind, OrderError};
 pub use hop_by_hop::remove_hop_by_hop;
 pub use plain::PlainBody;
-pub use raw::{RawBody, RawCall, RawReply};
+pub use raw::{RawBody, RawCall, RawResponse};
 pub use stream::{EngineStream, StreamItem};
--- a/crates/tc-upstream/src/plain.rs
+++ b/crates/tc-upstream/src/plain.rs
@@ -16,7 +16,7 @@
 use tokio::time::Sleep;
 
 use crate::{
-    call::{PlainCall, PlainReply},
+    call::{PlainCall, PlainResponse},
     check::outcome_of,
     client::Shared,
     connection::{Answer, Failure, Traffic},
@@ -36,7 +36,7 @@
     shared: &Shared,
     call: PlainCall,
     mut meter: CallMeter,
-) -> Result<PlainReply, CallError> {
+) -> Result<PlainResponse, CallError> {
     let site = CallSite::new(call.upstream.clone(), call.address, call.remaining);
     let replied = exchange_plain(shared, &site, call).await;
     let exchanged = replied.inspect_err(|e| meter.end(e.outcome))?;
@@ -45,7 +45,7 @@
     } = exchanged;
     strip_reply(&mut head.headers);
     let outcome = outcome_of(head.status);
-    let mut reply = PlainReply {
+    let mut reply = PlainResponse {
         status: head.status,
         headers: head.headers,
         outcome,
--- a/crates/tc-upstream/src/raw.rs
+++ b/crates/tc-upstream/src/raw.rs
@@ -36,7 +36,7 @@
 
 /// An answer's header, with its body still to come.
 #[derive(Debug)]
-pub struct RawReply {
+pub struct RawResponse {
     /// Status and headers as sent.
     pub head: response::Parts,
     /// The body.
@@ -54,12 +54,12 @@
     /// Makes a call as it is given and returns once the answer's header is there.
     ///
     /// An error's run state is `NotRun` only when no byte of the request has left this process.
-    pub async fn exchange_raw(&self, call: RawCall) -> Result<RawReply, CallError> {
+    pub async fn exchange_raw(&self, call: RawCall) -> Result<RawResponse, CallError> {
         exchange_raw(&self.shared, call).await
     }
 }
 
-async fn exchange_raw(shared: &Shared, call: RawCall) -> Result<RawReply, CallError> {
+async fn exchange_raw(shared: &Shared, call: RawCall) -> Result<RawResponse, CallError> {
     let site = CallSite::new(call.upstream, call.address, call.remaining);
     let reuse = if call.reuse {
         Reuse::Kept(Traffic::Raw)
@@ -72,7 +72,7 @@
     if call.reuse {
         answer.return_to(shared.idle.clone(), site.address, Traffic::Raw);
     }
-    Ok(RawReply {
+    Ok(RawResponse {
         head,
         body: RawBody { answer, site },
     })
--- a/crates/tc-upstream/src/stage.rs
+++ b/crates/tc-upstream/src/stage.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    call::{StageCall, StageReply},
+    call::{StageCall, StageResponse},
     check::check_head,
     client::Shared,
     connection::Traffic,
@@ -41,7 +41,10 @@
 }
 
 /// Makes a call and waits for its whole answer.
-pub(crate) async fn run_stage(shared: &Shared, call: StageCall) -> Result<StageReply, CallError> {
+pub(crate) async fn run_stage(
+    shared: &Shared,
+    call: StageCall,
+) -> Result<StageResponse, CallError> {
     let site = CallSite::new(call.upstream.clone(), call.address, call.remaining);
     let identity = identity_of(&site, &call)?;
     let request = stage_request(&site, &identity, &call, AnswerForm::Whole)?;
@@ -57,7 +60,7 @@
         ServiceKind::Engine => completion(&site, &call, &body, took)?,
         ServiceKind::Pool | ServiceKind::Plain => pool_result(&site, &call, &body)?,
     };
-    Ok(StageReply {
+    Ok(StageResponse {
         output,
         cost,
         took,
--- a/crates/tc-upstream/tests/common/mod.rs
+++ b/crates/tc-upstream/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use http::{HeaderMap, Method};
 use socket2::SockRef;
 use tc_protocol::{Attempt, Outcome, RunState, ServiceKind};
-use tc_upstream::{CallError, CallErrorKind, ClientSettings, PlainCall, StageCall, StageReply};
+use tc_upstream::{CallError, CallErrorKind, ClientSettings, PlainCall, StageCall, StageResponse};
 use tc_upstream::{EngineStream, UpstreamClient};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -234,7 +234,7 @@
     client: &UpstreamClient,
     fake: &Fake,
     request: &str,
-) -> Result<StageReply, CallError> {
+) -> Result<StageResponse, CallError> {
     client
         .run_stage(call(ServiceKind::Pool, fake.address, request))
         .await
--- a/crates/tc-upstream/tests/control_calls.rs
+++ b/crates/tc-upstream/tests/control_calls.rs
@@ -40,7 +40,7 @@
 async fn order_faults_are_reported_as_they_are() {
     for (name, steps, expected) in FAULTS {
         let fake = Fake::start(move |_, _| steps()).await;
-        match client().order(fake.address, &order()).await {
+        match client().send_order(fake.address, &order()).await {
             Err(OrderError::Call(error)) => check(name, &error, *expected),
             other => panic!("{name}: {other:?}"),
         }
@@ -58,9 +58,9 @@
     })
     .await;
     let client = client();
-    assert_eq!(client.order(fake.address, &order()).await, Ok(()));
+    assert_eq!(client.send_order(fake.address, &order()).await, Ok(()));
     let refused = Err(OrderError::Refused { highest_fence: 9 });
-    assert_eq!(client.order(fake.address, &order()).await, refused);
+    assert_eq!(client.send_order(fake.address, &order()).await, refused);
 }
 
 #[tokio::test]
@@ -70,10 +70,10 @@
     let client = client();
     let expected: LoadReport = serde_json::from_str(report).unwrap();
     for _ in 0..3 {
-        assert_eq!(client.load(fake.address).await, Ok(expected.clone()));
+        assert_eq!(client.load_report(fake.address).await, Ok(expected.clone()));
     }
     assert_eq!(fake.counts(), (1, 3));
-    client.order(fake.address, &order()).await.unwrap();
+    client.send_order(fake.address, &order()).await.unwrap();
     assert_eq!(
         fake.counts(),
         (2, 4),
@@ -87,7 +87,7 @@
 #[tokio::test]
 async fn a_load_report_that_never_comes_times_out() {
     let fake = Fake::start(|_, _| vec![Step::Hang]).await;
-    let error = client().load(fake.address).await.unwrap_err();
+    let error = client().load_report(fake.address).await.unwrap_err();
     check(
         "hang",
         &error,
--- a/crates/tc-upstream/tests/plain_services.rs
+++ b/crates/tc-upstream/tests/plain_services.rs
@@ -8,10 +8,10 @@
 use tc_upstream::{
     CallError,
     CallErrorKind::{Broken, Connect, Malformed, TimedOut, TooLarge, WrongIdentity},
-    PlainReply,
+    PlainResponse,
 };
 
-async fn whole(reply: PlainReply) -> Result<String, CallError> {
+async fn whole(reply: PlainResponse) -> Result<String, CallError> {
     let bytes = reply.body.collect().await?.to_bytes();
     Ok(String::from_utf8(bytes.to_vec()).unwrap())
 }
--- a/crates/tc-upstream/tests/stand_ins.rs
+++ b/crates/tc-upstream/tests/stand_ins.rs
@@ -65,7 +65,7 @@
         plain_output("/lots/7?bid=1", b"bid")
     );
     for address in [pool.address(), engine.address(), plain.address()] {
-        assert_eq!(client.load(address).await.unwrap().slots, 8);
+        assert_eq!(client.load_report(address).await.unwrap().slots, 8);
     }
     for request in ["r-1", "r-2", "r-3"] {
         assert_eq!(recorder.calls_of(&request.into()).len(), 1);
@@ -112,8 +112,11 @@
             models: vec!["drafter@2".into()],
             role: None,
         };
-        client.order(engine.address(), &order(9)).await.unwrap();
-        let late = client.order(engine.address(), &order(7)).await;
+        client
+            .send_order(engine.address(), &order(9))
+            .await
+            .unwrap();
+        let late = client.send_order(engine.address(), &order(7)).await;
         let refused = Err(OrderError::Refused { highest_fence: 9 });
         assert_eq!(late, if checks { refused } else { Ok(()) });
     }
