--- a/crates/tc-upstream/examples/call_overhead.rs
+++ b/crates/tc-upstream/examples/call_overhead.rs
@@ -1,7 +1,8 @@
-//! Measures what a pool call costs beside a bare exchange of the same bytes on one `hyper` connection.
+//! Compares the latency of a pool call with that of an exchange of the same bytes on a bare `hyper` connection.
 //!
-//! `cargo run --release -p tc-upstream --example call_overhead -- [CALLS]` prints p50 and p99 in microseconds of
-//! both, taken in turns against the same zero-work stand-in, so that a busy machine slows both alike.
+//! `cargo run --release -p tc-upstream --example call_overhead -- [CALLS]` prints the p50 and p99 of both in
+//! microseconds. Both call the same stand-in, which does no work, in alternation, so that other load on the machine
+//! affects them equally.
 
 use std::{
     env,
@@ -42,7 +43,7 @@
         Recorder::new(),
     )
     .await?;
-    // A traffic task, as in the server: the main task of the runtime is scheduled differently.
+    // Runs in a spawned task, as in the server: the runtime schedules its main task differently.
     tokio::spawn(measure(pool.address(), calls)).await?
 }
 
@@ -103,7 +104,7 @@
     Ok(sender)
 }
 
-/// The same request with its body encoded before the clock starts, and the answer's bytes unread.
+/// Sends the same request. The time excludes the encoding of the request body, and the response is not decoded.
 async fn bare_exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     call: &StageCall,
--- a/crates/tc-upstream/src/call.rs
+++ b/crates/tc-upstream/src/call.rs
@@ -1,4 +1,4 @@
-//! What a call consists of and what comes back.
+//! Calls to upstreams and their responses.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,92 +8,92 @@
 
 use crate::plain::PlainBody;
 
-/// One call to an engine or a pool.
+/// A call to an engine or a pool.
 #[derive(Clone, Debug)]
 pub struct StageCall {
-    /// The upstream to call.
+    /// Upstream to call.
     pub upstream: UpstreamId,
-    /// Where it listens.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Engine or pool.
+    /// Kind of the upstream: engine or pool.
     pub kind: ServiceKind,
-    /// Whose request it is.
+    /// Request that this call belongs to.
     pub request: RequestId,
-    /// The stage.
+    /// Stage that the call runs.
     pub stage: StageName,
-    /// Which try.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// Model to run; engines only.
+    /// Model to run (engines only).
     pub model: Option<String>,
-    /// Output of the stage before, or the caller's input.
+    /// Output of the previous stage, or the caller's input.
     pub input: Arc<str>,
-    /// Most tokens to generate; engines only.
+    /// Maximum number of tokens to generate (engines only).
     pub max_tokens: u32,
-    /// 0 (most urgent) to 7.
+    /// Priority, from 0 (most urgent) to 7.
     pub priority: u8,
-    /// Time the call may take in all, connecting included.
+    /// Timeout of the whole call, including the connect.
     pub remaining: Duration,
-    /// The caller's key for a non-idempotent request, passed on.
+    /// Idempotency key of the caller's request, forwarded to the upstream.
     pub idempotency_key: Option<Arc<str>>,
-    /// W3C trace context, passed on.
+    /// W3C trace context, forwarded to the upstream.
     pub traceparent: Option<String>,
 }
 
-/// A whole, checked answer of an engine or a pool.
+/// A complete response of an engine or a pool, which names the call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageResponse {
-    /// The result.
+    /// Output of the stage.
     pub output: String,
-    /// What it cost.
+    /// Cost of the call.
     pub cost: Cost,
-    /// Time from sending to the whole result.
+    /// Time from the start of the call to the end of the response.
     pub took: Duration,
-    /// Time from sending to the first byte of the answer.
+    /// Time from the start of the call to the response header.
     pub first_byte: Duration,
 }
 
-/// One call to a plain service.
+/// A call to a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
-    /// The upstream to call.
+    /// Upstream to call.
     pub upstream: UpstreamId,
-    /// Where it listens.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Whose request it is.
+    /// Request that this call belongs to.
     pub request: RequestId,
-    /// Name of the step; for a plain service its service's name.
+    /// Stage name, which for a plain service is the name of the service.
     pub stage: StageName,
-    /// Which try.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// The caller's method.
+    /// Method of the caller's request.
     pub method: Method,
-    /// Path and query at the service.
+    /// Path and query to request from the service.
     pub path: PathAndQuery,
-    /// The caller's headers; those that concern only the caller's connection or this system are not passed on.
+    /// Headers of the caller's request. Hop-by-hop headers and headers of this system are not forwarded.
     pub headers: HeaderMap,
-    /// The caller's body.
+    /// Body of the caller's request.
     pub body: Bytes,
-    /// 0 (most urgent) to 7.
+    /// Priority, from 0 (most urgent) to 7.
     pub priority: u8,
-    /// Time the call may take in all, the answer's body included.
+    /// Timeout of the whole call, including the response body.
     pub remaining: Duration,
-    /// The caller's key for a non-idempotent request, passed on.
+    /// Idempotency key of the caller's request, forwarded to the upstream.
     pub idempotency_key: Option<Arc<str>>,
-    /// W3C trace context, passed on.
+    /// W3C trace context, forwarded to the upstream.
     pub traceparent: Option<String>,
 }
 
-/// A plain service's answer, with its body still to come.
+/// A response of a plain service, with the body yet to be read.
 #[derive(Debug)]
 pub struct PlainResponse {
-    /// Status code, whatever it is.
+    /// Status code; error codes are returned here as well.
     pub status: StatusCode,
-    /// Headers meant for the caller.
+    /// Headers to forward to the caller.
     pub headers: HeaderMap,
-    /// The body; an error of it says what to settle the permit with.
+    /// Response body. If it ends with an error, the permit is settled with the outcome of that error.
     pub body: PlainBody,
-    /// What to settle the permit with once the body has ended without an error.
+    /// Outcome to settle the permit with if the body ends without an error.
     pub outcome: Outcome,
-    /// Time from sending to the first byte of the answer.
+    /// Time from the start of the call to the response header.
     pub first_byte: Duration,
 }
--- a/crates/tc-upstream/src/site.rs
+++ b/crates/tc-upstream/src/call_context.rs
@@ -1,4 +1,4 @@
-//! Which call is being made: what its errors name and when its time is up.
+//! Context of a call in progress: its upstream and its deadline.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,18 +10,18 @@
     error::{CallError, CallErrorKind},
 };
 
-/// One call in progress.
+/// A call in progress.
 #[derive(Clone, Debug)]
-pub(crate) struct CallSite {
+pub(crate) struct CallContext {
     pub(crate) upstream: UpstreamId,
     pub(crate) address: SocketAddr,
     pub(crate) started: Instant,
     pub(crate) deadline: Instant,
-    /// Least that is known of whether it ran, from before this exchange.
-    pub(crate) known: RunState,
+    /// Minimum run state of errors, as known before this exchange; `Ran` for a resumed stream.
+    pub(crate) known_run_state: RunState,
 }
 
-impl CallSite {
+impl CallContext {
     pub(crate) fn new(upstream: UpstreamId, address: SocketAddr, remaining: Duration) -> Self {
         let started = Instant::now();
         Self {
@@ -29,7 +29,7 @@
             address,
             started,
             deadline: started + remaining,
-            known: RunState::NotRun,
+            known_run_state: RunState::NotRun,
         }
     }
 
@@ -46,25 +46,25 @@
     ) -> CallError {
         CallError {
             kind,
-            run_state: run_state.and(self.known),
+            run_state: run_state.and(self.known_run_state),
             outcome,
             upstream: self.upstream.clone(),
             detail: detail.into(),
         }
     }
 
-    /// The error for a failure on the connection.
+    /// Returns the error for a failed exchange.
     pub(crate) fn failed(&self, failure: &Failure, run_state: RunState) -> CallError {
         let (kind, outcome) = failure.classify();
         self.error(kind, run_state, outcome, failure.to_string())
     }
 
-    /// The error for an answer that is not what the protocol allows.
+    /// Returns the error for a response that violates the protocol.
     pub(crate) fn malformed(&self, run_state: RunState, detail: impl Into<String>) -> CallError {
         self.error(CallErrorKind::Malformed, run_state, Outcome::Failed, detail)
     }
 
-    /// The error for a call that cannot be put into a request at all.
+    /// Returns the error for a call that cannot be encoded as a request.
     pub(crate) fn unsendable(&self, detail: impl Into<String>) -> CallError {
         self.error(
             CallErrorKind::Malformed,
--- a/crates/tc-upstream/src/client.rs
+++ b/crates/tc-upstream/src/client.rs
@@ -1,4 +1,4 @@
-//! The client that makes all calls.
+//! The client for all calls to upstreams.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,16 +18,16 @@
     stream::{self, EngineStream},
 };
 
-/// Bounds on what the client does and takes.
+/// Timeouts and size limits of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientSettings {
-    /// Longest time to make a connection; the call's own remaining time counts too.
+    /// Connect timeout; the call's remaining time applies as well.
     pub connect_timeout: Duration,
-    /// Largest answer body in bytes, streams included.
+    /// Maximum size of a response body in bytes, including streams.
     pub max_response_bytes: usize,
-    /// Largest answer header in bytes, status line included.
+    /// Maximum size of a response header in bytes, including the status line.
     pub max_header_bytes: usize,
-    /// Idle connections kept for one upstream.
+    /// Maximum number of idle connections per upstream address and traffic type.
     pub pool_idle_per_host: usize,
 }
 
@@ -42,18 +42,18 @@
     }
 }
 
-/// Calls upstreams over kept-alive connections. Cheap to clone; clones share the connections.
+/// Calls upstreams over keep-alive connections. Cheap to clone; clones share the connections.
 ///
-/// A call runs in the task that awaits it: dropping its future closes its connection, which cancels the call. All
-/// clones must be used on one tokio runtime.
+/// A call runs in the task that awaits it. Dropping its future closes the connection, which cancels the call. All
+/// clones must be used on the same tokio runtime.
 ///
 /// ```
 /// use tc_protocol::RunState;
 /// use tc_upstream::{CallErrorKind, ClientSettings, UpstreamClient};
 /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
 /// let client = UpstreamClient::new(ClientSettings::default());
-/// let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-/// let error = client.load_report(nobody).await.unwrap_err();
+/// let unused_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+/// let error = client.load_report(unused_address).await.unwrap_err();
 /// assert_eq!(error.kind, CallErrorKind::Connect);
 /// assert_eq!(error.run_state, RunState::NotRun);
 /// # });
@@ -63,7 +63,7 @@
     pub(crate) shared: Arc<Shared>,
 }
 
-/// What all clones share.
+/// State shared by all clones of a client.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: ClientSettings,
@@ -71,7 +71,7 @@
 }
 
 impl UpstreamClient {
-    /// A client with no connections yet.
+    /// Creates a client without any connections.
     #[must_use]
     pub fn new(settings: ClientSettings) -> Self {
         let idle = Arc::new(IdleConnections::new(settings.pool_idle_per_host));
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Calls an engine (whole answer) or a pool. The answer is returned only if it is whole and names this call.
+    /// Calls a pool, or an engine without streaming. Returns the response only if it is complete and names this call.
     pub async fn run_stage(&self, call: StageCall) -> Result<StageResponse, CallError> {
         let span = stage_span(&call);
         let mut meter = CallMeter::start(kind_label(call.kind));
@@ -93,9 +93,9 @@
         result
     }
 
-    /// Starts a streamed completion, or resumes one after event `resume_after` (0: from the start).
+    /// Starts a streamed completion, or resumes one after event `resume_after` (0 starts from the beginning).
     ///
-    /// An error of a resumed stream never says "not run", as its events were seen before.
+    /// Errors of a resumed stream never have the run state `NotRun`, as the stream has delivered events before.
     pub async fn open_stream(
         &self,
         call: StageCall,
@@ -108,7 +108,8 @@
             .await
     }
 
-    /// Calls a plain service and returns once the answer's header is there, whatever its status.
+    /// Calls a plain service and returns once the response header has arrived, whatever its status. A short response of
+    /// known length is read completely first.
     pub async fn forward(&self, call: PlainCall) -> Result<PlainResponse, CallError> {
         let span = tracing::info_span!(
             "upstream_call",
@@ -122,7 +123,7 @@
             .await
     }
 
-    /// Reads an upstream's load report. It has no identifier of the upstream, so errors name its address.
+    /// Fetches an upstream's load report. Errors name the upstream by its address, as its identifier is not known here.
     pub async fn load_report(&self, address: SocketAddr) -> Result<LoadReport, CallError> {
         let mut meter = CallMeter::start("load");
         let result = control::load_report(&self.shared, address).await;
@@ -134,7 +135,7 @@
         result
     }
 
-    /// Sends an order; repeating it is harmless.
+    /// Sends an order. Orders are idempotent, so they can be sent again.
     pub async fn send_order(&self, address: SocketAddr, order: &Order) -> Result<(), OrderError> {
         let mut meter = CallMeter::start("order");
         let result = control::send_order(&self.shared, address, order).await;
--- a/crates/tc-upstream/src/connection/failure.rs
+++ b/crates/tc-upstream/src/connection/failure.rs
@@ -1,4 +1,4 @@
-//! Why an exchange on a connection failed, and what kind of call error that is.
+//! Failures of an exchange on a connection, and their classification as call errors.
 
 use std::{error::Error, fmt, io};
 
@@ -6,23 +6,23 @@
 
 use crate::error::CallErrorKind;
 
-/// Why an exchange failed.
+/// Failure of an exchange.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// The call's time was used up.
+    /// The call's deadline passed.
     TimedOut,
-    /// The answer's body is larger than allowed.
+    /// The response body exceeds the limit.
     TooLarge,
     /// The connection failed.
     Transport(hyper::Error),
 }
 
 impl Failure {
-    /// The error kind, and what it says of the upstream.
+    /// Returns the error kind and the outcome.
     ///
-    /// Only a connection that the peer closed or reset in the middle of a call counts as a death: our own timeouts
-    /// and a peer that answers nonsense say nothing of its process, and a false death would quarantine an innocent
-    /// input.
+    /// The outcome is `Died` only if the peer closed or reset the connection during a call. Timeouts on this side and
+    /// malformed responses do not show that the peer's process crashed, and a false `Died` would quarantine an input
+    /// that is not at fault.
     pub(crate) fn classify(&self) -> (CallErrorKind, Outcome) {
         match self {
             Self::TimedOut => (CallErrorKind::TimedOut, Outcome::TimedOut),
--- a/crates/tc-upstream/src/connection/driven.rs
+++ b/crates/tc-upstream/src/connection/http1.rs
@@ -1,4 +1,4 @@
-//! One connection and the answer being read from it, both driven by the task that waits.
+//! An HTTP/1.1 connection and the response body that is read from it. The waiting task drives both.
 
 use std::{
     future::poll_fn,
@@ -33,7 +33,7 @@
 
 type Driver = http1::Connection<TokioIo<Socket>, Full<Bytes>>;
 
-/// A connection on which no exchange is in progress, or the one that is.
+/// A connection, either idle or with one exchange in progress.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -43,14 +43,14 @@
     reused: bool,
 }
 
-/// What a failed send leaves: the request, if the connection never took it up.
+/// A failed send. `unsent` is the request if the connection has not started to send it.
 #[derive(Debug)]
 pub(crate) struct SendFailure {
     pub(crate) failure: Failure,
     pub(crate) unsent: Option<Request<Full<Bytes>>>,
 }
 
-/// Makes a connection.
+/// Opens a connection.
 pub(crate) async fn dial(
     address: SocketAddr,
     settings: &ClientSettings,
@@ -60,7 +60,7 @@
         .await
         .map_err(|_| io::ErrorKind::TimedOut)??;
     stream.set_nodelay(true)?;
-    keep_alive(&stream)?;
+    set_keep_alive(&stream)?;
     let socket = Arc::new(SocketState::default());
     let io = TokioIo::new(Socket::new(stream, Arc::clone(&socket)));
     let (sender, driver) = http1::Builder::new()
@@ -77,41 +77,41 @@
     })
 }
 
-/// Idle time before the kernel probes a silent connection, and the pause between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Unanswered probes after which a connection counts as broken.
-const PROBES: u32 = 3;
-/// How long sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+/// Idle time before the kernel sends the first keep-alive probe, and the interval between probes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unacknowledged probes after which the kernel closes the connection.
+const KEEP_ALIVE_RETRIES: u32 = 3;
+/// How long sent data may stay unacknowledged (`TCP_USER_TIMEOUT`).
+const USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Makes the kernel end a connection whose peer is cut off or lost power.
+/// Makes the kernel close a connection whose peer is unreachable or has lost power.
 ///
-/// Such a peer sends no reset. Without this, calls on the connection would wait for their whole deadline, seen as
-/// requests that hang although other upstreams are free.
-fn keep_alive(stream: &TcpStream) -> io::Result<()> {
+/// Such a peer sends no reset. Without keep-alive probes, calls on the connection would hang until their deadline even
+/// if other upstreams are free.
+fn set_keep_alive(stream: &TcpStream) -> io::Result<()> {
     let socket = socket2::SockRef::from(stream);
     let probes = socket2::TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(KEEP_ALIVE_INTERVAL)
+        .with_interval(KEEP_ALIVE_INTERVAL)
+        .with_retries(KEEP_ALIVE_RETRIES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
 impl Connection {
-    /// Whether an exchange was made on it before the present one.
+    /// Returns whether the connection carried another exchange before the current one.
     pub(crate) fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Whether any byte of the present exchange's request has left this process.
+    /// Returns whether any byte of the current exchange's request was written to the socket.
     pub(crate) fn has_written(&self) -> bool {
         self.socket.written() > self.written_before
     }
 
-    /// Looks whether an idle connection can still be used; it is not when the peer closed it or sent anything.
+    /// Returns whether an idle connection can still be used. It cannot if the peer has closed it or sent any bytes.
     pub(crate) async fn is_usable(&mut self) -> bool {
-        self.socket.look_before_next_read();
+        self.socket.peek_before_next_read();
         poll_fn(|cx| {
             self.drive(cx);
             let ready = matches!(self.sender.poll_ready(cx), Poll::Ready(Ok(())));
@@ -120,7 +120,7 @@
         .await
     }
 
-    /// Sends a request and waits for the answer's header until `deadline`.
+    /// Sends a request and waits for the response header until `deadline`.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -150,7 +150,7 @@
         drive(&mut self.driver, cx);
     }
 
-    /// Marks the exchange as over; `None` when the connection cannot take another.
+    /// Ends the exchange. Returns `None` if the connection cannot be used for another one.
     fn into_idle(mut self, cx: &mut Context<'_>) -> Option<Self> {
         self.drive(cx);
         self.driver.as_ref()?;
@@ -159,7 +159,7 @@
     }
 }
 
-/// Moves the connection on. Its own error is left aside: the exchange that it fails gets it too.
+/// Polls the connection. Its error is ignored, as the failed exchange returns the same error.
 fn drive(driver: &mut Option<Driver>, cx: &mut Context<'_>) {
     if let Some(running) = driver
         && Pin::new(running).poll(cx).is_ready()
@@ -168,39 +168,39 @@
     }
 }
 
-/// An answer's body, still on its connection. Dropping it before its end closes the connection.
+/// A response body that is read from its connection. Dropping it before its end closes the connection.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct ResponseBody {
     connection: Option<Connection>,
     body: Incoming,
     received: usize,
-    largest: usize,
-    return_to: Option<(Arc<IdleConnections>, SocketAddr, Traffic)>,
+    max_bytes: usize,
+    reuse_in: Option<(Arc<IdleConnections>, SocketAddr, Traffic)>,
 }
 
-impl Answer {
-    /// The body of an answer that came on `connection`, at most `largest` bytes of it.
-    pub(crate) fn new(connection: Connection, body: Incoming, largest: usize) -> Self {
+impl ResponseBody {
+    /// Creates the body of a response on `connection`. Reading more than `max_bytes` fails.
+    pub(crate) fn new(connection: Connection, body: Incoming, max_bytes: usize) -> Self {
         Self {
             connection: Some(connection),
             body,
             received: 0,
-            largest,
-            return_to: None,
+            max_bytes,
+            reuse_in: None,
         }
     }
 
-    /// Keeps the connection for later calls once the body has ended.
-    pub(crate) fn return_to(
+    /// Makes the connection return to `idle` once the body has ended.
+    pub(crate) fn reuse_in(
         &mut self,
         idle: Arc<IdleConnections>,
         address: SocketAddr,
         traffic: Traffic,
     ) {
-        self.return_to = Some((idle, address, traffic));
+        self.reuse_in = Some((idle, address, traffic));
     }
 
-    /// The next bytes of the body; `None` at its end. Must not be polled again after an error.
+    /// Polls for the next bytes of the body; `None` at its end. Must not be polled again after an error.
     pub(crate) fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
@@ -208,19 +208,19 @@
         if self.connection.is_none() {
             return Poll::Ready(None);
         }
-        if self.body.size_hint().lower() > self.largest as u64 {
+        if self.body.size_hint().lower() > self.max_bytes as u64 {
             return Poll::Ready(Some(Err(Failure::TooLarge)));
         }
         match self.poll_frame(cx) {
             Poll::Ready(Some(Ok(chunk))) => {
                 self.received += chunk.len();
-                if self.received > self.largest {
+                if self.received > self.max_bytes {
                     return Poll::Ready(Some(Err(Failure::TooLarge)));
                 }
                 Poll::Ready(Some(Ok(chunk)))
             }
             Poll::Ready(None) => {
-                self.give_back(cx);
+                self.return_connection(cx);
                 Poll::Ready(None)
             }
             other => other,
@@ -250,18 +250,18 @@
         }
     }
 
-    fn give_back(&mut self, cx: &mut Context<'_>) {
+    fn return_connection(&mut self, cx: &mut Context<'_>) {
         let Some(connection) = self.connection.take() else {
             return;
         };
-        if let Some((idle, address, traffic)) = self.return_to.take()
+        if let Some((idle, address, traffic)) = self.reuse_in.take()
             && let Some(connection) = connection.into_idle(cx)
         {
             idle.put(address, traffic, connection);
         }
     }
 
-    /// The whole body.
+    /// Reads the complete body.
     pub(crate) async fn collect(&mut self, deadline: Instant) -> Result<Bytes, Failure> {
         timeout_at(deadline, self.collect_all())
             .await
@@ -284,12 +284,12 @@
         Ok(whole.freeze())
     }
 
-    /// Whether the body is known to have ended.
+    /// Returns whether the end of the body was read.
     pub(crate) fn is_at_end(&self) -> bool {
         self.connection.is_none()
     }
 
-    /// Bytes still to come, as far as known.
+    /// Returns the bounds on the number of bytes that remain.
     pub(crate) fn size_hint(&self) -> http_body::SizeHint {
         self.body.size_hint()
     }
--- a/crates/tc-upstream/src/connection/idle.rs
+++ b/crates/tc-upstream/src/connection/idle.rs
@@ -1,4 +1,4 @@
-//! Connections kept alive between calls.
+//! Idle connections, kept alive between calls.
 
 use std::{
     collections::HashMap,
@@ -7,96 +7,98 @@
     time::{Duration, Instant},
 };
 
-use super::driven::Connection;
+use super::http1::Connection;
 
-/// How long an idle connection is kept. Shorter than what servers usually allow, so that we close before they do.
-const KEEP_IDLE: Duration = Duration::from_secs(15);
-/// How often connections to upstreams that are no longer called are looked for.
-const SWEEP_EVERY: Duration = Duration::from_secs(5);
+/// How long an idle connection is kept. Shorter than the usual timeout of servers, so that this side closes first.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// How often expired connections are removed, also those to upstreams that are no longer called.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a connection is used for; connections of one use are never used for another.
+/// Traffic type of a connection. A connection is never reused for another type.
 ///
-/// Load reports carry no identity. On a connection shared with calls, a report delivered twice would be read as the
-/// next call's answer.
+/// Load reports carry no identity. On a connection shared with calls, a report that is sent twice would be read as the
+/// response to the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Traffic {
-    /// Calls, whose answers carry an identity.
+    /// Calls whose responses carry an identity.
     Calls,
     /// Load reports.
     Load,
-    /// Requests passed through, whose answers the sender matches itself.
+    /// Requests that are sent unchanged; the sender checks that the response belongs to the request.
     Raw,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
 #[derive(Debug)]
-struct Kept {
-    by_host: HashMap<(SocketAddr, Traffic), Vec<Idle>>,
-    swept: Instant,
+struct IdleTable {
+    by_address: HashMap<(SocketAddr, Traffic), Vec<IdleConnection>>,
+    last_sweep: Instant,
 }
 
-/// The idle connections of one client.
+/// The idle connections of a client.
 #[derive(Debug)]
 pub(crate) struct IdleConnections {
-    kept: Mutex<Kept>,
-    per_host: usize,
+    table: Mutex<IdleTable>,
+    max_per_address: usize,
 }
 
 impl IdleConnections {
-    /// Keeps at most `per_host` idle connections of each use to one address.
-    pub(crate) fn new(per_host: usize) -> Self {
+    /// Creates a store of at most `max_per_address` idle connections per address and traffic type.
+    pub(crate) fn new(max_per_address: usize) -> Self {
         Self {
-            kept: Mutex::new(Kept {
-                by_host: HashMap::new(),
-                swept: Instant::now(),
+            table: Mutex::new(IdleTable {
+                by_address: HashMap::new(),
+                last_sweep: Instant::now(),
             }),
-            per_host,
+            max_per_address,
         }
     }
 
-    /// The connection used last, as it is the least likely to have been closed by the peer.
+    /// Takes the most recently used connection, as it is the least likely to have been closed by the peer.
     pub(crate) fn take(&self, address: SocketAddr, traffic: Traffic) -> Option<Connection> {
-        let idle = self.lock().by_host.get_mut(&(address, traffic))?.pop()?;
-        (idle.since.elapsed() < KEEP_IDLE).then_some(idle.connection)
+        let idle = self.lock().by_address.get_mut(&(address, traffic))?.pop()?;
+        (idle.idle_since.elapsed() < IDLE_TIMEOUT).then_some(idle.connection)
     }
 
-    /// Keeps a connection, or closes it when there are enough.
+    /// Stores a connection, or closes it if the limit is reached.
     pub(crate) fn put(&self, address: SocketAddr, traffic: Traffic, connection: Connection) {
         let now = Instant::now();
-        let mut kept = self.lock();
-        let expired = kept.sweep(now);
-        let host = kept.by_host.entry((address, traffic)).or_default();
-        if host.len() < self.per_host {
-            host.push(Idle {
+        let mut table = self.lock();
+        let expired = table.sweep(now);
+        let connections = table.by_address.entry((address, traffic)).or_default();
+        if connections.len() < self.max_per_address {
+            connections.push(IdleConnection {
                 connection,
-                since: now,
+                idle_since: now,
             });
         }
-        drop(kept);
+        drop(table);
         drop(expired);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, IdleTable> {
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Kept {
-    /// Takes out what has been idle too long; the caller closes it after unlocking.
-    fn sweep(&mut self, now: Instant) -> Vec<Idle> {
-        if now.duration_since(self.swept) < SWEEP_EVERY {
+impl IdleTable {
+    /// Removes the expired connections. The caller drops them after unlocking.
+    fn sweep(&mut self, now: Instant) -> Vec<IdleConnection> {
+        if now.duration_since(self.last_sweep) < SWEEP_INTERVAL {
             return Vec::new();
         }
-        self.swept = now;
+        self.last_sweep = now;
         let mut expired = Vec::new();
-        self.by_host.retain(|_, host| {
-            expired.extend(host.extract_if(.., |idle| now.duration_since(idle.since) >= KEEP_IDLE));
-            !host.is_empty()
+        self.by_address.retain(|_, connections| {
+            expired.extend(connections.extract_if(.., |idle| {
+                now.duration_since(idle.idle_since) >= IDLE_TIMEOUT
+            }));
+            !connections.is_empty()
         });
         expired
     }
--- a/crates/tc-upstream/src/connection/mod.rs
+++ b/crates/tc-upstream/src/connection/mod.rs
@@ -1,14 +1,14 @@
-//! Connections: one HTTP/1.1 exchange at a time on each, kept alive between exchanges.
+//! HTTP/1.1 connections with one exchange at a time, kept alive between exchanges.
 //!
-//! A connection has no task of its own. Whoever waits for an answer also drives the connection, in the same task:
-//! dropping that future closes the socket at once, no byte can leave after a failure was reported, and the count of
-//! bytes written is exact at that moment. That is what makes "not run" provable.
+//! A connection has no task of its own. The task that waits for a response also drives the connection. So dropping its
+//! future closes the socket immediately, no byte can be sent after a failure was reported, and the count of written
+//! bytes is exact at that time. This makes the run state `NotRun` provable.
 
-mod driven;
 mod failure;
+mod http1;
 mod idle;
 mod socket;
 
-pub(crate) use driven::{Answer, Connection, dial};
 pub(crate) use failure::Failure;
+pub(crate) use http1::{Connection, ResponseBody, dial};
 pub(crate) use idle::{IdleConnections, Traffic};
--- a/crates/tc-upstream/src/connection/socket.rs
+++ b/crates/tc-upstream/src/connection/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts what was written and can look for a close without waiting for the event loop.
+//! A TCP stream that counts the written bytes and can detect a close without waiting for the event loop.
 
 use std::{
     io::{self, IoSlice},
@@ -17,29 +17,29 @@
     net::TcpStream,
 };
 
-/// What the owner of a connection knows of its socket, which the HTTP library holds.
+/// State of a socket that its connection can access while the HTTP library owns the socket.
 #[derive(Debug, Default)]
 pub(crate) struct SocketState {
     written: AtomicU64,
-    look_first: AtomicBool,
+    peek_first: AtomicBool,
 }
 
 impl SocketState {
-    /// Bytes the kernel has taken so far.
+    /// Returns the number of bytes that the kernel has accepted so far.
     pub(crate) fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
-    /// Makes the next read ask the kernel even if the event loop has reported nothing yet.
+    /// Makes the next read query the kernel, even if the event loop has not reported an event yet.
     ///
-    /// An upstream that closed the idle connection a moment ago would else be noticed only after the call was
-    /// written, seen as an `unknown` run state for a call that could have used a new connection.
-    pub(crate) fn look_before_next_read(&self) {
-        self.look_first.store(true, Ordering::Relaxed);
+    /// Otherwise, if the upstream has just closed the idle connection, this is detected only after the call was
+    /// written, and a call that could have used a new connection fails with the run state `unknown`.
+    pub(crate) fn peek_before_next_read(&self) {
+        self.peek_first.store(true, Ordering::Relaxed);
     }
 }
 
-/// The socket as handed to the HTTP library.
+/// The socket that is passed to the HTTP library.
 #[derive(Debug)]
 pub(crate) struct Socket {
     stream: TcpStream,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// `Ok(true)` when the peer has closed; an error when it has sent bytes nobody asked for.
-    fn look(&self) -> io::Result<bool> {
+    /// Returns `Ok(true)` if the peer has closed the connection, and an error if it has sent unsolicited bytes.
+    fn peek_close(&self) -> io::Result<bool> {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&self.stream).peek(&mut byte) {
             Ok(0) => Ok(true),
@@ -75,7 +75,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.state.look_first.swap(false, Ordering::Relaxed) && self.look()? {
+        if self.state.peek_first.swap(false, Ordering::Relaxed) && self.peek_close()? {
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
--- a/crates/tc-upstream/src/control.rs
+++ b/crates/tc-upstream/src/control.rs
@@ -11,82 +11,82 @@
 };
 
 use crate::{
+    call_context::CallContext,
     check::outcome_of,
     client::Shared,
     connection::Traffic,
     error::{CallError, CallErrorKind, OrderError},
-    exchange::{Exchanged, Reuse, build_request, exchange},
-    site::CallSite,
+    exchange::{ReceivedResponse, Reuse, build_request, exchange},
 };
 
 const LOAD_PATH: &str = "/load";
 const ORDERS_PATH: &str = "/orders";
-/// A load report older than this is of little use, and its reader polls again anyway.
+/// Timeout of a load report. An older report is of little use, and the reader polls again anyway.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
-/// An order is acknowledged when it is taken, not when the model is loaded.
+/// Timeout of an order. The upstream acknowledges an order when it accepts it, not when the model is loaded.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads an upstream's load report.
+/// Fetches an upstream's load report.
 pub(crate) async fn load_report(
     shared: &Shared,
     address: SocketAddr,
 ) -> Result<LoadReport, CallError> {
-    let site = CallSite::new(address.to_string().into(), address, LOAD_TIMEOUT);
+    let context = CallContext::new(address.to_string().into(), address, LOAD_TIMEOUT);
     let path = PathAndQuery::from_static(LOAD_PATH);
-    let request = build_request(&site, Method::GET, path, HeaderMap::new(), Bytes::new())?;
-    let mut exchanged = exchange(shared, &site, Reuse::Kept(Traffic::Load), request).await?;
+    let request = build_request(&context, Method::GET, path, HeaderMap::new(), Bytes::new())?;
+    let mut received = exchange(shared, &context, Reuse::Idle(Traffic::Load), request).await?;
     let idle = std::sync::Arc::clone(&shared.idle);
-    exchanged.answer.return_to(idle, address, Traffic::Load);
-    expect_success(&site, &exchanged.head)?;
-    let body = whole_body(&site, &mut exchanged).await?;
-    decode(&site, &body)
+    received.body.reuse_in(idle, address, Traffic::Load);
+    expect_success(&context, &received.head)?;
+    let body = read_body(&context, &mut received).await?;
+    decode(&context, &body)
 }
 
-/// Sends an order on a connection of its own.
+/// Sends an order on a new connection.
 ///
-/// On a kept connection a doubled acknowledgement of the order before would be read as this one's, noticed as an
-/// upstream that never reaches the planned state although its home was told it would.
+/// On a reused connection, a duplicated acknowledgement of the previous order would be read as the acknowledgement of
+/// this one. The upstream would then never reach the planned state, although its home considers the order accepted.
 pub(crate) async fn send_order(
     shared: &Shared,
     address: SocketAddr,
     order: &Order,
 ) -> Result<(), OrderError> {
-    let site = CallSite::new(address.to_string().into(), address, ORDER_TIMEOUT);
-    let body = serde_json::to_vec(order).map_err(|e| site.unsendable(e.to_string()))?;
+    let context = CallContext::new(address.to_string().into(), address, ORDER_TIMEOUT);
+    let body = serde_json::to_vec(order).map_err(|e| context.unsendable(e.to_string()))?;
     let mut headers = HeaderMap::new();
     headers.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
     );
     let path = PathAndQuery::from_static(ORDERS_PATH);
-    let request = build_request(&site, Method::POST, path, headers, body.into())?;
-    let mut exchanged = exchange(shared, &site, Reuse::Never, request).await?;
-    if exchanged.head.status == StatusCode::CONFLICT {
-        let body = whole_body(&site, &mut exchanged).await?;
-        let refused: OrderRefused = decode(&site, &body)?;
+    let request = build_request(&context, Method::POST, path, headers, body.into())?;
+    let mut received = exchange(shared, &context, Reuse::Never, request).await?;
+    if received.head.status == StatusCode::CONFLICT {
+        let body = read_body(&context, &mut received).await?;
+        let refused: OrderRefused = decode(&context, &body)?;
         return Err(OrderError::Refused {
             highest_fence: refused.highest_fence,
         });
     }
-    expect_success(&site, &exchanged.head)?;
+    expect_success(&context, &received.head)?;
     Ok(())
 }
 
-fn expect_success(site: &CallSite, head: &response::Parts) -> Result<(), CallError> {
+fn expect_success(context: &CallContext, head: &response::Parts) -> Result<(), CallError> {
     if head.status.is_success() {
         return Ok(());
     }
     let status = head.status.as_u16();
     let detail = format!("answered {}", head.status);
     Err(match outcome_of(head.status) {
-        Outcome::Answered => site.malformed(RunState::Ran, detail),
-        Outcome::Rejected => site.error(
+        Outcome::Answered => context.malformed(RunState::Ran, detail),
+        Outcome::Rejected => context.error(
             CallErrorKind::Rejected(status),
             RunState::Ran,
             Outcome::Rejected,
             detail,
         ),
-        outcome => site.error(
+        outcome => context.error(
             CallErrorKind::Failed(status),
             RunState::Ran,
             outcome,
@@ -95,14 +95,17 @@
     })
 }
 
-async fn whole_body(site: &CallSite, exchanged: &mut Exchanged) -> Result<Bytes, CallError> {
-    exchanged
-        .answer
-        .collect(site.deadline)
+async fn read_body(
+    context: &CallContext,
+    received: &mut ReceivedResponse,
+) -> Result<Bytes, CallError> {
+    received
+        .body
+        .collect(context.deadline)
         .await
-        .map_err(|failure| site.failed(&failure, RunState::Ran))
+        .map_err(|failure| context.failed(&failure, RunState::Ran))
 }
 
-fn decode<T: DeserializeOwned>(site: &CallSite, body: &[u8]) -> Result<T, CallError> {
-    serde_json::from_slice(body).map_err(|e| site.malformed(RunState::Ran, e.to_string()))
+fn decode<T: DeserializeOwned>(context: &CallContext, body: &[u8]) -> Result<T, CallError> {
+    serde_json::from_slice(body).map_err(|e| context.malformed(RunState::Ran, e.to_string()))
 }
--- a/crates/tc-upstream/src/error.rs
+++ b/crates/tc-upstream/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a call, and what that proves.
+//! Errors of calls, and what they prove about whether the call ran.
 
 use std::fmt;
 
@@ -6,24 +6,24 @@
 use tc_protocol::{Outcome, RunState, UpstreamId};
 use thiserror::Error;
 
-/// How a call failed.
+/// Kind of a call error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallErrorKind {
-    /// No connection could be made, or it was gone before the first byte of the call was written.
+    /// The connect failed, or the connection closed before the first byte of the call was written.
     Connect,
-    /// The call's time was used up.
+    /// The call's deadline passed.
     TimedOut,
-    /// The connection broke after bytes of the call were sent.
+    /// The connection closed or failed after bytes of the call were sent, or the stream ended early.
     Broken,
-    /// The answer names another request, stage or attempt, or none.
+    /// The response names another request, stage or attempt, or none.
     WrongIdentity,
-    /// The answer is not what the protocol allows.
+    /// The response violates the protocol, or the call cannot be encoded as a request.
     Malformed,
-    /// The answer's header or body is larger than the settings allow.
+    /// The response header or body exceeds the configured limit.
     TooLarge,
-    /// The upstream answered that the call itself is wrong, with this status code.
+    /// The upstream rejected the call as invalid, with this status code.
     Rejected(u16),
-    /// The upstream answered that it failed or has no room, with this status code.
+    /// The upstream failed or has no free capacity, and responded with this status code.
     Failed(u16),
 }
 
@@ -60,32 +60,32 @@
 #[error("upstream {upstream}: {kind} ({run_state}): {detail}")]
 #[diagnostic(code(tc::upstream::call))]
 pub struct CallError {
-    /// How it failed.
+    /// Kind of the error.
     pub kind: CallErrorKind,
-    /// What is provable of whether it ran.
+    /// What is proven about whether the call ran.
     pub run_state: RunState,
-    /// What to settle the permit with.
+    /// Outcome to settle the permit with.
     pub outcome: Outcome,
-    /// The upstream called; its address where the identifier is not known.
+    /// The upstream that was called, or its address if the identifier is not known.
     pub upstream: UpstreamId,
-    /// What happened, in words.
+    /// Description of the failure.
     pub detail: String,
 }
 
 /// A failed order.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum OrderError {
-    /// The upstream has seen a higher fencing number: another holder of the lease came after us.
+    /// The upstream has seen a higher fencing token: another instance acquired the lease later.
     #[error("order refused: the upstream has seen fencing number {highest_fence}")]
     #[diagnostic(
         code(tc::upstream::order_refused),
         help("read the lease object again; another instance holds it now")
     )]
     Refused {
-        /// Highest fencing number the upstream has seen.
+        /// Highest fencing token that the upstream has seen.
         highest_fence: u64,
     },
-    /// The call failed; the order may have taken effect unless the run state says otherwise.
+    /// The call failed. The order may have taken effect unless the run state is `NotRun`.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Call(#[from] CallError),
--- a/crates/tc-upstream/src/exchange.rs
+++ b/crates/tc-upstream/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange: a connection, a request sent, an answer's header received.
+//! A single exchange: gets a connection, sends a request and receives the response header.
 
 use std::io;
 
@@ -8,45 +8,46 @@
 use tc_protocol::{Outcome, RunState};
 
 use crate::{
+    call_context::CallContext,
     client::Shared,
-    connection::{Answer, Connection, Failure, Traffic, dial},
+    connection::{Connection, Failure, ResponseBody, Traffic, dial},
     error::{CallError, CallErrorKind},
-    site::CallSite,
 };
 
-/// Idle connections tried before a new one is made, so that a restarted upstream's dead ones cost little time.
-const IDLE_TRIES: usize = 4;
-/// Error numbers of "too many open files", in this process and on this machine.
-const NO_FILES: [i32; 2] = [24, 23];
+/// Number of idle connections to try before opening a new one. Limits the time lost on the dead connections of a
+/// restarted upstream.
+const MAX_IDLE_ATTEMPTS: usize = 4;
+/// Error numbers for "too many open files": EMFILE (in this process) and ENFILE (on this machine).
+const FILE_LIMIT_ERRNOS: [i32; 2] = [24, 23];
 
-/// Whether an exchange may use a kept connection, and for what.
+/// Whether an exchange may use an idle connection, and of which traffic type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reuse {
-    /// A connection kept for this traffic.
-    Kept(Traffic),
-    /// Only a new one.
+    /// May use an idle connection of this traffic type.
+    Idle(Traffic),
+    /// Always opens a new connection.
     Never,
 }
 
-/// An answer's header, with its body still on the connection.
+/// A response header, and the body that has yet to be read from the connection.
 #[derive(Debug)]
-pub(crate) struct Exchanged {
+pub(crate) struct ReceivedResponse {
     pub(crate) head: response::Parts,
-    pub(crate) answer: Answer,
-    /// Whether the connection had carried another exchange before.
+    pub(crate) body: ResponseBody,
+    /// Whether the connection carried another exchange before this one.
     pub(crate) reused: bool,
 }
 
-/// Builds a request with the headers every call carries.
+/// Builds a request with the `Host` header set.
 pub(crate) fn build_request(
-    site: &CallSite,
+    context: &CallContext,
     method: Method,
     path: PathAndQuery,
     mut headers: HeaderMap,
     body: Bytes,
 ) -> Result<Request<Full<Bytes>>, CallError> {
-    let host = HeaderValue::from_str(&site.address.to_string())
-        .map_err(|e| site.unsendable(e.to_string()))?;
+    let host = HeaderValue::from_str(&context.address.to_string())
+        .map_err(|e| context.unsendable(e.to_string()))?;
     headers.insert(header::HOST, host);
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
@@ -55,84 +56,88 @@
     Ok(request)
 }
 
-/// Sends a request and waits for the answer's header.
+/// Sends a request and waits for the response header.
 pub(crate) async fn exchange(
     shared: &Shared,
-    site: &CallSite,
+    context: &CallContext,
     reuse: Reuse,
     mut request: Request<Full<Bytes>>,
-) -> Result<Exchanged, CallError> {
-    let mut idle_tries = 0;
+) -> Result<ReceivedResponse, CallError> {
+    let mut idle_attempts = 0;
     loop {
-        if site.time_left().is_zero() {
-            return Err(site.failed(&Failure::TimedOut, RunState::NotRun));
+        if context.time_left().is_zero() {
+            return Err(context.failed(&Failure::TimedOut, RunState::NotRun));
         }
-        let may_reuse = idle_tries < IDLE_TRIES;
-        idle_tries += 1;
-        let mut connection = connect(shared, site, reuse, may_reuse).await?;
-        let failed = match connection.send(request, site.deadline).await {
-            Ok(response) => return Ok(received(shared, connection, response)),
-            Err(failed) => failed,
+        let allow_idle = idle_attempts < MAX_IDLE_ATTEMPTS;
+        idle_attempts += 1;
+        let mut connection = connect(shared, context, reuse, allow_idle).await?;
+        let send_failure = match connection.send(request, context.deadline).await {
+            Ok(response) => return Ok(into_received(shared, connection, response)),
+            Err(send_failure) => send_failure,
         };
-        // An idle connection may turn out to be closed just as the request is handed to it. Only when the
-        // connection gives the request back and no byte has left can it be sent again: anything else would run a
-        // call twice, noticed as two runs of one attempt at the upstream.
-        match failed.unsent {
+        // The upstream may close an idle connection just as the request is sent on it. The request is sent again only
+        // if the connection returned it and no byte was written. Otherwise the upstream could run one attempt twice.
+        match send_failure.unsent {
             Some(unsent) if connection.is_reused() && !connection.has_written() => request = unsent,
-            _ => return Err(send_error(site, &connection, &failed.failure)),
+            _ => return Err(send_error(context, &connection, &send_failure.failure)),
         }
     }
 }
 
-fn received(
+fn into_received(
     shared: &Shared,
     connection: Connection,
     response: http::Response<hyper::body::Incoming>,
-) -> Exchanged {
+) -> ReceivedResponse {
     let (head, body) = response.into_parts();
     let reused = connection.is_reused();
-    Exchanged {
+    ReceivedResponse {
         head,
-        answer: Answer::new(connection, body, shared.settings.max_response_bytes),
+        body: ResponseBody::new(connection, body, shared.settings.max_response_bytes),
         reused,
     }
 }
 
 async fn connect(
     shared: &Shared,
-    site: &CallSite,
+    context: &CallContext,
     reuse: Reuse,
-    may_reuse: bool,
+    allow_idle: bool,
 ) -> Result<Connection, CallError> {
-    if let Reuse::Kept(traffic) = reuse
-        && may_reuse
-        && let Some(mut kept) = shared.idle.take(site.address, traffic)
-        && kept.is_usable().await
+    if let Reuse::Idle(traffic) = reuse
+        && allow_idle
+        && let Some(mut connection) = shared.idle.take(context.address, traffic)
+        && connection.is_usable().await
     {
-        return Ok(kept);
+        return Ok(connection);
     }
     metrics::counter!("tc_upstream_connects_total").increment(1);
-    let limit = shared.settings.connect_timeout.min(site.time_left());
-    dial(site.address, &shared.settings, limit)
+    let limit = shared.settings.connect_timeout.min(context.time_left());
+    dial(context.address, &shared.settings, limit)
         .await
-        .map_err(|e| connect_error(site, &e))
+        .map_err(|e| connect_error(context, &e))
 }
 
-/// No byte was sent, so the call did not run, whatever the cause.
-fn connect_error(site: &CallSite, error: &io::Error) -> CallError {
-    if site.time_left().is_zero() {
-        return site.failed(&Failure::TimedOut, RunState::NotRun);
+/// Returns the error for a failed connect. No byte was sent, so the call did not run, whatever the cause.
+fn connect_error(context: &CallContext, error: &io::Error) -> CallError {
+    if context.time_left().is_zero() {
+        return context.failed(&Failure::TimedOut, RunState::NotRun);
     }
     let outcome = match error.kind() {
         io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset => Outcome::Died,
         io::ErrorKind::TimedOut => Outcome::TimedOut,
-        // Our own shortage must not be held against the upstream, or one instance short of files would have all
-        // its upstreams ejected.
+        // A resource shortage in this instance must not count as a failure of the upstream. Otherwise an instance
+        // that runs out of file descriptors would have all its upstreams ejected.
         io::ErrorKind::AddrNotAvailable => Outcome::Unused,
-        _ if error.raw_os_error().is_some_and(|n| NO_FILES.contains(&n)) => Outcome::Unused,
+        _ if error
+            .raw_os_error()
+            .is_some_and(|n| FILE_LIMIT_ERRNOS.contains(&n)) =>
+        {
+            Outcome::Unused
+        }
         _ => Outcome::Failed,
     };
-    site.error(
+    context.error(
         CallErrorKind::Connect,
         RunState::NotRun,
         outcome,
@@ -140,15 +145,15 @@
     )
 }
 
-/// Nothing written proves that the call did not run; anything else proves nothing.
-fn send_error(site: &CallSite, connection: &Connection, failure: &Failure) -> CallError {
+/// Returns the error for a failed send. The call provably did not run only if no byte was written.
+fn send_error(context: &CallContext, connection: &Connection, failure: &Failure) -> CallError {
     if connection.has_written() {
-        return site.failed(failure, RunState::Unknown);
+        return context.failed(failure, RunState::Unknown);
     }
     let (kind, outcome) = failure.classify();
     let kind = match kind {
         CallErrorKind::Broken => CallErrorKind::Connect,
         other => other,
     };
-    site.error(kind, RunState::NotRun, outcome, failure.to_string())
+    context.error(kind, RunState::NotRun, outcome, failure.to_string())
 }
--- a/crates/tc-upstream/src/hop_by_hop.rs
+++ b/crates/tc-upstream/src/hop_by_hop.rs
@@ -1,8 +1,8 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers, which apply to a single connection.
 
 use http::{HeaderMap, HeaderName, header};
 
-/// Those that always do (RFC 9110, section 7.6.1), and two that older software sends.
+/// Headers that are always hop-by-hop (RFC 9110, section 7.6.1), and two that older software sends.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -15,7 +15,7 @@
     header::UPGRADE,
 ];
 
-/// Removes the headers that must not be passed on, those that the `Connection` header names included.
+/// Removes the headers that must not be forwarded, including those that the `Connection` header lists.
 ///
 /// ```
 /// use http::{HeaderMap, HeaderValue};
--- a/crates/tc-upstream/src/identity.rs
+++ b/crates/tc-upstream/src/identity.rs
@@ -1,4 +1,5 @@
-//! The identity of a call: sent with it, echoed by the answer, compared before anything is delivered.
+//! The identity of a call. It is sent with the request, echoed in the response, and compared before any part of the
+//! response is delivered.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use tc_protocol::{
@@ -10,23 +11,23 @@
 const X_STAGE: HeaderName = HeaderName::from_static(STAGE);
 const X_ATTEMPT: HeaderName = HeaderName::from_static(ATTEMPT);
 
-/// Request, stage and attempt as header values.
+/// Request identifier, stage and attempt as header values.
 #[derive(Clone, Debug)]
 pub(crate) struct Identity([(HeaderName, HeaderValue); 3]);
 
-/// Whose answer it is, by its headers.
+/// Result of comparing a response's identity headers with those of the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Echo {
-    /// It names this call.
-    Ours,
-    /// It names another call.
+    /// The response names this call.
+    Match,
+    /// The response names another call.
     Other,
-    /// It does not fully name a call.
+    /// At least one identity header is missing, and the others match.
     Absent,
 }
 
 impl Identity {
-    /// `None` when a name has characters that no header can carry.
+    /// Returns `None` if a name contains characters that are invalid in a header value.
     pub(crate) fn new(request: &RequestId, stage: &StageName, attempt: Attempt) -> Option<Self> {
         Some(Self([
             (X_REQUEST_ID, HeaderValue::from_str(request.as_str()).ok()?),
@@ -50,17 +51,18 @@
         }
     }
 
-    /// Whether an answer's headers name request, stage and attempt of a call, be it this one or another.
-    pub(crate) fn is_whole(answered: &HeaderMap) -> bool {
+    /// Returns whether a response has all three identity headers, whichever call they name.
+    pub(crate) fn is_complete(headers: &HeaderMap) -> bool {
         [X_REQUEST_ID, X_STAGE, X_ATTEMPT]
             .iter()
-            .all(|name| answered.contains_key(name))
+            .all(|name| headers.contains_key(name))
     }
 
-    pub(crate) fn compare(&self, answered: &HeaderMap) -> Echo {
-        let mut echo = Echo::Ours;
+    /// Compares a response's identity headers with this identity.
+    pub(crate) fn compare(&self, headers: &HeaderMap) -> Echo {
+        let mut echo = Echo::Match;
         for (name, sent) in &self.0 {
-            match answered.get(name) {
+            match headers.get(name) {
                 Some(value) if value == sent => {}
                 Some(_) => return Echo::Other,
                 None => echo = Echo::Absent,
--- a/crates/tc-upstream/src/lib.rs
+++ b/crates/tc-upstream/src/lib.rs
@@ -1,6 +1,7 @@
-//! Calls to engines, pools and plain services.
+//! HTTP client for calls to engines, pools and plain services.
 
 mod call;
+mod call_context;
 mod check;
 mod client;
 mod connection;
@@ -13,7 +14,6 @@
 mod meter;
 mod plain;
 mod raw;
-mod site;
 mod stage;
 mod stream;
 
--- a/crates/tc-upstream/src/meter.rs
+++ b/crates/tc-upstream/src/meter.rs
@@ -1,9 +1,9 @@
-//! Counts how calls end.
+//! Metrics of calls to upstreams.
 
 use tc_protocol::Outcome;
 use tokio::time::Instant;
 
-/// Counts one call when it ends, and as cancelled when it is dropped before.
+/// Records the outcome and the duration of a call when it ends. If dropped before that, records it as cancelled.
 #[derive(Debug)]
 pub(crate) struct CallMeter {
     kind: &'static str,
--- a/crates/tc-upstream/src/plain.rs
+++ b/crates/tc-upstream/src/plain.rs
@@ -17,96 +17,95 @@
 
 use crate::{
     call::{PlainCall, PlainResponse},
+    call_context::CallContext,
     check::outcome_of,
     client::Shared,
-    connection::{Answer, Failure, Traffic},
+    connection::{Failure, ResponseBody, Traffic},
     error::{CallError, CallErrorKind},
-    exchange::{Exchanged, Reuse, build_request, exchange},
-    headers::{CallHeaders, strip_reply, strip_request},
+    exchange::{ReceivedResponse, Reuse, build_request, exchange},
+    headers::{CallHeaders, strip_request, strip_response},
     identity::{Echo, Identity},
     meter::CallMeter,
-    site::CallSite,
 };
 
-/// Answers of known length up to this are read whole before they are passed on.
-const READ_AHEAD_BYTES: u64 = 64 << 10;
+/// Responses of known length up to this size are read completely before they are forwarded.
+const MAX_READ_AHEAD_BYTES: u64 = 64 << 10;
 
-/// Makes a call and waits for the answer's header, and for the whole of a short answer.
+/// Makes a call and waits for the response header, or for the complete response if it is short.
 pub(crate) async fn forward(
     shared: &Shared,
     call: PlainCall,
     mut meter: CallMeter,
 ) -> Result<PlainResponse, CallError> {
-    let site = CallSite::new(call.upstream.clone(), call.address, call.remaining);
-    let replied = exchange_plain(shared, &site, call).await;
-    let exchanged = replied.inspect_err(|e| meter.end(e.outcome))?;
-    let Exchanged {
-        mut head, answer, ..
-    } = exchanged;
-    strip_reply(&mut head.headers);
+    let context = CallContext::new(call.upstream.clone(), call.address, call.remaining);
+    let result = exchange_plain(shared, &context, call).await;
+    let received = result.inspect_err(|e| meter.end(e.outcome))?;
+    let ReceivedResponse { mut head, body, .. } = received;
+    strip_response(&mut head.headers);
     let outcome = outcome_of(head.status);
-    let mut reply = PlainResponse {
+    let mut response = PlainResponse {
         status: head.status,
         headers: head.headers,
         outcome,
-        first_byte: site.started.elapsed(),
+        first_byte: context.started.elapsed(),
         body: PlainBody {
-            time_up: Box::pin(tokio::time::sleep_until(site.deadline)),
-            answer,
-            site,
+            deadline_timer: Box::pin(tokio::time::sleep_until(context.deadline)),
+            body,
+            context,
             meter,
             outcome,
-            ahead: VecDeque::new(),
+            read_ahead_chunks: VecDeque::new(),
             ended: false,
         },
     };
-    reply.body.read_ahead().await?;
-    Ok(reply)
+    response.body.read_ahead().await?;
+    Ok(response)
 }
 
 async fn exchange_plain(
     shared: &Shared,
-    site: &CallSite,
+    context: &CallContext,
     call: PlainCall,
-) -> Result<Exchanged, CallError> {
+) -> Result<ReceivedResponse, CallError> {
     let identity = Identity::new(&call.request, &call.stage, call.attempt)
-        .ok_or_else(|| site.unsendable("request or stage name cannot be put in a header"))?;
-    let request = plain_request(site, &identity, call)?;
-    let mut exchanged = exchange(shared, site, Reuse::Kept(Traffic::Calls), request).await?;
-    let echo = identity.compare(&exchanged.head.headers);
-    // Plain services need not echo the identity, and without it an answer delivered twice on a kept connection
-    // would be taken for the next call's, noticed as one workspace's answer in another's hands. So a connection is
-    // kept only after an answer that echoed, and on a kept connection the echo is required.
-    // A service may well put request identifiers of its own into its answers; one that names all of another call is
-    // that call's answer.
-    let foreign = echo == Echo::Other && Identity::is_whole(&exchanged.head.headers);
-    if foreign || (echo != Echo::Ours && exchanged.reused) {
-        return Err(site.error(
+        .ok_or_else(|| context.unsendable("request or stage name cannot be put in a header"))?;
+    let request = plain_request(context, &identity, call)?;
+    let mut received = exchange(shared, context, Reuse::Idle(Traffic::Calls), request).await?;
+    let echo = identity.compare(&received.head.headers);
+    // Plain services are not required to echo the identity. Without an echo, a response that is sent twice on a reused
+    // connection would be taken for the response to the next call, and one workspace would receive the response of
+    // another. So a connection is kept only after a response with an echo, and on a reused connection the echo is
+    // required.
+    // A service may set request identifiers of its own. Only a response with all three identity headers is treated as
+    // the response to another call.
+    let wrong_identity = echo == Echo::Other && Identity::is_complete(&received.head.headers);
+    if wrong_identity || (echo != Echo::Match && received.reused) {
+        return Err(context.error(
             CallErrorKind::WrongIdentity,
             RunState::Unknown,
             Outcome::Failed,
             format!("the answer's identity is {echo:?}"),
         ));
     }
-    if exchanged.head.status == StatusCode::SWITCHING_PROTOCOLS {
-        return Err(site.malformed(RunState::Unknown, "the upstream switched protocols"));
+    if received.head.status == StatusCode::SWITCHING_PROTOCOLS {
+        return Err(context.malformed(RunState::Unknown, "the upstream switched protocols"));
     }
-    if echo == Echo::Ours {
+    if echo == Echo::Match {
         let idle = Arc::clone(&shared.idle);
-        exchanged
-            .answer
-            .return_to(idle, site.address, Traffic::Calls);
+        received
+            .body
+            .reuse_in(idle, context.address, Traffic::Calls);
     }
-    Ok(exchanged)
+    Ok(received)
 }
 
 fn plain_request(
-    site: &CallSite,
+    context: &CallContext,
     identity: &Identity,
     call: PlainCall,
 ) -> Result<Request<Full<Bytes>>, CallError> {
     if call.method == Method::CONNECT {
-        return Err(site.unsendable("CONNECT cannot be passed on"));
+        return Err(context.unsendable("CONNECT cannot be passed on"));
     }
     let mut headers = call.headers;
     strip_request(&mut headers);
@@ -116,47 +115,47 @@
         idempotency_key: call.idempotency_key.as_deref(),
         traceparent: call.traceparent.as_deref(),
     }
-    .add_to(&mut headers, site)?;
-    build_request(site, call.method, call.path, headers, call.body)
+    .add_to(&mut headers, context)?;
+    build_request(context, call.method, call.path, headers, call.body)
 }
 
-/// Body of a plain service's answer; dropping it before its end closes the connection, which cancels the call.
+/// Body of a plain service's response. Dropping it before its end closes the connection, which cancels the call.
 #[derive(Debug)]
 pub struct PlainBody {
-    answer: Answer,
-    site: CallSite,
+    body: ResponseBody,
+    context: CallContext,
     meter: CallMeter,
     outcome: Outcome,
-    time_up: Pin<Box<Sleep>>,
-    /// Chunks read ahead and not yet taken.
-    ahead: VecDeque<Bytes>,
+    deadline_timer: Pin<Box<Sleep>>,
+    /// Chunks that were read ahead and not yet returned.
+    read_ahead_chunks: VecDeque<Bytes>,
     ended: bool,
 }
 
 impl PlainBody {
-    /// Reads a short answer to its end.
+    /// Reads a short response to its end.
     ///
-    /// Once its header is passed on, an answer that breaks off can only be told by breaking the caller's connection
-    /// too, seen as a request with neither answer nor failure. Before that, the call can be tried again elsewhere or
-    /// be failed in words.
+    /// Once the header is forwarded, a truncated response can only be signalled by closing the caller's connection, and
+    /// the caller gets neither a response nor an error. Before that, the call can be retried on another upstream or
+    /// fail with an error response.
     async fn read_ahead(&mut self) -> Result<(), CallError> {
-        let length = self.answer.size_hint().exact();
-        if length.is_none_or(|bytes| bytes > READ_AHEAD_BYTES) {
+        let length = self.body.size_hint().exact();
+        if length.is_none_or(|bytes| bytes > MAX_READ_AHEAD_BYTES) {
             return Ok(());
         }
-        let mut ahead = VecDeque::new();
+        let mut read_ahead_chunks = VecDeque::new();
         while let Some(frame) = self.frame().await {
             if let Ok(chunk) = frame?.into_data() {
-                ahead.push_back(chunk);
+                read_ahead_chunks.push_back(chunk);
             }
         }
-        self.ahead = ahead;
+        self.read_ahead_chunks = read_ahead_chunks;
         Ok(())
     }
 
     fn fail(&mut self, failure: &Failure) -> CallError {
         self.ended = true;
-        let error = self.site.failed(failure, RunState::Ran);
+        let error = self.context.failed(failure, RunState::Ran);
         self.meter.end(error.outcome);
         error
     }
@@ -175,13 +174,13 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, CallError>>> {
-        if let Some(chunk) = self.ahead.pop_front() {
+        if let Some(chunk) = self.read_ahead_chunks.pop_front() {
             return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         if self.ended {
             return Poll::Ready(None);
         }
-        if let Poll::Ready(next) = self.answer.poll_chunk(cx) {
+        if let Poll::Ready(next) = self.body.poll_chunk(cx) {
             return Poll::Ready(match next {
                 Some(Ok(chunk)) => Some(Ok(Frame::data(chunk))),
                 Some(Err(failure)) => Some(Err(self.fail(&failure))),
@@ -191,18 +190,23 @@
                 }
             });
         }
-        ready!(self.time_up.as_mut().poll(cx));
+        ready!(self.deadline_timer.as_mut().poll(cx));
         Poll::Ready(Some(Err(self.fail(&Failure::TimedOut))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.ahead.is_empty() && (self.ended || self.answer.is_at_end())
+        self.read_ahead_chunks.is_empty() && (self.ended || self.body.is_at_end())
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.ahead.is_empty() {
-            return self.answer.size_hint();
+        if self.read_ahead_chunks.is_empty() {
+            return self.body.size_hint();
         }
-        SizeHint::with_exact(self.ahead.iter().map(|chunk| chunk.len() as u64).sum())
+        SizeHint::with_exact(
+            self.read_ahead_chunks
+                .iter()
+                .map(|chunk| chunk.len() as u64)
+                .sum(),
+        )
     }
 }
--- a/crates/tc-upstream/src/raw.rs
+++ b/crates/tc-upstream/src/raw.rs
@@ -1,4 +1,4 @@
-//! Calls whose request and answer pass through unchanged: the caller of this module reads and writes the headers.
+//! Calls whose request and response are not modified. The caller of this module reads and writes the headers.
 
 use std::{future::poll_fn, net::SocketAddr, time::Duration};
 
@@ -9,80 +9,79 @@
 use tokio::time::timeout_at;
 
 use crate::{
+    call_context::CallContext,
     client::{Shared, UpstreamClient},
-    connection::{Answer, Failure, Traffic},
+    connection::{Failure, ResponseBody, Traffic},
     error::CallError,
-    exchange::{Exchanged, Reuse, exchange},
-    site::CallSite,
+    exchange::{ReceivedResponse, Reuse, exchange},
 };
 
-/// A request that is ready to be sent as it is.
+/// A request that is sent unchanged.
 #[derive(Debug)]
 pub struct RawCall {
-    /// Who is called, for errors.
+    /// Upstream to call, for error messages.
     pub upstream: UpstreamId,
-    /// Where it listens.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// The request; its target is a path with its query.
+    /// The request, with a path and query as its target.
     pub request: Request<Full<Bytes>>,
-    /// Longest time the call may take.
+    /// Timeout of the whole call, including the response body.
     pub remaining: Duration,
-    /// Whether a connection may be kept and used again.
+    /// Whether the call may use an idle connection and leave its connection for later calls.
     ///
-    /// A request that must not run twice wants a new connection: on a kept one that the upstream is closing, a broken
-    /// send proves nothing, and the request could neither be sent again nor be refused as not run.
+    /// A request that must not run twice needs a new connection. If the upstream is closing a reused connection, a
+    /// failed send proves nothing, so the request could neither be sent again nor be reported as not run.
     pub reuse: bool,
 }
 
-/// An answer's header, with its body still to come.
+/// A response header, with the body yet to be read.
 #[derive(Debug)]
 pub struct RawResponse {
-    /// Status and headers as sent.
+    /// Status and headers as received.
     pub head: response::Parts,
-    /// The body.
+    /// Response body.
     pub body: RawBody,
 }
 
-/// A body being read; dropping it before its end closes the connection, which cancels the call.
+/// A response body. Dropping it before its end closes the connection, which cancels the call.
 #[derive(Debug)]
 pub struct RawBody {
-    answer: Answer,
-    site: CallSite,
+    body: ResponseBody,
+    context: CallContext,
 }
 
 impl UpstreamClient {
-    /// Makes a call as it is given and returns once the answer's header is there.
+    /// Sends a request unchanged and returns once the response header has arrived.
     ///
-    /// An error's run state is `NotRun` only when no byte of the request has left this process.
+    /// The run state of an error is `NotRun` only if no byte of the request was written.
     pub async fn exchange_raw(&self, call: RawCall) -> Result<RawResponse, CallError> {
         exchange_raw(&self.shared, call).await
     }
 }
 
 async fn exchange_raw(shared: &Shared, call: RawCall) -> Result<RawResponse, CallError> {
-    let site = CallSite::new(call.upstream, call.address, call.remaining);
+    let context = CallContext::new(call.upstream, call.address, call.remaining);
     let reuse = if call.reuse {
-        Reuse::Kept(Traffic::Raw)
+        Reuse::Idle(Traffic::Raw)
     } else {
         Reuse::Never
     };
-    let Exchanged {
-        head, mut answer, ..
-    } = exchange(shared, &site, reuse, call.request).await?;
+    let ReceivedResponse { head, mut body, .. } =
+        exchange(shared, &context, reuse, call.request).await?;
     if call.reuse {
-        answer.return_to(shared.idle.clone(), site.address, Traffic::Raw);
+        body.reuse_in(shared.idle.clone(), context.address, Traffic::Raw);
     }
     Ok(RawResponse {
         head,
-        body: RawBody { answer, site },
+        body: RawBody { body, context },
     })
 }
 
 impl RawBody {
-    /// The next bytes; `None` at the body's end. Must not be called again after an error.
+    /// Returns the next bytes, or `None` at the end of the body. Must not be called again after an error.
     pub async fn chunk(&mut self) -> Option<Result<Bytes, CallError>> {
-        let deadline = self.site.deadline;
-        let next = poll_fn(|cx| self.answer.poll_chunk(cx));
+        let deadline = self.context.deadline;
+        let next = poll_fn(|cx| self.body.poll_chunk(cx));
         match timeout_at(deadline, next).await {
             Ok(Some(Ok(bytes))) => Some(Ok(bytes)),
             Ok(Some(Err(failure))) => Some(Err(self.failed(&failure))),
@@ -91,22 +90,22 @@
         }
     }
 
-    /// The whole body.
+    /// Reads the complete body.
     pub async fn collect(&mut self) -> Result<Bytes, CallError> {
-        let deadline = self.site.deadline;
-        self.answer
+        let deadline = self.context.deadline;
+        self.body
             .collect(deadline)
             .await
             .map_err(|failure| self.failed(&failure))
     }
 
-    /// Bytes of the body that are known to come, if the answer tells its length.
+    /// Returns the number of bytes that remain, if the response states its length.
     #[must_use]
     pub fn exact_length(&self) -> Option<u64> {
-        self.answer.size_hint().exact()
+        self.body.size_hint().exact()
     }
 
     fn failed(&self, failure: &Failure) -> CallError {
-        self.site.failed(failure, RunState::Unknown)
+        self.context.failed(failure, RunState::Unknown)
     }
 }
--- a/crates/tc-upstream/src/stage.rs
+++ b/crates/tc-upstream/src/stage.rs
@@ -1,4 +1,4 @@
-//! Whole answers of engines and pools.
+//! Calls to engines and pools that return a complete response.
 
 use std::time::Duration;
 
@@ -14,51 +14,52 @@
 
 use crate::{
     call::{StageCall, StageResponse},
+    call_context::CallContext,
     check::check_head,
     client::Shared,
     connection::Traffic,
     error::{CallError, CallErrorKind},
-    exchange::{Exchanged, Reuse, build_request, exchange},
+    exchange::{ReceivedResponse, Reuse, build_request, exchange},
     headers::CallHeaders,
     identity::Identity,
-    site::CallSite,
 };
 
 const COMPLETIONS_PATH: &str = "/v1/completions";
 const RUN_PATH: &str = "/run";
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
-/// Reading an error answer's body to its end keeps the connection; more than this is not worth it.
-const LARGEST_ERROR_BODY: usize = 64 << 10;
+/// Maximum size of an error response body that is read to the end so that the connection can be reused. Reading a
+/// larger body is not worth it.
+const MAX_DRAINED_BYTES: usize = 64 << 10;
 
-/// How an engine is asked to answer.
+/// Whether an engine sends its response as one body or as a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerForm {
-    Whole,
-    /// Server-sent events after this one.
+pub(crate) enum ResponseMode {
+    Complete,
+    /// Server-sent events, starting after event `resume_after`.
     Stream {
         resume_after: u64,
     },
 }
 
-/// Makes a call and waits for its whole answer.
+/// Makes a call and waits for the complete response.
 pub(crate) async fn run_stage(
     shared: &Shared,
     call: StageCall,
 ) -> Result<StageResponse, CallError> {
-    let site = CallSite::new(call.upstream.clone(), call.address, call.remaining);
-    let identity = identity_of(&site, &call)?;
-    let request = stage_request(&site, &identity, &call, AnswerForm::Whole)?;
-    let mut exchanged = exchange_checked(shared, &site, &call, &identity, request).await?;
-    let first_byte = site.started.elapsed();
-    let body = exchanged
-        .answer
-        .collect(site.deadline)
+    let context = CallContext::new(call.upstream.clone(), call.address, call.remaining);
+    let identity = identity_of(&context, &call)?;
+    let request = stage_request(&context, &identity, &call, ResponseMode::Complete)?;
+    let mut received = exchange_checked(shared, &context, &call, &identity, request).await?;
+    let first_byte = context.started.elapsed();
+    let body = received
+        .body
+        .collect(context.deadline)
         .await
-        .map_err(|failure| site.failed(&failure, RunState::Ran))?;
-    let took = site.started.elapsed();
+        .map_err(|failure| context.failed(&failure, RunState::Ran))?;
+    let took = context.started.elapsed();
     let (output, cost) = match call.kind {
-        ServiceKind::Engine => completion(&site, &call, &body, took)?,
-        ServiceKind::Pool | ServiceKind::Plain => pool_result(&site, &call, &body)?,
+        ServiceKind::Engine => decode_completion(&context, &call, &body, took)?,
+        ServiceKind::Pool | ServiceKind::Plain => decode_pool_response(&context, &call, &body)?,
     };
     Ok(StageResponse {
         output,
@@ -68,51 +69,51 @@
     })
 }
 
-pub(crate) fn identity_of(site: &CallSite, call: &StageCall) -> Result<Identity, CallError> {
+pub(crate) fn identity_of(context: &CallContext, call: &StageCall) -> Result<Identity, CallError> {
     Identity::new(&call.request, &call.stage, call.attempt)
-        .ok_or_else(|| site.unsendable("request or stage name cannot be put in a header"))
+        .ok_or_else(|| context.unsendable("request or stage name cannot be put in a header"))
 }
 
-/// Sends the request and passes only a successful answer to it.
+/// Sends the request and returns the response only if it is successful and names this call.
 pub(crate) async fn exchange_checked(
     shared: &Shared,
-    site: &CallSite,
+    context: &CallContext,
     call: &StageCall,
     identity: &Identity,
     request: Request<Full<Bytes>>,
-) -> Result<Exchanged, CallError> {
-    let mut exchanged = exchange(shared, site, Reuse::Kept(Traffic::Calls), request).await?;
-    let checked = check_head(site, call.kind, identity, &exchanged.head);
-    let foreign = matches!(&checked, Err(e) if e.kind == CallErrorKind::WrongIdentity);
-    if !foreign && identity.compare(&exchanged.head.headers) == crate::identity::Echo::Ours {
+) -> Result<ReceivedResponse, CallError> {
+    let mut received = exchange(shared, context, Reuse::Idle(Traffic::Calls), request).await?;
+    let checked = check_head(context, call.kind, identity, &received.head);
+    let wrong_identity = matches!(&checked, Err(e) if e.kind == CallErrorKind::WrongIdentity);
+    if !wrong_identity && identity.compare(&received.head.headers) == crate::identity::Echo::Match {
         let idle = std::sync::Arc::clone(&shared.idle);
-        exchanged
-            .answer
-            .return_to(idle, site.address, Traffic::Calls);
+        received
+            .body
+            .reuse_in(idle, context.address, Traffic::Calls);
     }
     if let Err(error) = checked {
-        if !foreign {
-            drain(&mut exchanged, site.deadline).await;
+        if !wrong_identity {
+            drain_error_body(&mut received, context.deadline).await;
         }
         return Err(error);
     }
-    Ok(exchanged)
+    Ok(received)
 }
 
-/// Reads an error answer's body so that its connection can be kept; a failure only costs the connection.
-async fn drain(exchanged: &mut Exchanged, deadline: Instant) {
-    let size = exchanged.answer.size_hint().upper();
-    if size.is_some_and(|size| size <= LARGEST_ERROR_BODY as u64) {
-        let _ = exchanged.answer.collect(deadline).await;
+/// Reads the body of an error response so that its connection can be reused. If this fails, the connection is closed.
+async fn drain_error_body(received: &mut ReceivedResponse, deadline: Instant) {
+    let size = received.body.size_hint().upper();
+    if size.is_some_and(|size| size <= MAX_DRAINED_BYTES as u64) {
+        let _ = received.body.collect(deadline).await;
     }
 }
 
-/// Builds the request for a stage.
+/// Builds the request of a stage call.
 pub(crate) fn stage_request(
-    site: &CallSite,
+    context: &CallContext,
     identity: &Identity,
     call: &StageCall,
-    form: AnswerForm,
+    mode: ResponseMode,
 ) -> Result<Request<Full<Bytes>>, CallError> {
     let mut headers = HeaderMap::with_capacity(12);
     CallHeaders {
@@ -121,9 +122,9 @@
         idempotency_key: call.idempotency_key.as_deref(),
         traceparent: call.traceparent.as_deref(),
     }
-    .add_to(&mut headers, site)?;
+    .add_to(&mut headers, context)?;
     headers.insert(header::CONTENT_TYPE, JSON);
-    if let AnswerForm::Stream { resume_after } = form {
+    if let ResponseMode::Stream { resume_after } = mode {
         headers.insert(
             header::ACCEPT,
             HeaderValue::from_static("text/event-stream"),
@@ -133,12 +134,12 @@
         }
     }
     let (path, body) = match call.kind {
-        ServiceKind::Engine => (COMPLETIONS_PATH, engine_body(site, call, form)?),
-        ServiceKind::Pool => (RUN_PATH, pool_body(site, call)?),
-        ServiceKind::Plain => return Err(site.unsendable("a plain service runs no stage")),
+        ServiceKind::Engine => (COMPLETIONS_PATH, engine_body(context, call, mode)?),
+        ServiceKind::Pool => (RUN_PATH, pool_body(context, call)?),
+        ServiceKind::Plain => return Err(context.unsendable("a plain service runs no stage")),
     };
     build_request(
-        site,
+        context,
         Method::POST,
         PathAndQuery::from_static(path),
         headers,
@@ -146,25 +147,29 @@
     )
 }
 
-fn engine_body(site: &CallSite, call: &StageCall, form: AnswerForm) -> Result<Bytes, CallError> {
+fn engine_body(
+    context: &CallContext,
+    call: &StageCall,
+    mode: ResponseMode,
+) -> Result<Bytes, CallError> {
     let Some(model) = &call.model else {
-        return Err(site.unsendable("an engine call names no model"));
+        return Err(context.unsendable("an engine call names no model"));
     };
     encode(
-        site,
+        context,
         &CompletionRequest {
             model: model.clone(),
             prompt: call.input.as_ref().to_owned(),
             max_tokens: call.max_tokens,
-            stream: form != AnswerForm::Whole,
+            stream: mode != ResponseMode::Complete,
             priority: call.priority,
         },
     )
 }
 
-fn pool_body(site: &CallSite, call: &StageCall) -> Result<Bytes, CallError> {
+fn pool_body(context: &CallContext, call: &StageCall) -> Result<Bytes, CallError> {
     encode(
-        site,
+        context,
         &PoolRequest {
             request_id: call.request.clone(),
             stage: call.stage.clone(),
@@ -174,54 +179,54 @@
     )
 }
 
-fn encode(site: &CallSite, body: &impl Serialize) -> Result<Bytes, CallError> {
+fn encode(context: &CallContext, body: &impl Serialize) -> Result<Bytes, CallError> {
     serde_json::to_vec(body)
         .map(Bytes::from)
-        .map_err(|e| site.unsendable(e.to_string()))
+        .map_err(|e| context.unsendable(e.to_string()))
 }
 
-fn decode<T: DeserializeOwned>(site: &CallSite, body: &[u8]) -> Result<T, CallError> {
-    serde_json::from_slice(body).map_err(|e| site.malformed(RunState::Ran, e.to_string()))
+fn decode<T: DeserializeOwned>(context: &CallContext, body: &[u8]) -> Result<T, CallError> {
+    serde_json::from_slice(body).map_err(|e| context.malformed(RunState::Ran, e.to_string()))
 }
 
-fn completion(
-    site: &CallSite,
+fn decode_completion(
+    context: &CallContext,
     call: &StageCall,
     body: &[u8],
     took: Duration,
 ) -> Result<(String, Cost), CallError> {
-    let response: CompletionResponse = decode(site, body)?;
+    let response: CompletionResponse = decode(context, body)?;
     if response.id != call.request {
-        return Err(wrong_body(site));
+        return Err(body_identity_mismatch(context));
     }
     let cost = Cost {
         tokens_in: response.usage.prompt_tokens,
         tokens_out: response.usage.completion_tokens,
         busy_ms: took.as_secs_f64() * 1_000.0,
     };
-    let [choice] =
-        <[_; 1]>::try_from(response.choices).map_err(|choices| one_choice(site, choices.len()))?;
+    let [choice] = <[_; 1]>::try_from(response.choices)
+        .map_err(|choices| wrong_choice_count(context, choices.len()))?;
     Ok((choice.text, cost))
 }
 
-fn one_choice(site: &CallSite, found: usize) -> CallError {
-    site.malformed(
+fn wrong_choice_count(context: &CallContext, found: usize) -> CallError {
+    context.malformed(
         RunState::Ran,
         format!("one choice was asked for, {found} came"),
     )
 }
 
-fn pool_result(
-    site: &CallSite,
+fn decode_pool_response(
+    context: &CallContext,
     call: &StageCall,
     body: &[u8],
 ) -> Result<(String, Cost), CallError> {
-    let response: PoolResponse = decode(site, body)?;
-    let same = response.request_id == call.request
+    let response: PoolResponse = decode(context, body)?;
+    let matches = response.request_id == call.request
         && response.stage == call.stage
         && response.attempt == call.attempt;
-    if !same {
-        return Err(wrong_body(site));
+    if !matches {
+        return Err(body_identity_mismatch(context));
     }
     let cost = Cost {
         busy_ms: response.busy_ms.max(0.0),
@@ -230,10 +235,11 @@
     Ok((response.output, cost))
 }
 
-/// The headers name this call but the body another: nothing is known of our own run.
-fn wrong_body(site: &CallSite) -> CallError {
-    log::warn!(upstream = site.upstream.as_str(); "answer dropped: its body is for another call");
-    site.error(
+/// Returns the error for a response whose headers name this call but whose body names another. It is then unknown
+/// whether this call ran.
+fn body_identity_mismatch(context: &CallContext) -> CallError {
+    log::warn!(upstream = context.upstream.as_str(); "response dropped: its body names another call");
+    context.error(
         CallErrorKind::WrongIdentity,
         RunState::Unknown,
         Outcome::Failed,
--- a/crates/tc-upstream/src/stream.rs
+++ b/crates/tc-upstream/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed completions of an engine, checked event by event.
+//! Streamed completions of an engine. Each event is validated before it is delivered.
 
 use std::{
     pin::Pin,
@@ -17,40 +17,40 @@
 
 use crate::{
     call::StageCall,
+    call_context::CallContext,
     client::Shared,
-    connection::{Answer, Failure},
+    connection::{Failure, ResponseBody},
     error::{CallError, CallErrorKind},
     meter::CallMeter,
-    site::CallSite,
-    stage::{AnswerForm, exchange_checked, identity_of, stage_request},
+    stage::{ResponseMode, exchange_checked, identity_of, stage_request},
 };
 
-const EVENT_STREAM: &str = "text/event-stream";
-/// Type of events that name none.
-const MESSAGE: &str = "message";
+const EVENT_STREAM_TYPE: &str = "text/event-stream";
+/// Type of an event without an `event` field.
+const DEFAULT_EVENT_TYPE: &str = "message";
 
-/// One item of a stream.
+/// An item of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
     /// Generated text.
     Event {
-        /// Counts from 1 without a gap or a repeat.
+        /// Event number, counted from 1 without gaps or repeats.
         id: u64,
-        /// Text since the last event; may be empty.
+        /// Text since the previous event; may be empty.
         text: String,
     },
-    /// The stream is whole.
+    /// The stream is complete.
     Done {
-        /// Token counts; absent when the stream was resumed after the event that carries them.
+        /// Token counts; absent if the stream was resumed after the event that carries them.
         usage: Option<Usage>,
     },
 }
 
-/// A streamed completion; dropping it before [`StreamItem::Done`] closes the connection, which cancels the call.
+/// A streamed completion. Dropping it before [`StreamItem::Done`] closes the connection, which cancels the call.
 #[derive(Debug)]
 pub struct EngineStream {
-    events: EventStream<Chunks>,
-    site: CallSite,
+    events: EventStream<BodyChunks>,
+    context: CallContext,
     meter: CallMeter,
     request: RequestId,
     last_id: u64,
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamState {
     Running,
-    Whole,
+    Complete,
     Failed,
 }
 
@@ -72,16 +72,16 @@
     resume_after: u64,
     mut meter: CallMeter,
 ) -> Result<EngineStream, CallError> {
-    let mut site = CallSite::new(call.upstream.clone(), call.address, call.remaining);
+    let mut context = CallContext::new(call.upstream.clone(), call.address, call.remaining);
     if resume_after > 0 {
-        site.known = RunState::Ran;
+        context.known_run_state = RunState::Ran;
     }
-    let answer = open(shared, &site, &call, resume_after)
+    let body = open(shared, &context, &call, resume_after)
         .await
         .inspect_err(|e| meter.end(e.outcome))?;
     Ok(EngineStream {
-        events: EventStream::new(Chunks(answer)),
-        site,
+        events: EventStream::new(BodyChunks(body)),
+        context,
         meter,
         request: call.request,
         last_id: resume_after,
@@ -92,59 +92,64 @@
 
 async fn open(
     shared: &Shared,
-    site: &CallSite,
+    context: &CallContext,
     call: &StageCall,
     resume_after: u64,
-) -> Result<Answer, CallError> {
-    let identity = identity_of(site, call)?;
-    let request = stage_request(site, &identity, call, AnswerForm::Stream { resume_after })?;
-    let exchanged = exchange_checked(shared, site, call, &identity, request).await?;
-    let streams = exchanged
+) -> Result<ResponseBody, CallError> {
+    let identity = identity_of(context, call)?;
+    let request = stage_request(
+        context,
+        &identity,
+        call,
+        ResponseMode::Stream { resume_after },
+    )?;
+    let received = exchange_checked(shared, context, call, &identity, request).await?;
+    let is_event_stream = received
         .head
         .headers
         .get(header::CONTENT_TYPE)
         .and_then(|value| value.to_str().ok())
-        .is_some_and(|value| value.starts_with(EVENT_STREAM));
-    if !streams {
-        return Err(site.malformed(RunState::Ran, "the answer is not an event stream"));
+        .is_some_and(|value| value.starts_with(EVENT_STREAM_TYPE));
+    if !is_event_stream {
+        return Err(context.malformed(RunState::Ran, "the answer is not an event stream"));
     }
-    Ok(exchanged.answer)
+    Ok(received.body)
 }
 
 impl EngineStream {
-    /// The next item; `None` after `Done` or an error. Dropping the future loses nothing.
+    /// Returns the next item, or `None` after `Done` or an error. This method is cancel safe.
     pub async fn next(&mut self) -> Option<Result<StreamItem, CallError>> {
         if self.state != StreamState::Running {
             return None;
         }
-        let item = match timeout_at(self.site.deadline, self.events.next()).await {
+        let item = match timeout_at(self.context.deadline, self.events.next()).await {
             Err(_) => Err(self.failed(&Failure::TimedOut)),
-            Ok(None) => Err(self.cut_short()),
+            Ok(None) => Err(self.truncated()),
             Ok(Some(Err(EventStreamError::Transport(failure)))) => Err(self.failed(&failure)),
             Ok(Some(Err(e))) => Err(self.malformed(e.to_string())),
             Ok(Some(Ok(event))) => self.accept(&event),
         };
-        self.note(&item);
+        self.record(&item);
         Some(item)
     }
 
-    /// Identifier of the last event delivered; what to resume after.
+    /// Returns the number of the last delivered event, after which the stream can be resumed.
     #[must_use]
     pub fn last_event_id(&self) -> u64 {
         self.last_id
     }
 
     fn accept(&mut self, event: &Event) -> Result<StreamItem, CallError> {
-        if &*event.event != MESSAGE {
+        if &*event.event != DEFAULT_EVENT_TYPE {
             return Err(self.malformed(format!("event of unknown type {:?}", event.event)));
         }
         if &*event.data == STREAM_DONE {
-            return self.done();
+            return self.finish();
         }
-        let data: StreamEvent =
+        let stream_event: StreamEvent =
             serde_json::from_str(&event.data).map_err(|e| self.malformed(e.to_string()))?;
-        if data.id != self.request {
-            return Err(self.foreign());
+        if stream_event.id != self.request {
+            return Err(self.identity_mismatch());
         }
         let expected = self.last_id + 1;
         if event.id.parse() != Ok(expected) {
@@ -154,26 +159,26 @@
             return Err(self.malformed("an event came after the last one"));
         }
         self.last_id = expected;
-        self.usage = data.usage;
+        self.usage = stream_event.usage;
         Ok(StreamItem::Event {
             id: expected,
-            text: data.text,
+            text: stream_event.text,
         })
     }
 
-    /// A stream that was followed from its start must have told its token counts.
-    fn done(&mut self) -> Result<StreamItem, CallError> {
-        if self.usage.is_none() && self.site.known != RunState::Ran {
+    /// Handles the end marker. A stream that was read from its start must have delivered the token counts.
+    fn finish(&mut self) -> Result<StreamItem, CallError> {
+        if self.usage.is_none() && self.context.known_run_state != RunState::Ran {
             return Err(self.malformed("the stream ended without token counts"));
         }
         Ok(StreamItem::Done { usage: self.usage })
     }
 
-    fn note(&mut self, item: &Result<StreamItem, CallError>) {
+    fn record(&mut self, item: &Result<StreamItem, CallError>) {
         match item {
             Ok(StreamItem::Event { .. }) => {}
             Ok(StreamItem::Done { .. }) => {
-                self.state = StreamState::Whole;
+                self.state = StreamState::Complete;
                 self.meter.end(Outcome::Answered);
             }
             Err(e) => {
@@ -183,7 +188,7 @@
         }
     }
 
-    /// An engine may answer the header when it queues the call; only an event proves that it runs.
+    /// An engine may send the response header when it queues the call. Only an event proves that the call runs.
     fn run_state(&self) -> RunState {
         if self.last_id > 0 {
             RunState::Ran
@@ -193,16 +198,17 @@
     }
 
     fn failed(&self, failure: &Failure) -> CallError {
-        self.site.failed(failure, self.run_state())
+        self.context.failed(failure, self.run_state())
     }
 
     fn malformed(&self, detail: impl Into<String>) -> CallError {
-        self.site.malformed(self.run_state(), detail)
+        self.context.malformed(self.run_state(), detail)
     }
 
-    /// The engine ended the answer properly, so its process lives, but the text is not whole.
-    fn cut_short(&self) -> CallError {
-        self.site.error(
+    /// Returns the error for a response that ended properly before the stream was complete. The engine's process is
+    /// alive, so the outcome is not `Died`.
+    fn truncated(&self) -> CallError {
+        self.context.error(
             CallErrorKind::Broken,
             self.run_state(),
             Outcome::Failed,
@@ -210,9 +216,9 @@
         )
     }
 
-    fn foreign(&self) -> CallError {
-        log::warn!(upstream = self.site.upstream.as_str(); "event dropped: it is for another call");
-        self.site.error(
+    fn identity_mismatch(&self) -> CallError {
+        log::warn!(upstream = self.context.upstream.as_str(); "event dropped: it names another call");
+        self.context.error(
             CallErrorKind::WrongIdentity,
             self.run_state(),
             Outcome::Failed,
@@ -222,19 +228,19 @@
 }
 
 impl Drop for EngineStream {
-    /// Reads the end of a whole answer's body, which usually is there by now, so that its connection is kept.
+    /// Reads the end of a complete response, which has usually arrived by now, so that its connection is kept.
     fn drop(&mut self) {
-        if self.state == StreamState::Whole {
+        if self.state == StreamState::Complete {
             let _ = self.events.next().now_or_never();
         }
     }
 }
 
-/// The answer's body as the event parser wants it.
+/// Adapts a response body to the stream that the event parser reads.
 #[derive(Debug)]
-struct Chunks(Answer);
+struct BodyChunks(ResponseBody);
 
-impl Stream for Chunks {
+impl Stream for BodyChunks {
     type Item = Result<Bytes, Failure>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
