--- a/crates/tc-upstream/examples/call_overhead.rs
+++ b/crates/tc-upstream/examples/call_overhead.rs
@@ -29,10 +29,10 @@
 const WARM_UP: u64 = 500;
 const INPUT_BYTES: usize = 2_000;
 
-type Failure = Box<dyn Error + Send + Sync>;
+type BoxError = Box<dyn Error + Send + Sync>;
 
 #[tokio::main]
-async fn main() -> Result<(), Failure> {
+async fn main() -> Result<(), BoxError> {
     let calls = match env::args().nth(1) {
         Some(text) => text.parse()?,
         None => DEFAULT_CALLS,
@@ -47,7 +47,7 @@
     tokio::spawn(measure(pool.address(), calls)).await?
 }
 
-async fn measure(address: SocketAddr, calls: u64) -> Result<(), Failure> {
+async fn measure(address: SocketAddr, calls: u64) -> Result<(), BoxError> {
     let client = UpstreamClient::new(ClientSettings::default());
     let mut bare = connect(address).await?;
     let mut bare_times = Histogram::<u64>::new(3)?;
@@ -96,7 +96,7 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, Failure> {
+async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, BoxError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
@@ -108,7 +108,7 @@
 async fn bare_exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     call: &StageCall,
-) -> Result<Duration, Failure> {
+) -> Result<Duration, BoxError> {
     let body = serde_json::to_vec(&PoolRequest {
         request_id: call.request.clone(),
         stage: call.stage.clone(),
--- a/crates/tc-upstream/tests/common/mod.rs
+++ b/crates/tc-upstream/tests/common/mod.rs
@@ -1,8 +1,5 @@
-//! A scripted TCP server for byte-level faults, and calls to it.
-#![allow(
-    dead_code,
-    reason = "each test file uses a part of the helpers, and the others count as unused there"
-)]
+//! A scripted TCP server for byte-level faults, and helpers to call it.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -17,21 +14,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Time given to calls that must be answered.
-pub(crate) const AMPLE: Duration = Duration::from_secs(20);
-/// Time given to calls that must time out.
-pub(crate) const SHORT: Duration = Duration::from_millis(60);
-/// Largest body the test client takes.
-pub(crate) const LARGEST_BODY: usize = 64 << 10;
-/// What the fakes' callers send as input.
+/// Timeout of calls that are expected to complete.
+pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout of calls that are expected to time out.
+pub(crate) const SHORT_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum response body size of the test client.
+pub(crate) const MAX_BODY_BYTES: usize = 64 << 10;
+/// Input of the test calls.
 pub(crate) const INPUT: &str = "probe log";
 
-/// What the fake does after a request was read.
+/// An action of the scripted server after it has read a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Send(Vec<u8>),
     Pause(Duration),
-    /// Waits until the client closes.
+    /// Waits until the client closes the connection.
     Hang,
     Close,
     Reset,
@@ -41,14 +38,14 @@
     Step::Send(text.into().into_bytes())
 }
 
-/// One request as the fake read it.
+/// A request as read by the scripted server.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ReceivedRequest {
     pub(crate) head: String,
     pub(crate) body: String,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let pairs = self.head.lines().filter_map(|line| line.split_once(": "));
         pairs
@@ -57,20 +54,20 @@
             .map(|pair| pair.1)
     }
 
-    /// The identity headers as an upstream echoes them.
+    /// Returns the identity headers, as an upstream echoes them.
     pub(crate) fn echo(&self) -> String {
         ["x-request-id", "x-stage", "x-attempt"]
             .map(|name| format!("{name}: {}\r\n", self.header(name).unwrap_or_default()))
             .concat()
     }
 
-    /// A whole answer with the echo.
-    pub(crate) fn answer(&self, status: &str, body: &str) -> String {
-        answer(status, &self.echo(), body)
+    /// Returns a complete response that echoes the identity.
+    pub(crate) fn response(&self, status: &str, body: &str) -> String {
+        http_response(status, &self.echo(), body)
     }
 
-    pub(crate) fn pool_answer(&self, output: &str) -> String {
-        self.answer("200 OK", &self.pool_body(output))
+    pub(crate) fn pool_response(&self, output: &str) -> String {
+        self.response("200 OK", &self.pool_body(output))
     }
 
     pub(crate) fn pool_body(&self, output: &str) -> String {
@@ -82,29 +79,33 @@
     }
 }
 
-pub(crate) fn answer(status: &str, headers: &str, body: &str) -> String {
+pub(crate) fn http_response(status: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\n{headers}content-length: {length}\r\n\r\n{body}")
 }
 
-/// The scripted server; the n-th request (from 0, over all connections) is given to the script with its number.
-pub(crate) struct Fake {
+/// A server that runs a script for each request. The script gets the request and its number, counted from 0 over all
+/// connections.
+pub(crate) struct ScriptedServer {
     pub(crate) address: SocketAddr,
-    pub(crate) seen: Arc<Mutex<Vec<Seen>>>,
+    pub(crate) requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     accepted: watch::Receiver<usize>,
     closed: watch::Receiver<usize>,
 }
 
-impl Fake {
+impl ScriptedServer {
     pub(crate) async fn start(
-        script: impl Fn(usize, &Seen) -> Vec<Step> + Send + Sync + 'static,
+        script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (seen, script) = (Arc::<Mutex<Vec<Seen>>>::default(), Arc::new(script));
+        let (requests, script) = (
+            Arc::<Mutex<Vec<ReceivedRequest>>>::default(),
+            Arc::new(script),
+        );
         let (accepted_tx, accepted) = watch::channel(0);
         let (closed_tx, closed) = watch::channel(0);
-        let log = Arc::clone(&seen);
+        let log = Arc::clone(&requests);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 accepted_tx.send_modify(|n| *n += 1);
@@ -117,40 +118,40 @@
         });
         Self {
             address,
-            seen,
+            requests,
             accepted,
             closed,
         }
     }
 
-    /// How many connections were made and requests read.
+    /// Returns the number of accepted connections and of requests read.
     pub(crate) fn counts(&self) -> (usize, usize) {
-        (*self.accepted.borrow(), self.seen.lock().unwrap().len())
+        (*self.accepted.borrow(), self.requests.lock().unwrap().len())
     }
 
-    pub(crate) fn first_seen(&self) -> Seen {
-        self.seen.lock().unwrap()[0].clone()
+    pub(crate) fn first_request(&self) -> ReceivedRequest {
+        self.requests.lock().unwrap()[0].clone()
     }
 
-    /// Waits until the fake has seen `count` connections end.
+    /// Waits until `count` connections have ended.
     pub(crate) async fn wait_closed(&mut self, count: usize) {
         let closed = self.closed.wait_for(|n| *n >= count);
-        tokio::time::timeout(AMPLE, closed)
+        tokio::time::timeout(LONG_TIMEOUT, closed)
             .await
             .expect("the connection was not closed")
             .unwrap();
     }
 }
 
-async fn serve<F>(mut stream: TcpStream, script: &F, log: &Mutex<Vec<Seen>>)
+async fn serve<F>(mut stream: TcpStream, script: &F, log: &Mutex<Vec<ReceivedRequest>>)
 where
-    F: Fn(usize, &Seen) -> Vec<Step>,
+    F: Fn(usize, &ReceivedRequest) -> Vec<Step>,
 {
     stream.set_nodelay(true).unwrap();
-    while let Some(seen) = read_request(&mut stream).await {
+    while let Some(received) = read_request(&mut stream).await {
         let number = log.lock().unwrap().len();
-        log.lock().unwrap().push(seen.clone());
-        for step in script(number, &seen) {
+        log.lock().unwrap().push(received.clone());
+        for step in script(number, &received) {
             let ended = match step {
                 Step::Send(bytes) => stream.write_all(&bytes).await.is_err(),
                 Step::Pause(time) => {
@@ -173,20 +174,20 @@
     }
 }
 
-async fn read_request(stream: &mut TcpStream) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream) -> Option<ReceivedRequest> {
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes);
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let seen = Seen {
+            let received = ReceivedRequest {
                 head: format!("{head}\r\n"),
                 body: body.to_owned(),
             };
-            let length = seen
+            let length = received
                 .header("content-length")
                 .map_or(0, |v| v.parse().unwrap());
             if body.len() >= length {
-                return Some(seen);
+                return Some(received);
             }
         }
         if stream.read_buf(&mut bytes).await.ok()? == 0 {
@@ -195,8 +196,8 @@
     }
 }
 
-/// An address where nothing listens.
-pub(crate) fn nobody() -> SocketAddr {
+/// Returns an address on which nothing listens.
+pub(crate) fn unused_address() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -205,7 +206,7 @@
 
 pub(crate) fn client() -> UpstreamClient {
     UpstreamClient::new(ClientSettings {
-        max_response_bytes: LARGEST_BODY,
+        max_response_bytes: MAX_BODY_BYTES,
         max_header_bytes: 8 << 10,
         ..ClientSettings::default()
     })
@@ -223,24 +224,24 @@
         input: INPUT.into(),
         max_tokens: 8,
         priority: 1,
-        remaining: AMPLE,
+        remaining: LONG_TIMEOUT,
         idempotency_key: Some("k-1".into()),
         traceparent: Some("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01".into()),
     }
 }
 
-/// Makes an ordinary call to a pool.
+/// Calls a pool.
 pub(crate) async fn run_pool(
     client: &UpstreamClient,
-    fake: &Fake,
+    server: &ScriptedServer,
     request: &str,
 ) -> Result<StageResponse, CallError> {
     client
-        .run_stage(call(ServiceKind::Pool, fake.address, request))
+        .run_stage(call(ServiceKind::Pool, server.address, request))
         .await
 }
 
-/// Opens a stream of request `r-1`.
+/// Opens a stream for request `r-1`.
 pub(crate) async fn open(
     client: &UpstreamClient,
     address: SocketAddr,
@@ -255,8 +256,8 @@
     x-private: 1|te: trailers|expect: 100-continue|tanagercroft-binding: kl-a-1@7|x-request-id: forged|\
     idempotency-key: forged|accept-language: ms|content-type: text/plain";
 
-/// A call with headers of all sorts.
-pub(crate) fn plain(address: SocketAddr, request: &str) -> PlainCall {
+/// Returns a call with headers that must be forwarded, replaced or removed.
+pub(crate) fn plain_call(address: SocketAddr, request: &str) -> PlainCall {
     let headers = CALLER_HEADERS
         .split('|')
         .map(|line| line.split_once(": ").unwrap());
@@ -272,17 +273,17 @@
         headers: headers.collect::<HeaderMap>(),
         body: "bid".into(),
         priority: 3,
-        remaining: AMPLE,
+        remaining: LONG_TIMEOUT,
         idempotency_key: Some("k-1".into()),
         traceparent: None,
     }
 }
 
-/// What a fault must be reported as.
+/// Expected kind, run state and outcome of an error.
 pub(crate) type Expected = (CallErrorKind, RunState, Outcome);
 
-/// Compares an error with its table row; the message names the row.
-pub(crate) fn check(fault: &str, error: &CallError, expected: Expected) {
+/// Asserts that an error has the expected kind, run state and outcome. `fault` names the case in the message.
+pub(crate) fn assert_error(fault: &str, error: &CallError, expected: Expected) {
     let got = (error.kind, error.run_state, error.outcome);
     assert_eq!(got, expected, "{fault}: {error}");
 }
--- a/crates/tc-upstream/tests/connection_reuse.rs
+++ b/crates/tc-upstream/tests/connection_reuse.rs
@@ -1,53 +1,54 @@
-//! Reuse of connections must never mix answers up or run a call twice.
+//! Connection reuse must never mix up responses or run a call twice.
 
 mod common;
 
 use std::io::{Read, Write};
 
-use common::{Fake, SHORT, Step, call, check, client, run_pool, send};
+use common::{SHORT_TIMEOUT, ScriptedServer, Step, assert_error, call, client, run_pool, send};
 use tc_protocol::{Outcome, RunState, ServiceKind};
 use tc_upstream::CallErrorKind::{Broken, Failed, WrongIdentity};
 
 #[tokio::test]
-async fn calls_and_error_answers_share_a_connection() {
-    let fake = Fake::start(|n, seen| match n {
-        0..5 => vec![send(seen.pool_answer("x"))],
-        _ => vec![send(seen.answer("503 Busy", "no room"))],
+async fn connection_is_reused_after_success_and_error_responses() {
+    let server = ScriptedServer::start(|n, received| match n {
+        0..5 => vec![send(received.pool_response("x"))],
+        _ => vec![send(received.response("503 Busy", "no room"))],
     })
     .await;
     let client = client();
     for _ in 0..5 {
-        run_pool(&client, &fake, "r-1").await.unwrap();
+        run_pool(&client, &server, "r-1").await.unwrap();
     }
     for _ in 0..3 {
-        let error = run_pool(&client, &fake, "r-1").await.unwrap_err();
-        check("503", &error, (Failed(503), RunState::Ran, Outcome::Failed));
+        let error = run_pool(&client, &server, "r-1").await.unwrap_err();
+        assert_error("503", &error, (Failed(503), RunState::Ran, Outcome::Failed));
     }
-    assert_eq!(fake.counts(), (1, 8));
+    assert_eq!(server.counts(), (1, 8));
 }
 
-/// Symptom: a call fails as `unknown` although the upstream is well.
-/// Sequence: a call is answered; the upstream closes the idle connection; the next call is made.
-/// Cause: servers close idle connections, and restart.
+/// Guards against a call that fails with the run state `unknown` although the upstream is healthy. The upstream closes
+/// the idle connection between two calls, as servers do on a timeout or a restart.
 #[tokio::test]
-async fn a_connection_closed_while_idle_is_replaced() {
+async fn closed_idle_connection_is_replaced() {
     for fault in [Step::Close, Step::Reset] {
-        let script = move |_, seen: &common::Seen| vec![send(seen.pool_answer("x")), fault.clone()];
-        let mut fake = Fake::start(script).await;
+        let script = move |_, received: &common::ReceivedRequest| {
+            vec![send(received.pool_response("x")), fault.clone()]
+        };
+        let mut server = ScriptedServer::start(script).await;
         let client = client();
         for n in 1..=3 {
-            run_pool(&client, &fake, "r-1").await.unwrap();
-            fake.wait_closed(n).await;
+            run_pool(&client, &server, "r-1").await.unwrap();
+            server.wait_closed(n).await;
         }
-        assert_eq!(fake.counts(), (3, 3));
+        assert_eq!(server.counts(), (3, 3));
     }
 }
 
-/// Symptom: a call is written to a connection that is closed already, and fails as `unknown`.
-/// Sequence: a call is answered; the upstream closes; the next call is made before the event loop has run again.
-/// Cause: the close is known to the kernel but not yet to the event loop.
+/// Guards against writing a call to a closed connection, which fails with the run state `unknown`. The upstream closes
+/// the connection after a response, and the next call is made before the event loop has run again. At that time only
+/// the kernel knows of the close.
 #[tokio::test]
-async fn a_close_the_event_loop_has_not_seen_is_noticed() {
+async fn close_is_detected_before_the_event_loop_reports_it() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (close, may_close) = std::sync::mpsc::channel();
@@ -62,11 +63,13 @@
                 bytes.extend(byte);
             }
             let head = String::from_utf8(bytes).unwrap();
-            let seen = common::Seen {
+            let received = common::ReceivedRequest {
                 head,
                 body: String::new(),
             };
-            stream.write_all(seen.pool_answer("x").as_bytes()).unwrap();
+            stream
+                .write_all(received.pool_response("x").as_bytes())
+                .unwrap();
             may_close.recv().unwrap();
             drop(stream);
             closed_tx.send(()).unwrap();
@@ -78,69 +81,76 @@
             .run_stage(call(ServiceKind::Pool, address, "r-1"))
             .await
             .unwrap();
-        // Blocks the only thread of the runtime, so that the event loop cannot run.
+        // Blocks the only thread of the runtime so that the event loop cannot run.
         close.send(()).unwrap();
         closed.recv().unwrap();
     }
 }
 
-/// Symptom: a request gets the answer of the request before it.
-/// Sequence: the upstream sends an answer twice; the second copy arrives while the connection is idle, or (second
-/// part) in place of the answer to the next call.
-/// Cause: a faulty upstream or a middlebox that repeats.
+/// Guards against returning the response of the previous request. A faulty upstream or a middlebox sends a response
+/// twice. The second copy arrives while the connection is idle, or (second part) in place of the response to the next
+/// call.
 #[tokio::test]
-async fn a_doubled_answer_reaches_nobody() {
-    let output = |seen: &common::Seen| seen.header("x-request-id").unwrap().to_owned();
-    let script =
-        move |_, seen: &common::Seen| vec![send(seen.pool_answer(&output(seen)).repeat(2))];
-    let fake = Fake::start(script).await;
+async fn duplicate_response_is_never_returned() {
+    let output =
+        |received: &common::ReceivedRequest| received.header("x-request-id").unwrap().to_owned();
+    let script = move |_, received: &common::ReceivedRequest| {
+        vec![send(received.pool_response(&output(received)).repeat(2))]
+    };
+    let server = ScriptedServer::start(script).await;
     let client = client();
     for request in ["r-1", "r-2", "r-3"] {
         assert_eq!(
-            run_pool(&client, &fake, request).await.unwrap().output,
+            run_pool(&client, &server, request).await.unwrap().output,
             request
         );
     }
 
-    let late = |_, seen: &common::Seen| vec![send(seen.pool_answer("x").replace("r-2", "r-1"))];
-    let mut fake = Fake::start(late).await;
-    run_pool(&client, &fake, "r-1").await.unwrap();
-    let error = run_pool(&client, &fake, "r-2").await.unwrap_err();
-    check(
+    let late = |_, received: &common::ReceivedRequest| {
+        vec![send(received.pool_response("x").replace("r-2", "r-1"))]
+    };
+    let mut server = ScriptedServer::start(late).await;
+    run_pool(&client, &server, "r-1").await.unwrap();
+    let error = run_pool(&client, &server, "r-2").await.unwrap_err();
+    assert_error(
         "late copy",
         &error,
         (WrongIdentity, RunState::Unknown, Outcome::Failed),
     );
-    fake.wait_closed(1).await;
+    server.wait_closed(1).await;
 }
 
-/// Symptom: a call runs twice.
-/// Sequence: a kept connection takes the second request whole and breaks without an answer.
-/// Cause: the upstream died under the call; sending it again on a new connection is not ours to decide.
+/// Guards against running a call twice. On a reused connection, the upstream crashes after it has read the complete
+/// request. The client must not send it again; the caller decides about a retry.
 #[tokio::test]
-async fn a_kept_connection_that_took_the_request_is_not_retried() {
-    let fake = Fake::start(|n, seen| match n {
-        0 => vec![send(seen.pool_answer("x"))],
+async fn request_read_on_a_reused_connection_is_not_retried() {
+    let server = ScriptedServer::start(|n, received| match n {
+        0 => vec![send(received.pool_response("x"))],
         _ => vec![Step::Close],
     })
     .await;
     let client = client();
-    run_pool(&client, &fake, "r-1").await.unwrap();
-    let error = run_pool(&client, &fake, "r-2").await.unwrap_err();
-    check("broke", &error, (Broken, RunState::Unknown, Outcome::Died));
-    assert_eq!(fake.counts(), (1, 2));
+    run_pool(&client, &server, "r-1").await.unwrap();
+    let error = run_pool(&client, &server, "r-2").await.unwrap_err();
+    assert_error("broke", &error, (Broken, RunState::Unknown, Outcome::Died));
+    assert_eq!(server.counts(), (1, 2));
 }
 
 #[tokio::test]
 async fn idle_connections_are_bounded() {
-    let script = |_, seen: &common::Seen| vec![Step::Pause(SHORT), send(seen.pool_answer("x"))];
-    let mut fake = Fake::start(script).await;
+    let script = |_, received: &common::ReceivedRequest| {
+        vec![
+            Step::Pause(SHORT_TIMEOUT),
+            send(received.pool_response("x")),
+        ]
+    };
+    let mut server = ScriptedServer::start(script).await;
     let client = tc_upstream::UpstreamClient::new(tc_upstream::ClientSettings {
         pool_idle_per_host: 2,
         ..Default::default()
     });
-    let calls = (0..6).map(|_| run_pool(&client, &fake, "r-1"));
+    let calls = (0..6).map(|_| run_pool(&client, &server, "r-1"));
     futures::future::try_join_all(calls).await.unwrap();
-    fake.wait_closed(4).await;
-    assert_eq!(fake.counts(), (6, 6));
+    server.wait_closed(4).await;
+    assert_eq!(server.counts(), (6, 6));
 }
--- a/crates/tc-upstream/tests/stand_ins.rs
+++ b/crates/tc-upstream/tests/stand_ins.rs
@@ -1,10 +1,10 @@
-//! The contract with engines, pools and plain services, against the stand-ins that other crates' tests use.
+//! Calls to the stand-ins of engines, pools and plain services, which the tests of other crates use as well.
 
 mod common;
 
 use std::{net::SocketAddr, time::Duration};
 
-use common::{Expected, INPUT, call, check, client, open};
+use common::{Expected, INPUT, assert_error, call, client, open};
 use http_body_util::BodyExt;
 use tc_protocol::{Outcome, RunState, ServiceKind, wire::Order};
 use tc_stand_ins::{
@@ -16,7 +16,7 @@
     OrderError, StreamItem,
 };
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
@@ -24,42 +24,48 @@
     let mut cfg = EngineConfig::new(id, "drafting");
     cfg.checks_orders = checks_orders;
     cfg.resume_window = Duration::from_secs(5);
-    Engine::start(any(), cfg, recorder.clone()).await.unwrap()
+    Engine::start(any_port(), cfg, recorder.clone())
+        .await
+        .unwrap()
 }
 
 #[tokio::test]
-async fn every_kind_answers_its_own_call() {
+async fn calls_to_every_kind_of_upstream_succeed() {
     let recorder = Recorder::new();
     let (client, engine) = (client(), engine("gen-1", &recorder, false).await);
-    let pool = Pool::start(any(), PoolConfig::new("pool-1", "rerank"), recorder.clone())
-        .await
-        .unwrap();
+    let pool = Pool::start(
+        any_port(),
+        PoolConfig::new("pool-1", "rerank"),
+        recorder.clone(),
+    )
+    .await
+    .unwrap();
     let plain = Plain::start(
-        any(),
+        any_port(),
         PlainConfig::new("plain-1", "auction"),
         recorder.clone(),
     )
     .await
     .unwrap();
 
-    let reply = client
+    let response = client
         .run_stage(call(ServiceKind::Pool, pool.address(), "r-1"))
         .await
         .unwrap();
-    assert_eq!(reply.output, pool_output("rerank", INPUT));
-    let reply = client
+    assert_eq!(response.output, pool_output("rerank", INPUT));
+    let response = client
         .run_stage(call(ServiceKind::Engine, engine.address(), "r-2"))
         .await
         .unwrap();
     assert_eq!(
-        (reply.output, reply.cost.tokens_out),
+        (response.output, response.cost.tokens_out),
         (engine_output(INPUT, 8), 8)
     );
-    let reply = client
-        .forward(common::plain(plain.address(), "r-3"))
+    let response = client
+        .forward(common::plain_call(plain.address(), "r-3"))
         .await
         .unwrap();
-    let body = reply.body.collect().await.unwrap().to_bytes();
+    let body = response.body.collect().await.unwrap().to_bytes();
     assert_eq!(
         serde_json::from_slice::<serde_json::Value>(&body).unwrap(),
         plain_output("/lots/7?bid=1", b"bid")
@@ -72,22 +78,21 @@
     }
 }
 
-/// Symptom: a stream that broke comes back with a gap, a repeat or other words.
-/// Sequence: the engine breaks the connection after every two events; the stream is resumed until it is whole.
-/// Cause: an unstable connection.
+/// Guards against gaps, repeats or different text in a resumed stream. The engine closes the connection after every two
+/// events, and the stream is resumed until it is complete.
 #[tokio::test]
-async fn a_stream_is_resumed_until_it_is_whole() {
+async fn broken_stream_is_resumed_until_complete() {
     let (client, engine) = (client(), engine("gen-1", &Recorder::new(), false).await);
     engine.faults().break_streams_after(2);
     let (mut text, mut last_id, mut breaks) = (String::new(), 0, 0);
-    let usage = 'whole: loop {
+    let usage = 'complete: loop {
         let mut stream = open(&client, engine.address(), last_id).await.unwrap();
         loop {
             match stream.next().await.unwrap() {
                 Ok(StreamItem::Event { id, text: more }) => (last_id, text) = (id, text + &more),
-                Ok(StreamItem::Done { usage }) => break 'whole usage,
+                Ok(StreamItem::Done { usage }) => break 'complete usage,
                 Err(error) => {
-                    check("break", &error, (Broken, RunState::Ran, Outcome::Died));
+                    assert_error("break", &error, (Broken, RunState::Ran, Outcome::Died));
                     breaks += 1;
                     break;
                 }
@@ -102,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn orders_are_fenced_where_the_engine_checks() {
+async fn stale_orders_are_refused_if_the_engine_checks_them() {
     let client = client();
     for checks in [true, false] {
         let engine = engine("gen-1", &Recorder::new(), checks).await;
@@ -125,7 +130,7 @@
 #[rustfmt::skip]
 const FAULTS: &[(AnswerFault, Expected)] = &[
     (AnswerFault::Garbage, (Malformed, RunState::Ran, Outcome::Failed)),
-    // The stand-in's server gives up before it has sent the header, so nothing of the answer arrives.
+    // The stand-in's server fails before it has sent the header, so no byte of the response arrives.
     (AnswerFault::WrongLength, (Broken, RunState::Unknown, Outcome::Died)),
     (AnswerFault::CloseMidBody, (Broken, RunState::Ran, Outcome::Died)),
     (AnswerFault::HugeHeaders, (TooLarge, RunState::Unknown, Outcome::Failed)),
@@ -133,17 +138,20 @@
     (AnswerFault::Lost, (Broken, RunState::Unknown, Outcome::Died)),
 ];
 
-/// Symptom: the run state told differs from what the upstream recorded, or a fault passes as an answer.
-/// Sequence: engine and pool run each call and spoil its answer; then refuse everything; then crash under a call;
-/// then are gone.
-/// Cause: every fault the stand-ins know.
+/// Guards against a reported run state that differs from what the upstream recorded, and against returning a faulty
+/// response as a result. Engine and pool run each call and damage its response, with every fault of the stand-ins. Then
+/// they refuse all calls, crash during a call, and are no longer reachable.
 #[tokio::test]
-async fn stand_in_faults_are_told_truthfully() {
+async fn run_states_of_stand_in_faults_match_the_records() {
     let (client, recorder) = (client(), Recorder::new());
     let engine = engine("gen-1", &recorder, false).await;
-    let pool = Pool::start(any(), PoolConfig::new("pool-1", "rerank"), recorder.clone())
-        .await
-        .unwrap();
+    let pool = Pool::start(
+        any_port(),
+        PoolConfig::new("pool-1", "rerank"),
+        recorder.clone(),
+    )
+    .await
+    .unwrap();
     let both = [
         (ServiceKind::Engine, engine.address(), engine.faults()),
         (ServiceKind::Pool, pool.address(), pool.faults()),
@@ -156,7 +164,7 @@
                 .run_stage(call(kind, address, &request))
                 .await
                 .unwrap_err();
-            check(&request, &error, *expected);
+            assert_error(&request, &error, *expected);
             assert_eq!(
                 recorder.calls_of(&request.as_str().into()).len(),
                 1,
@@ -169,18 +177,22 @@
             .await
             .unwrap_err();
         assert_eq!((error.kind, error.outcome), (Failed(503), Outcome::Failed));
-        assert_ne!(error.run_state, RunState::NotRun, "nothing promised it");
+        assert_ne!(
+            error.run_state,
+            RunState::NotRun,
+            "the upstream did not report not_run"
+        );
         faults.set_down(false);
 
         let mut crash = call(kind, address, "crash");
         crash.input = CRASH_MARKER.into();
         let error = client.run_stage(crash).await.unwrap_err();
-        check("crash", &error, (Broken, RunState::Unknown, Outcome::Died));
+        assert_error("crash", &error, (Broken, RunState::Unknown, Outcome::Died));
         let error = client
             .run_stage(call(kind, address, "gone"))
             .await
             .unwrap_err();
-        check("gone", &error, (Connect, RunState::NotRun, Outcome::Died));
+        assert_error("gone", &error, (Connect, RunState::NotRun, Outcome::Died));
         assert!(recorder.calls_of(&"gone".into()).is_empty());
     }
 }
--- a/crates/tc-upstream/tests/streams.rs
+++ b/crates/tc-upstream/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streamed completions: order, identity, wholeness, resume.
+//! Streamed completions: order, identity and completeness of the events, and resuming.
 
 mod common;
 
@@ -6,7 +6,8 @@
 
 use bolero::generator::produce;
 use common::{
-    Expected, Fake, LARGEST_BODY, SHORT, Seen, Step, call, check, client, nobody, open, send,
+    Expected, MAX_BODY_BYTES, ReceivedRequest, SHORT_TIMEOUT, ScriptedServer, Step, assert_error,
+    call, client, open, send, unused_address,
 };
 use tc_protocol::{Outcome, RunState, ServiceKind::Engine};
 use tc_upstream::{
@@ -27,8 +28,8 @@
     )
 }
 
-fn head(seen: &Seen) -> Step {
-    let echo = seen.echo();
+fn head(received: &ReceivedRequest) -> Step {
+    let echo = received.echo();
     send(format!(
         "HTTP/1.1 200 OK\r\n{echo}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
     ))
@@ -38,8 +39,8 @@
     send(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
-fn whole(seen: &Seen, events: &str) -> Vec<Step> {
-    vec![head(seen), chunk(events), send("0\r\n\r\n")]
+fn complete_stream(received: &ReceivedRequest, events: &str) -> Vec<Step> {
+    vec![head(received), chunk(events), send("0\r\n\r\n")]
 }
 
 async fn read_all(
@@ -58,69 +59,74 @@
     }
 }
 
-type Fault = (&'static str, fn(&Seen) -> Vec<Step>, usize, Expected);
+type Fault = (
+    &'static str,
+    fn(&ReceivedRequest) -> Vec<Step>,
+    usize,
+    Expected,
+);
 
 #[rustfmt::skip]
 const FAULTS: &[Fault] = &[
-    // fault, what the engine does, events that are delivered before, (kind, run state, outcome)
-    ("gap", |s| whole(s, &(event(1, "a") + &event(3, "b") + DONE)), 1, (Malformed, RunState::Ran, Outcome::Failed)),
-    ("repeat", |s| whole(s, &(event(1, "a") + &event(1, "a") + DONE)), 1, (Malformed, RunState::Ran, Outcome::Failed)),
-    ("starts late", |s| whole(s, &(event(2, "b") + DONE)), 0, (Malformed, RunState::Unknown, Outcome::Failed)),
-    ("no id", |s| whole(s, &(event(1, "a") + "data: {\"id\":\"r-1\",\"text\":\"b\"}\n\n")), 1, (Malformed, RunState::Ran, Outcome::Failed)),
-    ("id not a number", |s| whole(s, &event(1, "a").replace("id: 1", "id: one")), 0, (Malformed, RunState::Unknown, Outcome::Failed)),
-    ("another call's event", |s| whole(s, &(event(1, "a") + &event(2, "b").replace("r-1", "r-2"))), 1, (WrongIdentity, RunState::Ran, Outcome::Failed)),
-    ("data not JSON", |s| whole(s, &(event(1, "a") + "id: 2\ndata: {oops\n\n")), 1, (Malformed, RunState::Ran, Outcome::Failed)),
-    ("unknown event type", |s| whole(s, &format!("event: oops\n{}", event(1, "a"))), 0, (Malformed, RunState::Unknown, Outcome::Failed)),
+    // fault, steps of the engine, number of events delivered before the error, (kind, run state, outcome)
+    ("gap", |s| complete_stream(s, &(event(1, "a") + &event(3, "b") + DONE)), 1, (Malformed, RunState::Ran, Outcome::Failed)),
+    ("repeat", |s| complete_stream(s, &(event(1, "a") + &event(1, "a") + DONE)), 1, (Malformed, RunState::Ran, Outcome::Failed)),
+    ("starts late", |s| complete_stream(s, &(event(2, "b") + DONE)), 0, (Malformed, RunState::Unknown, Outcome::Failed)),
+    ("no id", |s| complete_stream(s, &(event(1, "a") + "data: {\"id\":\"r-1\",\"text\":\"b\"}\n\n")), 1, (Malformed, RunState::Ran, Outcome::Failed)),
+    ("id not a number", |s| complete_stream(s, &event(1, "a").replace("id: 1", "id: one")), 0, (Malformed, RunState::Unknown, Outcome::Failed)),
+    ("another call's event", |s| complete_stream(s, &(event(1, "a") + &event(2, "b").replace("r-1", "r-2"))), 1, (WrongIdentity, RunState::Ran, Outcome::Failed)),
+    ("data not JSON", |s| complete_stream(s, &(event(1, "a") + "id: 2\ndata: {oops\n\n")), 1, (Malformed, RunState::Ran, Outcome::Failed)),
+    ("unknown event type", |s| complete_stream(s, &format!("event: oops\n{}", event(1, "a"))), 0, (Malformed, RunState::Unknown, Outcome::Failed)),
     ("not UTF-8", |s| vec![head(s), send("9\r\ndata: "), Step::Send(b"\xff\n\n\r\n".to_vec()), send("0\r\n\r\n")], 0, (Malformed, RunState::Unknown, Outcome::Failed)),
-    ("event after token counts", |s| whole(s, &(last_event(1) + &event(2, "a") + DONE)), 1, (Malformed, RunState::Ran, Outcome::Failed)),
-    ("done without token counts", |s| whole(s, &(event(1, "a") + DONE)), 1, (Malformed, RunState::Ran, Outcome::Failed)),
-    ("ends without done", |s| whole(s, &(event(1, "a") + &last_event(2))), 2, (Broken, RunState::Ran, Outcome::Failed)),
-    ("ends at once", |s| whole(s, ": no event\n\n"), 0, (Broken, RunState::Unknown, Outcome::Failed)),
-    ("done cut off", |s| whole(s, &(event(1, "a") + &last_event(2) + "data: [DONE]\n")), 2, (Broken, RunState::Ran, Outcome::Failed)),
+    ("event after token counts", |s| complete_stream(s, &(last_event(1) + &event(2, "a") + DONE)), 1, (Malformed, RunState::Ran, Outcome::Failed)),
+    ("done without token counts", |s| complete_stream(s, &(event(1, "a") + DONE)), 1, (Malformed, RunState::Ran, Outcome::Failed)),
+    ("ends without done", |s| complete_stream(s, &(event(1, "a") + &last_event(2))), 2, (Broken, RunState::Ran, Outcome::Failed)),
+    ("ends at once", |s| complete_stream(s, ": no event\n\n"), 0, (Broken, RunState::Unknown, Outcome::Failed)),
+    ("done cut off", |s| complete_stream(s, &(event(1, "a") + &last_event(2) + "data: [DONE]\n")), 2, (Broken, RunState::Ran, Outcome::Failed)),
     ("closes between events", |s| vec![head(s), chunk(&event(1, "a")), Step::Close], 1, (Broken, RunState::Ran, Outcome::Died)),
     ("closes before any event", |s| vec![head(s), Step::Close], 0, (Broken, RunState::Unknown, Outcome::Died)),
     ("closes inside an event", |s| vec![head(s), chunk(&event(1, "a")[..9]), Step::Close], 0, (Broken, RunState::Unknown, Outcome::Died)),
-    ("resets", |s| vec![head(s), chunk(&event(1, "a")), Step::Pause(SHORT), Step::Reset], 1, (Broken, RunState::Ran, Outcome::Died)),
+    ("resets", |s| vec![head(s), chunk(&event(1, "a")), Step::Pause(SHORT_TIMEOUT), Step::Reset], 1, (Broken, RunState::Ran, Outcome::Died)),
     ("stalls", |s| vec![head(s), chunk(&event(1, "a")), Step::Hang], 1, (TimedOut, RunState::Ran, Outcome::TimedOut)),
-    ("endless event", |s| vec![head(s), chunk(&event(1, "a")), chunk(&"d".repeat(LARGEST_BODY)), Step::Hang], 1, (TooLarge, RunState::Ran, Outcome::Failed)),
+    ("endless event", |s| vec![head(s), chunk(&event(1, "a")), chunk(&"d".repeat(MAX_BODY_BYTES)), Step::Hang], 1, (TooLarge, RunState::Ran, Outcome::Failed)),
 ];
 
-/// Symptom: a reader gets text with a hole, a repeat or another call's words, or a cut text as whole.
-/// Sequence: the stream starts well and then goes wrong as each row says.
-/// Cause: a faulty engine, a dying one, or a connection that breaks.
+/// Guards against text with gaps, repeats or parts of another call, and against truncated text that counts as complete.
+/// The stream starts correctly and then fails as the table says, due to a faulty or crashing engine or a broken
+/// connection.
 #[tokio::test]
-async fn stream_faults_end_the_stream() {
+async fn stream_faults_end_the_stream_with_an_error() {
     for (name, steps, delivered, expected) in FAULTS {
-        let fake = Fake::start(move |_, seen| steps(seen)).await;
-        let mut call = call(Engine, fake.address, "r-1");
+        let server = ScriptedServer::start(move |_, received| steps(received)).await;
+        let mut call = call(Engine, server.address, "r-1");
         if expected.0 == TimedOut {
-            call.remaining = SHORT * 5;
+            call.remaining = SHORT_TIMEOUT * 5;
         }
         let mut stream = client().open_stream(call, 0).await.expect(name);
         let (events, end) = read_all(&mut stream).await;
         assert_eq!(events.len(), *delivered, "{name}");
-        check(name, &end.expect_err(name), *expected);
+        assert_error(name, &end.expect_err(name), *expected);
         assert!(
             stream.next().await.is_none(),
-            "{name}: something came after the error"
+            "{name}: the stream continued after the error"
         );
     }
 }
 
 #[tokio::test]
-async fn a_whole_stream_is_delivered_and_keeps_its_connection() {
-    let fake = Fake::start(|_, s| {
+async fn complete_stream_is_delivered_and_its_connection_reused() {
+    let server = ScriptedServer::start(|_, s| {
         let text = "\u{feff}: comment\n".to_owned()
             + &event(1, "a")
             + &event(2, "b")
             + &last_event(3)
             + DONE;
-        whole(s, &text.replace('\n', "\r\n"))
+        complete_stream(s, &text.replace('\n', "\r\n"))
     })
     .await;
     let client = client();
     for _ in 0..3 {
-        let mut stream = open(&client, fake.address, 0).await.unwrap();
+        let mut stream = open(&client, server.address, 0).await.unwrap();
         let (events, end) = read_all(&mut stream).await;
         assert_eq!(
             events,
@@ -132,66 +138,65 @@
         assert_eq!((usage.prompt_tokens, usage.completion_tokens), (3, 2));
         assert!(stream.next().await.is_none());
     }
-    assert_eq!(fake.counts(), (1, 3));
+    assert_eq!(server.counts(), (1, 3));
 }
 
 #[tokio::test]
-async fn an_answer_that_is_no_event_stream_is_malformed() {
-    let fake = Fake::start(|_, s| vec![send(s.answer("200 OK", "{}"))]).await;
-    let error = open(&client(), fake.address, 0).await.unwrap_err();
-    check("JSON", &error, (Malformed, RunState::Ran, Outcome::Failed));
+async fn response_without_event_stream_is_malformed() {
+    let server = ScriptedServer::start(|_, s| vec![send(s.response("200 OK", "{}"))]).await;
+    let error = open(&client(), server.address, 0).await.unwrap_err();
+    assert_error("JSON", &error, (Malformed, RunState::Ran, Outcome::Failed));
 }
 
-/// Symptom: a resumed stream repeats or skips text, or its failure is told as "not run".
-/// Sequence: events up to 2 came before; the stream is resumed after 2, and once more after the last event.
-/// Cause: the connection broke in between.
+/// Guards against a resumed stream that repeats or skips text, and against errors of it with the run state `NotRun`.
+/// After a broken connection, the stream is resumed after event 2, and once after the last event.
 #[tokio::test]
 async fn resume_continues_after_the_last_event() {
-    let fake = Fake::start(|n, s| match n {
-        0 => whole(s, &(event(3, "c") + &last_event(4) + DONE)),
-        1 => whole(s, DONE),
-        2 => whole(s, &(event(2, "b") + DONE)),
+    let server = ScriptedServer::start(|n, s| match n {
+        0 => complete_stream(s, &(event(3, "c") + &last_event(4) + DONE)),
+        1 => complete_stream(s, DONE),
+        2 => complete_stream(s, &(event(2, "b") + DONE)),
         _ => vec![Step::Close],
     })
     .await;
     let client = client();
-    let (events, end) = read_all(&mut open(&client, fake.address, 2).await.unwrap()).await;
+    let (events, end) = read_all(&mut open(&client, server.address, 2).await.unwrap()).await;
     assert_eq!(events, [(3, "c".into()), (4, String::new())]);
     assert!(matches!(end, Ok(StreamItem::Done { usage: Some(_) })));
-    assert_eq!(fake.first_seen().header("last-event-id"), Some("2"));
+    assert_eq!(server.first_request().header("last-event-id"), Some("2"));
 
-    let (_, end) = read_all(&mut open(&client, fake.address, 4).await.unwrap()).await;
+    let (_, end) = read_all(&mut open(&client, server.address, 4).await.unwrap()).await;
     assert_eq!(end, Ok(StreamItem::Done { usage: None }));
-    let (_, end) = read_all(&mut open(&client, fake.address, 2).await.unwrap()).await;
-    check(
+    let (_, end) = read_all(&mut open(&client, server.address, 2).await.unwrap()).await;
+    assert_error(
         "repeat",
         &end.unwrap_err(),
         (Malformed, RunState::Ran, Outcome::Failed),
     );
-    let error = open(&client, fake.address, 2).await.unwrap_err();
-    check("close", &error, (Broken, RunState::Ran, Outcome::Died));
-    let error = open(&client, nobody(), 2).await.unwrap_err();
-    check("refused", &error, (Connect, RunState::Ran, Outcome::Died));
+    let error = open(&client, server.address, 2).await.unwrap_err();
+    assert_error("close", &error, (Broken, RunState::Ran, Outcome::Died));
+    let error = open(&client, unused_address(), 2).await.unwrap_err();
+    assert_error("refused", &error, (Connect, RunState::Ran, Outcome::Died));
 }
 
-/// Symptom: an engine goes on generating for a reader that left.
-/// Sequence: one event is read; the stream is dropped.
-/// Cause: the caller left, or another attempt won.
+/// Guards against an engine that keeps generating after the caller has disconnected or another attempt has finished
+/// first. The stream is dropped after one event.
 #[tokio::test]
-async fn dropping_a_stream_closes_its_connection() {
-    let mut fake = Fake::start(|_, s| vec![head(s), chunk(&event(1, "a")), Step::Hang]).await;
-    let mut stream = open(&client(), fake.address, 0).await.unwrap();
+async fn dropping_a_stream_closes_the_connection() {
+    let mut server =
+        ScriptedServer::start(|_, s| vec![head(s), chunk(&event(1, "a")), Step::Hang]).await;
+    let mut stream = open(&client(), server.address, 0).await.unwrap();
     assert!(matches!(
         stream.next().await,
         Some(Ok(StreamItem::Event { id: 1, .. }))
     ));
     drop(stream);
-    fake.wait_closed(1).await;
+    server.wait_closed(1).await;
 }
 
 const EVENTS: usize = 6;
 
-fn text_of(id: u64) -> String {
+fn event_text(id: u64) -> String {
     if id == EVENTS as u64 {
         String::new()
     } else {
@@ -199,15 +204,15 @@
     }
 }
 
-/// What an engine sends: events in some order, cut into chunks of some sizes.
-fn damaged(order: &[u8], cuts: &[u8]) -> (Vec<u64>, Vec<Step>) {
+/// Returns the event numbers and the steps of an engine that sends the events in `order`, split into chunks at `cuts`.
+fn event_steps(order: &[u8], cuts: &[u8]) -> (Vec<u64>, Vec<Step>) {
     let order: Vec<u64> = order
         .iter()
         .map(|n| u64::from(*n) % EVENTS as u64 + 1)
         .collect();
     let text = order.iter().map(|id| match *id {
         id if id == EVENTS as u64 => last_event(id),
-        id => event(id, &text_of(id)),
+        id => event(id, &event_text(id)),
     });
     let text: String = text.chain([DONE.to_owned()]).collect();
     let (mut steps, mut rest) = (Vec::new(), text.as_str());
@@ -224,36 +229,41 @@
     (order, steps)
 }
 
-/// Symptom: some order or cutting of events lets a wrong text through.
-/// Sequence: events are dropped, repeated or swapped, and cut into chunks anywhere.
-/// Cause: a faulty engine. Oracle: what is delivered is the longest run of events 1, 2, 3 … that the sent order
-/// starts with, and the stream is whole only if that is all of it, up to the one with the token counts.
+/// Guards against an order or chunking of events that lets wrong text through. A faulty engine drops, repeats or swaps
+/// events, and splits them into chunks at any byte. Exactly the longest prefix 1, 2, 3 … of the sent events must be
+/// delivered, and the stream is complete only if that prefix is everything that was sent and ends with the event that
+/// carries the token counts.
 #[test]
-fn any_order_of_events_delivers_only_the_right_start() {
+fn only_the_correct_prefix_of_events_is_delivered() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let steps: Arc<Mutex<Vec<Step>>> = Arc::default();
     let script = Arc::clone(&steps);
-    let script = move |_, seen: &Seen| [vec![head(seen)], script.lock().unwrap().clone()].concat();
-    let fake = runtime.block_on(Fake::start(script));
+    let script = move |_, received: &ReceivedRequest| {
+        [vec![head(received)], script.lock().unwrap().clone()].concat()
+    };
+    let server = runtime.block_on(ScriptedServer::start(script));
     let client = client();
-    let read = async || read_all(&mut open(&client, fake.address, 0).await.unwrap()).await;
+    let read = async || read_all(&mut open(&client, server.address, 0).await.unwrap()).await;
     tc_fuzz::check(
         400,
         produce::<(bool, Vec<u8>, Vec<u8>)>(),
         |(in_order, order, cuts)| {
             let sorted: Vec<u8> = (0..order.len().min(EVENTS) as u8).collect();
-            let (order, sent) = damaged(if *in_order { &sorted } else { order }, cuts);
+            let (order, sent) = event_steps(if *in_order { &sorted } else { order }, cuts);
             *steps.lock().unwrap() = sent;
-            let right = order
+            let expected_len = order
                 .iter()
                 .zip(1u64..)
                 .take_while(|(id, n)| *id == n)
                 .count();
             let (events, end) = runtime.block_on(read());
             let ids: Vec<u64> = events.iter().map(|(id, _)| *id).collect();
-            assert_eq!(ids, (1..=right as u64).collect::<Vec<_>>());
-            assert!(events.iter().all(|(id, text)| *text == text_of(*id)));
-            assert_eq!(end.is_ok(), right == order.len() && right == EVENTS);
+            assert_eq!(ids, (1..=expected_len as u64).collect::<Vec<_>>());
+            assert!(events.iter().all(|(id, text)| *text == event_text(*id)));
+            assert_eq!(
+                end.is_ok(),
+                expected_len == order.len() && expected_len == EVENTS
+            );
         },
     );
 }
