--- a/crates/tc-upstream/src/call.rs
+++ b/crates/tc-upstream/src/call.rs
@@ -33,7 +33,7 @@
     pub priority: u8,
     /// Timeout of the whole call, including the connect.
     pub remaining: Duration,
-    /// Idempotency key of the caller's request, forwarded to the upstream.
+    /// The caller's idempotency key of a non-idempotent request, forwarded to the upstream.
     pub idempotency_key: Option<Arc<str>>,
     /// W3C trace context, forwarded to the upstream.
     pub traceparent: Option<String>,
@@ -77,7 +77,7 @@
     pub priority: u8,
     /// Timeout of the whole call, including the response body.
     pub remaining: Duration,
-    /// Idempotency key of the caller's request, forwarded to the upstream.
+    /// The caller's idempotency key of a non-idempotent request, forwarded to the upstream.
     pub idempotency_key: Option<Arc<str>>,
     /// W3C trace context, forwarded to the upstream.
     pub traceparent: Option<String>,
--- a/crates/tc-upstream/src/call_context.rs
+++ b/crates/tc-upstream/src/call_context.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(crate) fn time_left(&self) -> Duration {
+    pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
--- a/crates/tc-upstream/src/exchange.rs
+++ b/crates/tc-upstream/src/exchange.rs
@@ -65,7 +65,7 @@
 ) -> Result<ReceivedResponse, CallError> {
     let mut idle_attempts = 0;
     loop {
-        if context.time_left().is_zero() {
+        if context.remaining().is_zero() {
             return Err(context.failed(&Failure::TimedOut, RunState::NotRun));
         }
         let allow_idle = idle_attempts < MAX_IDLE_ATTEMPTS;
@@ -112,7 +112,7 @@
         return Ok(connection);
     }
     metrics::counter!("tc_upstream_connects_total").increment(1);
-    let limit = shared.settings.connect_timeout.min(context.time_left());
+    let limit = shared.settings.connect_timeout.min(context.remaining());
     dial(context.address, &shared.settings, limit)
         .await
         .map_err(|e| connect_error(context, &e))
@@ -120,7 +120,7 @@
 
 /// Returns the error for a failed connect. No byte was sent, so the call did not run, whatever the cause.
 fn connect_error(context: &CallContext, error: &io::Error) -> CallError {
-    if context.time_left().is_zero() {
+    if context.remaining().is_zero() {
         return context.failed(&Failure::TimedOut, RunState::NotRun);
     }
     let outcome = match error.kind() {
--- a/crates/tc-upstream/src/headers.rs
+++ b/crates/tc-upstream/src/headers.rs
@@ -40,7 +40,7 @@
         context: &CallContext,
     ) -> Result<(), CallError> {
         self.identity.add_to(headers);
-        let remaining_ms = context.time_left().as_millis().max(1) as u64;
+        let remaining_ms = context.remaining().as_millis().max(1) as u64;
         headers.insert(TIMEOUT_MS, HeaderValue::from(remaining_ms));
         headers.insert(PRIORITY, urgency(self.priority));
         if let Some(key) = self.idempotency_key {
--- a/crates/tc-upstream/src/meter.rs
+++ b/crates/tc-upstream/src/meter.rs
@@ -24,7 +24,7 @@
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        metrics::counter!("tc_upstream_calls_total", "kind" => self.kind, "outcome" => label(outcome))
+        metrics::counter!("tc_upstream_calls_total", "kind" => self.kind, "outcome" => outcome_label(outcome))
             .increment(1);
         metrics::histogram!("tc_upstream_call_ms", "kind" => self.kind)
             .record(self.started.elapsed().as_secs_f64() * 1_000.0);
@@ -37,7 +37,7 @@
     }
 }
 
-const fn label(outcome: Outcome) -> &'static str {
+const fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Answered => "answered",
         Outcome::Rejected => "rejected",
