--- a/crates/tc-upstream/src/meter.rs
+++ b/crates/tc-upstream/src/meter.rs
@@ -1,9 +1,9 @@
-//! Counts how calls end.
+//! Metrics of calls to upstreams.
 
 use tc_protocol::Outcome;
 use tokio::time::Instant;
 
-/// Counts one call when it ends, and as cancelled when it is dropped before.
+/// Records the outcome and the duration of a call when it ends. If dropped before that, records it as cancelled.
 #[derive(Debug)]
 pub(crate) struct CallMeter {
     kind: &'static str,
@@ -24,7 +24,7 @@
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        metrics::counter!("tc_upstream_calls_total", "kind" => self.kind, "outcome" => label(outcome))
+        metrics::counter!("tc_upstream_calls_total", "kind" => self.kind, "outcome" => outcome_label(outcome))
             .increment(1);
         metrics::histogram!("tc_upstream_call_ms", "kind" => self.kind)
             .record(self.started.elapsed().as_secs_f64() * 1_000.0);
@@ -37,7 +37,7 @@
     }
 }
 
-const fn label(outcome: Outcome) -> &'static str {
+const fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Answered => "answered",
         Outcome::Rejected => "rejected",
