--- a/crates/tc-fleet/src/lib.rs
+++ b/crates/tc-fleet/src/lib.rs
@@ -30,8 +30,8 @@
 pub use fleet::{Fleet, LocalReport};
 pub use key::FleetKeys;
 pub use mesh::{
-    ChooseEngine, EvacuatedDomains, Gone, Mesh, MeshError, MeshHandlers, MeshSettings,
-    PiecesAnswer, SuspectRun, TellOutlook, TellRuns, UpstreamLimits, UpstreamNews, WorldHave,
-    WorldNews, WorldObject,
+    ChooseEngine, EvacuatedDomains, Mesh, MeshError, MeshHandlers, MeshSettings, PiecesAnswer,
+    RegistryEntry, Removed, SuspectTrial, TellOutlook, TellRuns, UpstreamLimits, UpstreamNews,
+    WorldHave, WorldNews,
 };
 pub use settings::{AskPolicy, FleetSettings};
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -60,7 +60,7 @@
 }
 
 /// The run of a request that may crash upstreams; others of its kind wait until it is dropped.
-pub struct SuspectRun {
+pub struct SuspectTrial {
     _trial: TrialGuard,
 }
 
@@ -180,18 +180,18 @@
     }
 
     /// This process did not run for a while: others may have taken it for dead.
-    pub fn woke(&self) {
+    pub fn resumed(&self) {
         let _ = self.inner.node.cast(MeshMsg::Woke);
     }
 
     /// A call to the instance was not answered in time: it is probed next. It may only be busy, so its connection stays: hundreds
     /// that connect anew because of one slow moment are what keeps a busy home from recovering.
-    pub fn probe(&self, id: &InstanceId) {
+    pub fn report_timeout(&self, id: &InstanceId) {
         let _ = self.inner.node.cast(MeshMsg::Probe(id.clone()));
     }
 
     /// A call to the instance failed: it is probed next, and the next call to it connects anew.
-    pub fn doubt(&self, id: &InstanceId) {
+    pub fn report_failed_call(&self, id: &InstanceId) {
         let _ = self.inner.node.cast(MeshMsg::Doubt(id.clone()));
     }
 
@@ -256,23 +256,23 @@
     /// over all instances, and not at all after a few crashes in a row.
     ///
     /// The guard is to be held until the run has ended.
-    pub async fn try_run(
+    pub async fn try_trial(
         &self,
         input: Fingerprint,
         service: &ServiceName,
         workspace: &WorkspaceName,
         slack: Duration,
-    ) -> Result<Option<SuspectRun>, PermitRefusal> {
+    ) -> Result<Option<SuspectTrial>, PermitRefusal> {
         let origin = Origin {
             workspace: workspace.clone(),
             service: service.clone(),
         };
         let trial = self.inner.suspects.try_trial(input, origin, slack).await?;
-        Ok(trial.map(|trial| SuspectRun { _trial: trial }))
+        Ok(trial.map(|trial| SuspectTrial { _trial: trial }))
     }
 
     /// An upstream's connection broke while it ran a request. Tells the home of such requests without waiting for it.
-    pub fn broke_under(
+    pub fn record_crash(
         &self,
         input: Fingerprint,
         service: &ServiceName,
@@ -289,7 +289,7 @@
     }
 
     /// A request ran to its end: it crashes nothing.
-    pub fn ran_whole(&self, input: Fingerprint) {
+    pub fn record_success(&self, input: Fingerprint) {
         self.inner.suspects.ran_whole(input);
     }
 
@@ -324,7 +324,7 @@
 
 pub(super) fn no_answer(member: &Member, status: &tonic::Status) -> MeshError {
     if matches!(status.code(), Code::DeadlineExceeded | Code::Cancelled) {
-        return MeshError::Late {
+        return MeshError::TimedOut {
             instance: member.id.clone(),
         };
     }
--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -27,7 +27,7 @@
     },
     /// It did not answer in time; it may only be busy.
     #[error("instance {instance} does not answer in time")]
-    Late {
+    TimedOut {
         /// Who was called.
         instance: InstanceId,
     },
--- a/crates/tc-fleet/src/mesh/mod.rs
+++ b/crates/tc-fleet/src/mesh/mod.rs
@@ -13,8 +13,10 @@
 mod suspects;
 mod world_news;
 
-pub use handle::{Mesh, MeshSettings, SuspectRun};
+pub use handle::{Mesh, MeshSettings, SuspectTrial};
 pub use limits::UpstreamLimits;
 pub use messages::{MeshError, PiecesAnswer};
 pub use service::{ChooseEngine, MeshHandlers, TellOutlook, TellRuns};
-pub use world_news::{EvacuatedDomains, Gone, UpstreamNews, WorldHave, WorldNews, WorldObject};
+pub use world_news::{
+    EvacuatedDomains, RegistryEntry, Removed, UpstreamNews, WorldHave, WorldNews,
+};
--- a/crates/tc-fleet/src/mesh/service.rs
+++ b/crates/tc-fleet/src/mesh/service.rs
@@ -53,7 +53,7 @@
     /// Takes up what became of runs whose engines were chosen here.
     pub tell_runs: Box<TellRuns>,
     /// Tells of the store: at once what the asker lacks, then each change, until the stream is dropped.
-    pub world: Box<dyn Fn(WorldHave) -> BoxStream<'static, WorldNews> + Send + Sync>,
+    pub follow_world: Box<dyn Fn(WorldHave) -> BoxStream<'static, WorldNews> + Send + Sync>,
 }
 
 /// The service; cheap to clone.
@@ -161,7 +161,7 @@
         req: Request<WireHave>,
     ) -> Result<Response<Self::FollowWorldStream>, Status> {
         let have = req.into_inner();
-        let news = (self.handlers.world)(WorldHave {
+        let news = (self.handlers.follow_world)(WorldHave {
             config_version: have.config_version,
             upstreams_revision: have.upstreams_revision,
             evacuated_revision: have.evacuated_revision,
--- a/crates/tc-fleet/src/mesh/world_news.rs
+++ b/crates/tc-fleet/src/mesh/world_news.rs
@@ -20,7 +20,7 @@
 
 /// An object of the store as it is handed on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorldObject {
+pub struct RegistryEntry {
     /// Its name.
     pub name: Arc<str>,
     /// Revision of its last change.
@@ -63,14 +63,14 @@
     /// Revision of the later list.
     pub revision: u64,
     /// Entries that are new or changed.
-    pub changed: Vec<WorldObject>,
+    pub changed: Vec<RegistryEntry>,
     /// Entries that are gone.
-    pub gone: Gone,
+    pub removed: Removed,
 }
 
 /// Which entries of a list are gone.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Gone {
+pub enum Removed {
     /// These, from the list of an earlier revision.
     Named {
         /// Revision of that list. On top of another one the differences would leave entries that are gone from both.
@@ -79,7 +79,7 @@
         names: Vec<Arc<str>>,
     },
     /// All but these.
-    AllBut(Vec<Arc<str>>),
+    AllExcept(Vec<Arc<str>>),
 }
 
 pub(super) fn world_news_to_wire(news: &WorldNews) -> wire::WorldNews {
@@ -112,11 +112,11 @@
 }
 
 fn upstream_news_to_wire(news: &UpstreamNews) -> wire::UpstreamNews {
-    let (names, is_whole, since) = match &news.gone {
-        Gone::Named { since, names } => (names, false, *since),
-        Gone::AllBut(names) => (names, true, 0),
+    let (names, is_whole, since) = match &news.removed {
+        Removed::Named { since, names } => (names, false, *since),
+        Removed::AllExcept(names) => (names, true, 0),
     };
-    let entry = |object: &WorldObject| wire::RegistryEntry {
+    let entry = |object: &RegistryEntry| wire::RegistryEntry {
         name: object.name.to_string(),
         revision: object.revision,
         value: object.value.to_string().into_bytes(),
@@ -152,21 +152,21 @@
 
 fn upstream_news_from_wire(news: &wire::UpstreamNews) -> Option<UpstreamNews> {
     let object = |entry: &wire::RegistryEntry| {
-        Some(WorldObject {
+        Some(RegistryEntry {
             name: entry.name.as_str().into(),
             revision: entry.revision,
             value: Arc::new(serde_json::from_slice(&entry.value).ok()?),
         })
     };
-    let changed: Option<Vec<WorldObject>> = news.changed.iter().map(object).collect();
+    let changed: Option<Vec<RegistryEntry>> = news.changed.iter().map(object).collect();
     let names = news.names.iter().map(|name| name.as_str().into()).collect();
     Some(UpstreamNews {
         revision: news.revision,
         changed: changed?,
-        gone: if news.is_whole {
-            Gone::AllBut(names)
+        removed: if news.is_whole {
+            Removed::AllExcept(names)
         } else {
-            Gone::Named {
+            Removed::Named {
                 since: news.since,
                 names,
             }
--- a/crates/tc-gateway/src/engines/ask.rs
+++ b/crates/tc-gateway/src/engines/ask.rs
@@ -34,9 +34,9 @@
             Err(error) => {
                 log::info!(service = ask.service.as_str(), home = home.id.as_str(), error = error.to_string().as_str(); "the home of engines does not answer; this instance chooses by itself");
                 match error {
-                    MeshError::Late { instance } => cx.mesh.probe(&instance),
+                    MeshError::TimedOut { instance } => cx.mesh.report_timeout(&instance),
                     MeshError::NoAnswer { .. } | MeshError::Malformed { .. } => {
-                        cx.mesh.doubt(&home.id);
+                        cx.mesh.report_failed_call(&home.id);
                     }
                 }
                 (cx.engines.choose_alone(&cx.mesh, ask)?, None)
--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -34,7 +34,7 @@
         free_results: Box::new(move |results| freers.free_results(&results)),
         choose_engine: Box::new(move |ask| choosers.choose(ask)),
         tell_runs: Box::new(move |service, news| told.note(service, news)),
-        world: Box::new(move |have| tell_world(&world, have, beat)),
+        follow_world: Box::new(move |have| tell_world(&world, have, beat)),
     })
 }
 
--- a/crates/tc-gateway/src/join.rs
+++ b/crates/tc-gateway/src/join.rs
@@ -238,7 +238,7 @@
             None => ComparisonOutcome::NoAnswer,
             Some(other) => mesh.compare_members(&other).await.unwrap_or_else(|error| {
                 log::debug!(error = error.to_string().as_str(); "an instance did not tell its members");
-                mesh.doubt(&other.id);
+                mesh.report_failed_call(&other.id);
                 ComparisonOutcome::NoAnswer
             }),
         };
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -300,7 +300,7 @@
 fn broke_under(cx: &RunContext, req: &RoutedRequest, upstream: &UpstreamId) {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
     cx.mesh
-        .broke_under(input, &req.service, &workspace, upstream.clone());
+        .record_crash(input, &req.service, &workspace, upstream.clone());
 }
 
 fn request_to(
--- a/crates/tc-gateway/src/run/home_ask.rs
+++ b/crates/tc-gateway/src/run/home_ask.rs
@@ -76,7 +76,7 @@
         Ok(answer) => Some(answer),
         Err(problem) => {
             log::warn!(request = &*ask.request, service = key, home = home.id.as_str(), problem = problem.as_str(); "the home of a stage does not answer");
-            cx.mesh.doubt(&home.id);
+            cx.mesh.report_failed_call(&home.id);
             failed.push(home.id);
             None
         }
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use http::{Response, StatusCode, request::Parts};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
-use tc_fleet::{Mesh, SuspectRun};
+use tc_fleet::{Mesh, SuspectTrial};
 use tc_protocol::{
     Fingerprint, MemberState, PermitRefusal, RefusalReason, ServiceName, UpstreamId, WorkspaceName,
     routing::{Route, RoutedWorkspace},
@@ -120,7 +120,7 @@
     /// Until its caller or its route ends it.
     pub(crate) allowed: TimeAllowed,
     /// Held while the request runs if it may crash upstreams.
-    pub(crate) suspect: Option<SuspectRun>,
+    pub(crate) suspect: Option<SuspectTrial>,
 }
 
 impl RoutedRequest {
@@ -204,7 +204,7 @@
 async fn hold_suspect(cx: &RunContext, req: &mut RoutedRequest) -> Result<(), Refusal> {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
     let slack = req.time_to_first();
-    let held = cx.mesh.try_run(input, &req.service, &workspace, slack);
+    let held = cx.mesh.try_trial(input, &req.service, &workspace, slack);
     req.suspect = held.await.map_err(|refused| refused_suspect(&refused))?;
     Ok(())
 }
--- a/crates/tc-gateway/src/run/plain.rs
+++ b/crates/tc-gateway/src/run/plain.rs
@@ -121,7 +121,7 @@
         Ok(body) => {
             cx.book.note(&upstream.id, CallHealth::Answered(first_byte));
             req.note_answer(&upstream.id, reply.head.status, attempts.sent);
-            cx.mesh.ran_whole(req.fingerprint());
+            cx.mesh.record_success(req.fingerprint());
             Ok(answer(cx, &reply.head, body))
         }
         Err(error) => {
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -278,7 +278,7 @@
             None if self.open.events.has_rest() => Err(Broken::from_end(None)),
             None => {
                 self.ended = true;
-                self.cx.mesh.ran_whole(self.req.fingerprint());
+                self.cx.mesh.record_success(self.req.fingerprint());
                 Ok(())
             }
         }
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -353,7 +353,7 @@
 
 /// An instance that was absent may have been taken for dead, and may take others for what they no longer are.
 async fn notice_absences(freezes: Arc<FreezeWatch>, mesh: Mesh) {
-    freezes.keep_looking(|| mesh.woke()).await;
+    freezes.keep_looking(|| mesh.resumed()).await;
 }
 
 async fn forget(cx: Arc<RunContext>) {
--- a/crates/tc-gateway/src/world/follow.rs
+++ b/crates/tc-gateway/src/world/follow.rs
@@ -225,6 +225,6 @@
         log::info!(from = from.as_str(), problem = problem; "an instance that is followed for news of the store does not tell any");
         self.following = None;
         self.source.source_failed(MonoTime::now(), from);
-        self.mesh.doubt(from);
+        self.mesh.report_failed_call(from);
     }
 }
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -23,7 +23,7 @@
 
 use arc_swap::ArcSwap;
 use serde_json::Value;
-use tc_fleet::{EvacuatedDomains, WorldHave, WorldNews, WorldObject};
+use tc_fleet::{EvacuatedDomains, RegistryEntry, WorldHave, WorldNews};
 use tc_platform::ObjectEvent;
 use tc_protocol::{FailureDomain, MonoTime, ServiceName, UpstreamId};
 use tokio::sync::watch::{Receiver, Sender};
@@ -327,7 +327,7 @@
     }
 
     /// Takes up the whole list of registered upstreams as of a revision.
-    pub(crate) fn replace_upstreams(&self, objects: &[WorldObject], at: u64) {
+    pub(crate) fn replace_upstreams(&self, objects: &[RegistryEntry], at: u64) {
         let _writing = self.write();
         let world = self.load();
         if at < world.upstreams.revision() {
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -8,7 +8,7 @@
 };
 
 use serde_json::Value;
-use tc_fleet::{Gone, UpstreamNews, WorldObject};
+use tc_fleet::{RegistryEntry, Removed, UpstreamNews};
 use tc_platform::{ObjectEvent, StoredObject};
 use tc_protocol::{
     FailureDomain, MonoTime, ServiceName, UpstreamId,
@@ -134,7 +134,7 @@
         UpstreamNews {
             revision: self.revision,
             changed: self.objects(|_, entry| entry.revision > revision),
-            gone: Gone::AllBut(self.entries.keys().cloned().collect()),
+            removed: Removed::AllExcept(self.entries.keys().cloned().collect()),
         }
     }
 
@@ -152,7 +152,7 @@
         differs.then(|| UpstreamNews {
             revision: self.revision,
             changed: self.objects(is_new),
-            gone: Gone::Named {
+            removed: Removed::Named {
                 since: earlier.revision,
                 names,
             },
@@ -160,11 +160,11 @@
     }
 
     /// Entries as they lie in the store, to be handed on.
-    fn objects(&self, which: impl Fn(&str, &Entry) -> bool) -> Vec<WorldObject> {
+    fn objects(&self, which: impl Fn(&str, &Entry) -> bool) -> Vec<RegistryEntry> {
         let entries = self.entries.iter();
         let chosen = entries.filter(|(name, entry)| which(name, entry));
         chosen
-            .map(|(name, entry)| WorldObject {
+            .map(|(name, entry)| RegistryEntry {
                 name: Arc::clone(name),
                 revision: entry.revision,
                 value: Arc::clone(&entry.raw),
@@ -178,8 +178,8 @@
         if news.revision < self.revision {
             return TakenUp::Older;
         }
-        let gone: Vec<Arc<str>> = match &news.gone {
-            Gone::Named { since, .. } if *since != self.revision => {
+        let gone: Vec<Arc<str>> = match &news.removed {
+            Removed::Named { since, .. } if *since != self.revision => {
                 let is_newer = news.revision > self.revision;
                 return if is_newer {
                     TakenUp::Unfit
@@ -187,8 +187,8 @@
                     TakenUp::Older
                 };
             }
-            Gone::Named { names, .. } => names.clone(),
-            Gone::AllBut(names) => {
+            Removed::Named { names, .. } => names.clone(),
+            Removed::AllExcept(names) => {
                 let left: HashSet<&Arc<str>> = names.iter().collect();
                 let gone = self.entries.keys().filter(|name| !left.contains(name));
                 gone.cloned().collect()
@@ -262,7 +262,7 @@
     }
 
     /// The table of a whole list.
-    pub(crate) fn replaced(&self, edges: &Edges, objects: &[WorldObject], at: u64) -> Self {
+    pub(crate) fn replaced(&self, edges: &Edges, objects: &[RegistryEntry], at: u64) -> Self {
         let entries = objects
             .iter()
             .map(|object| {
--- a/crates/tc-gateway/src/world/watch.rs
+++ b/crates/tc-gateway/src/world/watch.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
-use tc_fleet::WorldObject;
+use tc_fleet::RegistryEntry;
 use tc_platform::{ListPage, ObjectEvent, Purpose, Store, StoredObject};
 use tc_protocol::MonoTime;
 use tokio::{sync::watch::Receiver, time::timeout};
@@ -182,10 +182,10 @@
     fn take_list(&mut self, page: ListPage) {
         let world = self.cell.load();
         if world.upstreams.len() == 0 {
-            let objects: Vec<WorldObject> = page
+            let objects: Vec<RegistryEntry> = page
                 .items
                 .into_iter()
-                .map(|object| WorldObject {
+                .map(|object| RegistryEntry {
                     name: object.name,
                     revision: object.revision,
                     value: object.value,
