--- a/crates/tc-fleet/src/convert.rs
+++ b/crates/tc-fleet/src/convert.rs
@@ -40,7 +40,7 @@
 ];
 
 /// Position of `value` in `table`, which is its number on the wire; tables only ever grow at their end.
-fn number_of<T: PartialEq>(table: &[T], value: &T) -> u32 {
+fn to_number<T: PartialEq>(table: &[T], value: &T) -> u32 {
     table
         .iter()
         .position(|known| known == value)
@@ -51,11 +51,11 @@
     table.get(number as usize).copied()
 }
 
-pub(crate) fn reason_number(reason: RefusalReason) -> u32 {
-    number_of(&REASONS, &reason)
+pub(crate) fn reason_to_wire(reason: RefusalReason) -> u32 {
+    to_number(&REASONS, &reason)
 }
 
-pub(crate) fn reason_from(number: u32) -> RefusalReason {
+pub(crate) fn reason_from_wire(number: u32) -> RefusalReason {
     from_number(&REASONS, number).unwrap_or(RefusalReason::NoUpstream)
 }
 
@@ -76,7 +76,7 @@
         fleet_address: member.fleet_address.to_string(),
         failure_domain: member.failure_domain.to_string(),
         region: member.region.to_string(),
-        state: number_of(&MEMBER_STATES, &member.state),
+        state: to_number(&MEMBER_STATES, &member.state),
         refutation: record.refutation,
         revision: record.revision,
         strength: member.strength,
@@ -96,7 +96,7 @@
             state: from_number(&MEMBER_STATES, record.state)?,
             strength: match record.strength {
                 0 => Member::default_strength(),
-                told => told,
+                strength => strength,
             },
         },
         refutation: record.refutation,
@@ -212,8 +212,8 @@
     wire::PermitRelease {
         permit: release.permit.0,
         upstream: upstream.to_string(),
-        outcome: number_of(&OUTCOMES, &release.outcome),
-        run_state: number_of(&RUN_STATES, &release.run_state),
+        outcome: to_number(&OUTCOMES, &release.outcome),
+        run_state: to_number(&RUN_STATES, &release.run_state),
         cost: Some(cost_to_wire(&release.cost)),
         took_us: release.took.as_micros() as u64,
         first_byte_us: release
--- a/crates/tc-fleet/src/entry/ask.rs
+++ b/crates/tc-fleet/src/entry/ask.rs
@@ -30,7 +30,7 @@
     homes::{HomeAnswer, HomeAsk, HomeVerdict, HomesMsg},
     node::NodeMsg,
     peers::{PeerPool, ToHome},
-    summary::{SummaryTable, UseGuard},
+    summary::{InFlightGuard, SummaryTable},
     suspects::{CalledUpstream, Origin, SuspectTable, TrialGuard},
 };
 
@@ -150,7 +150,7 @@
     ) -> Option<Result<Granted, HomeVerdict>> {
         let number = self.next_ask.fetch_add(1, Relaxed);
         let id = target.state.upstream.id.clone();
-        let _in_use = self.args.summaries.cell(&id).map(UseGuard::new);
+        let _in_use = self.args.summaries.cell(&id).map(InFlightGuard::new);
         let (on_answer, answer) = oneshot::channel();
         // A grant that nobody takes gives itself back, so that an ask dropped at any moment leaks nothing.
         let route = self.route(&id, &target.home);
@@ -270,7 +270,10 @@
             retry_after: RETRY_AFTER,
         });
         metrics::counter!("tc_unreachable_homes_total").increment(1);
-        let _ = self.args.node.cast(NodeMsg::Doubt(target.home.clone()));
+        let _ = self
+            .args
+            .node
+            .cast(NodeMsg::CallFailed(target.home.clone()));
     }
 
     fn permit(
@@ -283,7 +286,7 @@
         let (permit, expires_in, waited) = granted.disarm();
         let id = target.state.upstream.id.clone();
         let key = self.hold(ask, target, permit, expires_in);
-        let in_use = self.args.summaries.cell(&id).map(UseGuard::new);
+        let in_use = self.args.summaries.cell(&id).map(InFlightGuard::new);
         let give_back = self.give_back(key, &id, &target.home);
         let suspects = Arc::clone(&self.args.suspects);
         let fingerprint = ask.fingerprint;
--- a/crates/tc-fleet/src/fleet.rs
+++ b/crates/tc-fleet/src/fleet.rs
@@ -162,7 +162,7 @@
     /// Configuration revisions: in force here, lowest over live instances, newest known.
     pub async fn revisions(&self) -> (u64, u64, u64) {
         match crate::server::ask(&self.inner.node, NodeMsg::Revisions).await {
-            Ok(revisions) => (revisions.in_force, revisions.lowest, revisions.newest),
+            Ok(revisions) => (revisions.active, revisions.lowest, revisions.newest),
             Err(_) => (0, 0, 0),
         }
     }
@@ -198,7 +198,7 @@
                 match peer.client().report(timed(ReportQuestion {})).await {
                     Ok(answer) => (id, Some(answer.into_inner().json)),
                     Err(status) => {
-                        log::warn!("{}", peer.failed(&status));
+                        log::warn!("{}", peer.call_error(&status));
                         (id, None)
                     }
                 }
@@ -216,7 +216,7 @@
             let message = if drained {
                 NodeMsg::Leave
             } else {
-                NodeMsg::Stay
+                NodeMsg::CancelLeave
             };
             let _ = self.inner.node.cast(message);
             return Ok(());
@@ -229,7 +229,7 @@
         let answered = peer.client().leave(order).await;
         answered
             .map(|_| ())
-            .map_err(|status| peer.failed(&status).to_string())
+            .map_err(|status| peer.call_error(&status).to_string())
     }
 
     /// Whether an operator drained the upstream, as of the last read of the marks.
--- a/crates/tc-fleet/src/gossip.rs
+++ b/crates/tc-fleet/src/gossip.rs
@@ -28,7 +28,7 @@
     /// Sends one datagram without waiting; a full socket buffer loses it, as the network might.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let mut bytes = datagram.encode_to_vec();
-        self.keys.seal(&mut bytes);
+        self.keys.sign(&mut bytes);
         if bytes.len() > MAX_DATAGRAM {
             metrics::counter!("tc_gossip_oversized_total").increment(1);
             return;
@@ -42,7 +42,7 @@
     }
 
     /// Hands every authentic datagram on until nobody takes them any more.
-    pub(crate) async fn receive(self, hand_on: impl Fn(Datagram) -> bool) {
+    pub(crate) async fn receive(self, on_datagram: impl Fn(Datagram) -> bool) {
         let mut buf = vec![0; MAX_DATAGRAM + 1];
         loop {
             let Ok((length, _from)) = self.socket.recv_from(&mut buf).await else {
@@ -51,17 +51,17 @@
             };
             metrics::counter!("tc_gossip_bytes_total", "way" => "received")
                 .increment(length as u64);
-            let Some(datagram) = self.open(&buf[..length]) else {
+            let Some(datagram) = self.decode(&buf[..length]) else {
                 metrics::counter!("tc_gossip_refused_total").increment(1);
                 continue;
             };
-            if !hand_on(datagram) {
+            if !on_datagram(datagram) {
                 return;
             }
         }
     }
 
-    fn open(&self, bytes: &[u8]) -> Option<Datagram> {
-        Datagram::decode(self.keys.open(bytes)?).ok()
+    fn decode(&self, bytes: &[u8]) -> Option<Datagram> {
+        Datagram::decode(self.keys.verify(bytes)?).ok()
     }
 }
--- a/crates/tc-fleet/src/key.rs
+++ b/crates/tc-fleet/src/key.rs
@@ -22,7 +22,7 @@
 /// Metadata key of the token on calls between instances.
 pub(crate) const TOKEN_HEADER: &str = "x-fleet-token";
 
-const LEAST_KEY_BYTES: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 const TOKEN_CONTEXT: &[u8] = b"tanagercroft fleet call v1";
 
 /// The shared keys of a fleet.
@@ -44,19 +44,19 @@
         let mut macs = Vec::with_capacity(keys.len());
         for key in keys {
             let key = key.as_ref().as_bytes();
-            if key.len() < LEAST_KEY_BYTES {
+            if key.len() < MIN_KEY_BYTES {
                 return Err(FleetError::ShortKey {
-                    least: LEAST_KEY_BYTES,
+                    least: MIN_KEY_BYTES,
                 });
             }
             let mac = HmacSha256::new_from_slice(key).map_err(|_| FleetError::ShortKey {
-                least: LEAST_KEY_BYTES,
+                least: MIN_KEY_BYTES,
             })?;
             macs.push(mac);
         }
         if macs.is_empty() {
             return Err(FleetError::ShortKey {
-                least: LEAST_KEY_BYTES,
+                least: MIN_KEY_BYTES,
             });
         }
         let tokens = macs.iter().map(token_of).collect();
@@ -67,22 +67,22 @@
     }
 
     /// Appends the tag of `bytes` to them.
-    pub(crate) fn seal(&self, bytes: &mut Vec<u8>) {
+    pub(crate) fn sign(&self, bytes: &mut Vec<u8>) {
         let mut mac = self.macs[0].clone();
         mac.update(bytes);
         bytes.extend_from_slice(&mac.finalize().into_bytes());
     }
 
     /// The bytes before the tag, if the tag fits any key.
-    pub(crate) fn open<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
-        let split = datagram.len().checked_sub(TAG_BYTES)?;
-        let (bytes, tag) = datagram.split_at(split);
-        let fits = self.macs.iter().any(|mac| {
+    pub(crate) fn verify<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
+        let tag_start = datagram.len().checked_sub(TAG_BYTES)?;
+        let (bytes, tag) = datagram.split_at(tag_start);
+        let is_valid = self.macs.iter().any(|mac| {
             let mut mac = mac.clone();
             mac.update(bytes);
             mac.verify_slice(tag).is_ok()
         });
-        fits.then_some(bytes)
+        is_valid.then_some(bytes)
     }
 
     /// The token this instance sends with calls.
@@ -91,7 +91,7 @@
     }
 
     /// Whether a received token fits any key, in constant time per key.
-    pub(crate) fn token_fits(&self, token: &[u8]) -> bool {
+    pub(crate) fn verify_token(&self, token: &[u8]) -> bool {
         self.tokens
             .iter()
             .any(|known| known.as_bytes().ct_eq(token).into())
--- a/crates/tc-fleet/src/loads.rs
+++ b/crates/tc-fleet/src/loads.rs
@@ -46,7 +46,7 @@
             let upstream = id.clone();
             let leaving = report.leaving;
             if node
-                .cast(NodeMsg::SaysLeaving { upstream, leaving })
+                .cast(NodeMsg::UpstreamLeaving { upstream, leaving })
                 .is_err()
             {
                 return;
--- a/crates/tc-fleet/src/mesh/actor.rs
+++ b/crates/tc-fleet/src/mesh/actor.rs
@@ -24,16 +24,16 @@
 };
 
 /// Shortest wait between two ticks, so that a timer that is always due cannot keep the thread busy.
-const LEAST_TICK: Duration = Duration::from_millis(10);
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A datagram up to this many bytes has room for limits beside its news of members.
-const ROOMY_DATAGRAM: usize = 1_000;
+const MAX_BYTES_BEFORE_LIMITS: usize = 1_000;
 
 /// What another instance says when it compares its list of members with this one's.
 pub(crate) struct Introduced {
     pub(super) other: Record,
     /// Digest of its list; 0 when it wants all.
-    pub(super) view: u64,
+    pub(super) view_digest: u64,
     pub(super) known: HashSet<u32>,
     /// It wants to be known, and no list.
     pub(super) only_announces: bool,
@@ -43,20 +43,20 @@
 pub(crate) enum MeshMsg {
     Datagram(Box<Datagram>),
     /// Records of an introduction; answered with whether anything of them was news.
-    Learn(Vec<Record>, oneshot::Sender<bool>),
+    MergeRecords(Vec<Record>, oneshot::Sender<bool>),
     /// Another instance tells of itself and of its view, and wants to know what it lacks; answered with nothing when both
     /// views are the same.
     Introduced(Box<Introduced>, oneshot::Sender<Option<Vec<Record>>>),
     /// Short hashes of the members that are known here.
-    Known(oneshot::Sender<Vec<u32>>),
+    MemberHashes(oneshot::Sender<Vec<u32>>),
     /// A call to it failed: connect to it anew, and probe it next.
-    Doubt(InstanceId),
+    CallFailed(InstanceId),
     /// It did not answer a call in time: probe it next.
-    Probe(InstanceId),
+    CallTimedOut(InstanceId),
     /// Tell every instance of suspects now.
-    SpreadSuspects,
+    AnnounceToAll,
     /// This process was absent for a while.
-    Woke,
+    Resumed,
     Leave,
     Tick,
 }
@@ -65,7 +65,7 @@
 pub(super) struct Published {
     pub(super) members: ArcSwap<Vec<Member>>,
     /// Digest of the members that are not dead.
-    pub(super) view: AtomicU64,
+    pub(super) view_digest: AtomicU64,
     /// Counts changes of the members.
     pub(super) changes: watch::Sender<u64>,
 }
@@ -98,7 +98,7 @@
         myself: ActorRef<MeshMsg>,
         args: MeshArgs,
     ) -> Result<MeshState, ActorProcessingErr> {
-        myself.send_after(LEAST_TICK, || MeshMsg::Tick);
+        myself.send_after(MIN_TICK_INTERVAL, || MeshMsg::Tick);
         let membership = Membership::new(args.timing.clone(), args.me.clone(), rand::random());
         let mut state = MeshState { membership, args };
         state.publish();
@@ -112,53 +112,53 @@
         state: &mut MeshState,
     ) -> Result<(), ActorProcessingErr> {
         let now = MonoTime::now();
-        state.take(now, message, &myself);
+        state.handle_message(now, message, &myself);
         state.publish();
         Ok(())
     }
 }
 
 impl MeshState {
-    fn take(&mut self, now: MonoTime, message: MeshMsg, myself: &ActorRef<MeshMsg>) {
+    fn handle_message(&mut self, now: MonoTime, message: MeshMsg, myself: &ActorRef<MeshMsg>) {
         match message {
-            MeshMsg::Datagram(datagram) => self.datagram(now, &datagram),
-            MeshMsg::Learn(records, reply) => {
-                let news = self.membership.merge_records(now, &records);
+            MeshMsg::Datagram(datagram) => self.handle_datagram(now, &datagram),
+            MeshMsg::MergeRecords(records, reply) => {
+                let changed = self.membership.merge_records(now, &records);
                 self.tick(now);
                 // Fails only when nobody waits for it any more.
-                let _ = reply.send(news);
+                let _ = reply.send(changed);
             }
             MeshMsg::Introduced(introduced, reply) => {
                 let Introduced {
                     other,
-                    view,
+                    view_digest,
                     known,
                     only_announces,
                 } = *introduced;
                 self.membership.merge_records(now, &[other]);
-                let differs = !only_announces && self.membership.view_digest() != view;
-                let lacking = differs.then(|| self.membership.missing_records(&known));
+                let is_different = !only_announces && self.membership.view_digest() != view_digest;
+                let missing = is_different.then(|| self.membership.missing_records(&known));
                 // Fails only when the other has given up.
-                let _ = reply.send(lacking);
+                let _ = reply.send(missing);
             }
-            MeshMsg::Known(reply) => {
+            MeshMsg::MemberHashes(reply) => {
                 // Fails only when nobody waits for it any more.
                 let _ = reply.send(self.membership.member_hashes());
             }
-            MeshMsg::Doubt(id) => {
+            MeshMsg::CallFailed(id) => {
                 self.args.peers.forget(&id);
                 self.membership.report_failed_call(now, &id);
                 self.tick(now);
             }
-            MeshMsg::Probe(id) => {
+            MeshMsg::CallTimedOut(id) => {
                 self.membership.report_failed_call(now, &id);
                 self.tick(now);
             }
-            MeshMsg::SpreadSuspects => {
+            MeshMsg::AnnounceToAll => {
                 let outgoing = self.membership.announce_to_all();
                 self.send(outgoing);
             }
-            MeshMsg::Woke => {
+            MeshMsg::Resumed => {
                 // What it knew before may be wrong by now: others may have taken it for dead.
                 self.membership.resumed(now);
                 self.tick(now);
@@ -170,12 +170,12 @@
             MeshMsg::Tick => {
                 self.tick(now);
                 let wait = self.membership.next_wake().since(MonoTime::now());
-                myself.send_after(wait.max(LEAST_TICK), || MeshMsg::Tick);
+                myself.send_after(wait.max(MIN_TICK_INTERVAL), || MeshMsg::Tick);
             }
         }
     }
 
-    fn datagram(&mut self, now: MonoTime, datagram: &Datagram) {
+    fn handle_datagram(&mut self, now: MonoTime, datagram: &Datagram) {
         let Some(message) = convert::message_from_wire(datagram) else {
             metrics::counter!("tc_gossip_refused_total").increment(1);
             return;
@@ -198,7 +198,7 @@
                 .args
                 .suspects
                 .to_gossip(MonoTime::now(), SUSPECTS_PER_DATAGRAM);
-            if datagram.encoded_len() <= ROOMY_DATAGRAM {
+            if datagram.encoded_len() <= MAX_BYTES_BEFORE_LIMITS {
                 datagram.limits = self.args.limits.to_gossip();
             }
             self.args.socket.send(out.to, &datagram);
@@ -211,10 +211,10 @@
         }
         let published = &self.args.published;
         let members = self.membership.members();
-        note_changes(&published.members.load(), &members);
+        log_state_changes(&published.members.load(), &members);
         published.members.store(Arc::new(members));
-        let view = self.membership.view_digest();
-        published.view.store(view, Ordering::Release);
+        let view_digest = self.membership.view_digest();
+        published.view_digest.store(view_digest, Ordering::Release);
         published.changes.send_modify(|count| *count += 1);
     }
 }
@@ -223,7 +223,7 @@
 ///
 /// Both lists are in order of identifier and are walked once together: looked up one by one, the members of a fleet of
 /// hundreds cost half a millisecond a change, and a failure domain that is lost brings hundreds of changes.
-fn note_changes(before: &[Member], after: &[Member]) {
+fn log_state_changes(before: &[Member], after: &[Member]) {
     let mut before = before.iter().peekable();
     for member in after {
         while before.next_if(|known| known.id < member.id).is_some() {}
@@ -240,7 +240,7 @@
 }
 
 /// Addresses of members other than `me` that may answer.
-pub(super) fn others(members: &[Member], me: &InstanceId) -> Vec<SocketAddr> {
+pub(super) fn other_addresses(members: &[Member], me: &InstanceId) -> Vec<SocketAddr> {
     members
         .iter()
         .filter(|m| m.id != *me && m.state != MemberState::Dead)
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -22,9 +22,12 @@
 use tonic::{Code, Request, transport::server::TcpIncoming};
 
 use super::{
-    actor::{MeshActor, MeshArgs, MeshMsg, Published, others},
+    actor::{MeshActor, MeshArgs, MeshMsg, Published, other_addresses},
     limits::UpstreamLimits,
-    messages::{MeshError, PiecesAnswer, answer_from_wire, ask_to_wire, outlook_from_wire, texts},
+    messages::{
+        MeshError, PiecesAnswer, outlook_from_wire, pieces_answer_from_wire, results_to_wire,
+        stage_request_to_wire,
+    },
     peers::Peers,
     service::{MeshHandlers, Service},
     suspects::suspect_table,
@@ -40,7 +43,7 @@
 };
 
 /// How long an ask for pieces may outlive the request's own time, for the way back.
-const ASK_GRACE: Duration = Duration::from_millis(200);
+const RESPONSE_GRACE: Duration = Duration::from_millis(200);
 
 /// What [`Mesh::start`] needs to know.
 #[derive(Clone, Debug)]
@@ -59,9 +62,9 @@
     pub limits: Arc<UpstreamLimits>,
 }
 
-/// The run of a request that may crash upstreams; others of its kind wait until it is dropped.
+/// The run of a request that may crash upstreams; other_addresses of its kind wait until it is dropped.
 pub struct SuspectTrial {
-    _trial: TrialGuard,
+    _guard: TrialGuard,
 }
 
 /// Handle of the mesh; clones share it.
@@ -89,14 +92,14 @@
         handlers: Arc<MeshHandlers>,
     ) -> Result<Self, FleetError> {
         let address = settings.listen;
-        let listen = |source| FleetError::Listen { address, source };
-        let listener = TcpListener::bind(address).await.map_err(listen)?;
-        let socket = UdpSocket::bind(address).await.map_err(listen)?;
+        let listen_error = |source| FleetError::Listen { address, source };
+        let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+        let socket = UdpSocket::bind(address).await.map_err(listen_error)?;
         let socket = GossipSocket::new(socket, settings.keys.clone());
         let peers = Arc::new(Peers::new(address.ip(), settings.keys.clone()));
         let published = Arc::new(Published {
             members: ArcSwap::from_pointee(vec![settings.me.clone()]),
-            view: AtomicU64::new(0),
+            view_digest: AtomicU64::new(0),
             changes: watch::Sender::new(0),
         });
         let suspects = Arc::new(suspect_table(&settings.me.id, &published, &peers));
@@ -118,9 +121,9 @@
                 to_node.cast(MeshMsg::Datagram(Box::new(datagram))).is_ok()
             }),
         );
-        let spreader = node.clone();
+        let to_node = node.clone();
         suspects.set_spread_now(Box::new(move || {
-            let _ = spreader.cast(MeshMsg::SpreadSuspects);
+            let _ = to_node.cast(MeshMsg::AnnounceToAll);
         }));
         let service = Service {
             node: node.clone(),
@@ -159,19 +162,19 @@
         self.inner.published.changes.subscribe()
     }
 
-    /// The instance that holds the role named by `key`, leaving out those in `except`.
+    /// The instance that holds the role named by `key`, leaving out those in `excluded`.
     #[must_use]
-    pub fn home(&self, key: &str, except: &[InstanceId]) -> Option<Member> {
+    pub fn home(&self, key: &str, excluded: &[InstanceId]) -> Option<Member> {
         let members = self.members();
-        if except.is_empty() {
+        if excluded.is_empty() {
             return home_of(key, &members, None, None).cloned();
         }
-        let left: Vec<Member> = members
+        let remaining: Vec<Member> = members
             .iter()
-            .filter(|m| !except.contains(&m.id))
+            .filter(|m| !excluded.contains(&m.id))
             .cloned()
             .collect();
-        home_of(key, &left, None, None).cloned()
+        home_of(key, &remaining, None, None).cloned()
     }
 
     /// First step of a planned stop: tells everyone that this instance is leaving.
@@ -179,42 +182,42 @@
         let _ = self.inner.node.cast(MeshMsg::Leave);
     }
 
-    /// This process did not run for a while: others may have taken it for dead.
+    /// This process did not run for a while: other_addresses may have taken it for dead.
     pub fn resumed(&self) {
-        let _ = self.inner.node.cast(MeshMsg::Woke);
+        let _ = self.inner.node.cast(MeshMsg::Resumed);
     }
 
     /// A call to the instance was not answered in time: it is probed next. It may only be busy, so its connection stays: hundreds
     /// that connect anew because of one slow moment are what keeps a busy home from recovering.
     pub fn report_timeout(&self, id: &InstanceId) {
-        let _ = self.inner.node.cast(MeshMsg::Probe(id.clone()));
+        let _ = self.inner.node.cast(MeshMsg::CallTimedOut(id.clone()));
     }
 
     /// A call to the instance failed: it is probed next, and the next call to it connects anew.
     pub fn report_failed_call(&self, id: &InstanceId) {
-        let _ = self.inner.node.cast(MeshMsg::Doubt(id.clone()));
+        let _ = self.inner.node.cast(MeshMsg::CallFailed(id.clone()));
     }
 
     /// Fleet addresses of the other instances that may answer.
     #[must_use]
     pub fn other_addresses(&self) -> Vec<SocketAddr> {
-        others(&self.members(), &self.inner.me.id)
+        other_addresses(&self.members(), &self.inner.me.id)
     }
 
     /// Asks a home to make the pieces of a stage. Dropping the future cancels what was not started.
     pub async fn make_pieces(
         &self,
         home: &Member,
-        ask: &StageRequest,
+        request: &StageRequest,
     ) -> Result<PiecesAnswer, MeshError> {
-        let mut req = Request::new(ask_to_wire(ask));
-        req.set_timeout(ask.remaining + ASK_GRACE);
+        let mut req = Request::new(stage_request_to_wire(request));
+        req.set_timeout(request.remaining + RESPONSE_GRACE);
         let mut client = self.inner.peers.client(home);
         let answer = client
             .make_pieces(req)
             .await
-            .map_err(|status| no_answer(home, &status))?;
-        answer_from_wire(&answer.into_inner()).ok_or_else(|| MeshError::Malformed {
+            .map_err(|status| call_error(home, &status))?;
+        pieces_answer_from_wire(&answer.into_inner()).ok_or_else(|| MeshError::Malformed {
             instance: home.id.clone(),
         })
     }
@@ -226,13 +229,13 @@
         results: &[ResultHandle],
     ) -> Result<(), MeshError> {
         let req = timed(FreeResultsMessage {
-            results: texts(results),
+            results: results_to_wire(results),
         });
         let mut client = self.inner.peers.client(home);
         let answer = client.free_results(req).await;
         answer
             .map(|_| ())
-            .map_err(|status| no_answer(home, &status))
+            .map_err(|status| call_error(home, &status))
     }
 
     /// Asks the home of a batch service how it stands; `None` when it is not the home.
@@ -248,7 +251,7 @@
         let answer = client
             .tell_outlook(req)
             .await
-            .map_err(|status| no_answer(home, &status))?;
+            .map_err(|status| call_error(home, &status))?;
         Ok(answer.into_inner().home.as_ref().map(outlook_from_wire))
     }
 
@@ -267,8 +270,8 @@
             workspace: workspace.clone(),
             service: service.clone(),
         };
-        let trial = self.inner.suspects.try_trial(input, origin, slack).await?;
-        Ok(trial.map(|trial| SuspectTrial { _trial: trial }))
+        let guard = self.inner.suspects.try_trial(input, origin, slack).await?;
+        Ok(guard.map(|guard| SuspectTrial { _guard: guard }))
     }
 
     /// An upstream's connection broke while it ran a request. Tells the home of such requests without waiting for it.
@@ -310,19 +313,19 @@
         let news = client
             .follow_world(have)
             .await
-            .map_err(|status| no_answer(from, &status))?;
+            .map_err(|status| call_error(from, &status))?;
         let from = from.clone();
-        let read = move |news: Result<wire::WorldNews, tonic::Status>| {
-            let news = news.map_err(|status| no_answer(&from, &status))?;
+        let from_wire = move |news: Result<wire::WorldNews, tonic::Status>| {
+            let news = news.map_err(|status| call_error(&from, &status))?;
             world_news_from_wire(&news).ok_or_else(|| MeshError::Malformed {
                 instance: from.id.clone(),
             })
         };
-        Ok(news.into_inner().map(read).boxed())
+        Ok(news.into_inner().map(from_wire).boxed())
     }
 }
 
-pub(super) fn no_answer(member: &Member, status: &tonic::Status) -> MeshError {
+pub(super) fn call_error(member: &Member, status: &tonic::Status) -> MeshError {
     if matches!(status.code(), Code::DeadlineExceeded | Code::Cancelled) {
         return MeshError::TimedOut {
             instance: member.id.clone(),
--- a/crates/tc-fleet/src/mesh/limits.rs
+++ b/crates/tc-fleet/src/mesh/limits.rs
@@ -14,13 +14,13 @@
 use crate::{convert, generated as wire};
 
 /// Limits in one datagram at most.
-const LIMITS_PER_DATAGRAM: usize = 4;
+const MAX_LIMITS_PER_DATAGRAM: usize = 4;
 /// Limits in one report to a home at most.
-const LIMITS_PER_REPORT: usize = 16;
+const MAX_LIMITS_PER_REPORT: usize = 16;
 /// Limits in one ask for an engine at most.
-const LIMITS_PER_ASK: usize = 32;
+const MAX_LIMITS_PER_REQUEST: usize = 32;
 /// Announcements up to this age go into reports to homes. Longer than the gathering of reports.
-const REPORTED_AGE: Duration = Duration::from_secs(1);
+const MAX_REPORTED_AGE: Duration = Duration::from_secs(1);
 
 /// The rate limits known to this instance, from answers and from other instances.
 #[derive(Debug, Default)]
@@ -68,44 +68,50 @@
     }
 
     /// Takes up what another instance told.
-    pub(super) fn receive<'a>(&self, news: impl IntoIterator<Item = &'a wire::UpstreamLimit>) {
-        let mut news = news.into_iter().filter_map(limit_from_wire).peekable();
-        if news.peek().is_none() {
+    pub(super) fn receive<'a>(&self, updates: impl IntoIterator<Item = &'a wire::UpstreamLimit>) {
+        let mut updates = updates.into_iter().filter_map(limit_from_wire).peekable();
+        if updates.peek().is_none() {
             return;
         }
         let now = MonoTime::now();
         let mut known = self.lock();
-        for news in news {
-            let at = now.before(news.age);
-            if let Some(change) = known.observe(&news.upstream, news.limit, at) {
-                log_change(&known, &news.upstream, change, "instance");
+        for update in updates {
+            let at = now.before(update.age);
+            if let Some(change) = known.observe(&update.upstream, update.limit, at) {
+                log_change(&known, &update.upstream, change, "instance");
             }
         }
     }
 
     /// Returns limits for the next datagram.
     pub(super) fn to_gossip(&self) -> Vec<wire::UpstreamLimit> {
-        let news = self.lock().to_gossip(MonoTime::now(), LIMITS_PER_DATAGRAM);
-        news.iter().map(limit_to_wire).collect()
+        let updates = self
+            .lock()
+            .to_gossip(MonoTime::now(), MAX_LIMITS_PER_DATAGRAM);
+        updates.iter().map(limit_to_wire).collect()
     }
 
     /// Returns limits for a report to a home.
     pub(super) fn to_report(&self) -> Vec<wire::UpstreamLimit> {
         let now = MonoTime::now();
-        let news = self.lock().recent(now, REPORTED_AGE, LIMITS_PER_REPORT);
-        news.iter().map(limit_to_wire).collect()
+        let updates = self
+            .lock()
+            .recent(now, MAX_REPORTED_AGE, MAX_LIMITS_PER_REPORT);
+        updates.iter().map(limit_to_wire).collect()
     }
 
     /// Returns limits for an ask, which the home goes by even if it has just started.
-    pub(super) fn to_ask(&self) -> Vec<wire::UpstreamLimit> {
-        let news = self.lock().in_force(MonoTime::now(), LIMITS_PER_ASK);
-        news.iter().map(limit_to_wire).collect()
+    pub(super) fn to_engine_request(&self) -> Vec<wire::UpstreamLimit> {
+        let updates = self
+            .lock()
+            .in_force(MonoTime::now(), MAX_LIMITS_PER_REQUEST);
+        updates.iter().map(limit_to_wire).collect()
     }
 
     /// Returns the limit of an engine that an asker is to use.
-    pub(super) fn to_asker(&self, upstream: &UpstreamId) -> Option<wire::UpstreamLimit> {
-        let news = self.lock().news_of(MonoTime::now(), upstream);
-        news.as_ref().map(limit_to_wire)
+    pub(super) fn for_engine(&self, upstream: &UpstreamId) -> Option<wire::UpstreamLimit> {
+        let update = self.lock().news_of(MonoTime::now(), upstream);
+        update.as_ref().map(limit_to_wire)
     }
 
     fn lock(&self) -> MutexGuard<'_, KnownLimits> {
@@ -118,23 +124,23 @@
     log::info!(upstream = upstream.as_str(), source = source, per_s = change.after.map(RateLimit::per_s), before_per_s = change.before.map(RateLimit::per_s); "upstream limit changed");
 }
 
-fn limit_to_wire(news: &RateLimitUpdate) -> wire::UpstreamLimit {
+fn limit_to_wire(update: &RateLimitUpdate) -> wire::UpstreamLimit {
     wire::UpstreamLimit {
-        upstream: news.upstream.to_string(),
-        per_s: news.limit.map(RateLimit::per_s),
-        age_ms: convert::millis(news.age),
+        upstream: update.upstream.to_string(),
+        per_s: update.limit.map(RateLimit::per_s),
+        age_ms: convert::millis(update.age),
     }
 }
 
 /// Returns `None` for a rate that is none.
-fn limit_from_wire(news: &wire::UpstreamLimit) -> Option<RateLimitUpdate> {
-    let limit = match news.per_s {
+fn limit_from_wire(update: &wire::UpstreamLimit) -> Option<RateLimitUpdate> {
+    let limit = match update.per_s {
         Some(per_s) => Some(RateLimit::new(per_s)?),
         None => None,
     };
     Some(RateLimitUpdate {
-        upstream: news.upstream.as_str().into(),
+        upstream: update.upstream.as_str().into(),
         limit,
-        age: convert::from_millis(news.age_ms),
+        age: convert::from_millis(update.age_ms),
     })
 }
--- a/crates/tc-fleet/src/mesh/members.rs
+++ b/crates/tc-fleet/src/mesh/members.rs
@@ -17,8 +17,8 @@
     /// Introduces this instance at an address and takes up the members known there.
     pub async fn introduce_at(&self, address: SocketAddr) -> Result<(), MeshError> {
         let client = self.inner.peers.client_at(address);
-        let asked: InstanceId = address.to_string().into();
-        self.compare_with(client, &asked).await.map(|_| ())
+        let peer_id: InstanceId = address.to_string().into();
+        self.compare_with(client, &peer_id).await.map(|_| ())
     }
 
     /// Makes this instance known at an address without asking who there is.
@@ -54,18 +54,18 @@
     async fn compare_with(
         &self,
         mut client: Client,
-        asked: &InstanceId,
+        peer_id: &InstanceId,
     ) -> Result<ComparisonOutcome, MeshError> {
         let no_answer = |problem: String| MeshError::NoAnswer {
-            instance: asked.clone(),
+            instance: peer_id.clone(),
             problem,
         };
         let stopping = |_| no_answer("this instance is stopping".to_owned());
         let (reply, known) = oneshot::channel();
-        let _ = self.inner.node.cast(MeshMsg::Known(reply));
+        let _ = self.inner.node.cast(MeshMsg::MemberHashes(reply));
         let introduction = timed(Introduction {
             me: Some(self.own_record()),
-            view: self.inner.published.view.load(Ordering::Acquire),
+            view: self.inner.published.view_digest.load(Ordering::Acquire),
             known: known.await.map_err(stopping)?,
             only_announces: false,
         });
@@ -75,12 +75,12 @@
         if list.same_view {
             return Ok(ComparisonOutcome::Same);
         }
-        let lacking = list.members.iter();
-        let lacking: Vec<Record> = lacking.filter_map(convert::record_from_wire).collect();
-        let (reply, news) = oneshot::channel();
-        let _ = self.inner.node.cast(MeshMsg::Learn(lacking, reply));
-        let news = news.await.map_err(stopping)?;
-        Ok(if news {
+        let missing = list.members.iter();
+        let missing: Vec<Record> = missing.filter_map(convert::record_from_wire).collect();
+        let (reply, changed) = oneshot::channel();
+        let _ = self.inner.node.cast(MeshMsg::MergeRecords(missing, reply));
+        let changed = changed.await.map_err(stopping)?;
+        Ok(if changed {
             ComparisonOutcome::Updated
         } else {
             ComparisonOutcome::Unchanged
--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -50,39 +50,39 @@
     pub is_late_return: bool,
 }
 
-pub(super) fn ask_to_wire(ask: &StageRequest) -> wire::PiecesAskMessage {
-    let (input_key, input_results) = match &ask.input {
+pub(super) fn stage_request_to_wire(request: &StageRequest) -> wire::PiecesAskMessage {
+    let (input_key, input_results) = match &request.input {
         PieceInput::Request(key) => (key.to_string(), Vec::new()),
-        PieceInput::Results(results) => (String::new(), texts(results)),
+        PieceInput::Results(results) => (String::new(), results_to_wire(results)),
     };
     wire::PiecesAskMessage {
-        request: ask.request.to_string(),
-        service: ask.service.to_string(),
-        stage: ask.stage,
-        pieces: ask.pieces,
+        request: request.request.to_string(),
+        service: request.service.to_string(),
+        stage: request.stage,
+        pieces: request.pieces,
         input_key,
         input_results,
-        result_bytes: ask.result_bytes,
-        rank: u32::from(ask.priority),
-        in_time_for_ms: convert::millis(ask.until_latency_target),
-        remaining_ms: convert::millis(ask.remaining),
-        prefer: ask
+        result_bytes: request.result_bytes,
+        rank: u32::from(request.priority),
+        in_time_for_ms: convert::millis(request.until_latency_target),
+        remaining_ms: convert::millis(request.remaining),
+        prefer: request
             .preferred_domain
             .as_ref()
             .map(ToString::to_string)
             .unwrap_or_default(),
-        held_bytes: ask.held_bytes,
-        is_last_reader: ask.is_last_reader,
-        following: following_to_wire(&ask.dependents),
-        chain: ask.chain.as_ref().map(chain_to_wire),
+        held_bytes: request.held_bytes,
+        is_last_reader: request.is_last_reader,
+        following: dependents_to_wire(&request.dependents),
+        chain: request.chain.as_ref().map(chain_to_wire),
     }
 }
 
-pub(super) fn ask_from_wire(message: &wire::PiecesAskMessage) -> StageRequest {
+pub(super) fn stage_request_from_wire(message: &wire::PiecesAskMessage) -> StageRequest {
     let input = if message.input_results.is_empty() {
         PieceInput::Request(message.input_key.as_str().into())
     } else {
-        PieceInput::Results(handles(&message.input_results).into())
+        PieceInput::Results(results_from_wire(&message.input_results).into())
     };
     StageRequest {
         request: message.request.as_str().into(),
@@ -97,7 +97,7 @@
         preferred_domain: (!message.prefer.is_empty()).then(|| message.prefer.as_str().into()),
         held_bytes: message.held_bytes,
         is_last_reader: message.is_last_reader,
-        dependents: following_from_wire(&message.following),
+        dependents: dependents_from_wire(&message.following),
         chain: message.chain.as_ref().and_then(chain_from_wire),
     }
 }
@@ -127,8 +127,8 @@
 fn chain_from_wire(chain: &wire::Chain) -> Option<StageChain> {
     let stage = |(index, stage): (usize, &wire::ChainStage)| {
         let depends_on: Vec<usize> = stage.after.iter().map(|before| *before as usize).collect();
-        let is_sound = depends_on.iter().all(|before| *before < index);
-        is_sound.then(|| RouteStage {
+        let is_valid = depends_on.iter().all(|before| *before < index);
+        is_valid.then(|| RouteStage {
             service: stage.service.as_str().into(),
             depends_on,
             result_bytes: stage.result_bytes,
@@ -144,41 +144,46 @@
     })
 }
 
-fn following_to_wire(following: &[(ServiceName, u32)]) -> Vec<wire::FollowingPieces> {
+fn dependents_to_wire(dependents: &[(ServiceName, u32)]) -> Vec<wire::FollowingPieces> {
     let to_wire = |(service, pieces): &(ServiceName, u32)| wire::FollowingPieces {
         service: service.to_string(),
         pieces: *pieces,
     };
-    following.iter().map(to_wire).collect()
+    dependents.iter().map(to_wire).collect()
 }
 
-fn following_from_wire(following: &[wire::FollowingPieces]) -> Vec<(ServiceName, u32)> {
+fn dependents_from_wire(dependents: &[wire::FollowingPieces]) -> Vec<(ServiceName, u32)> {
     let from_wire = |next: &wire::FollowingPieces| (next.service.as_str().into(), next.pieces);
-    following.iter().map(from_wire).collect()
+    dependents.iter().map(from_wire).collect()
 }
 
-pub(super) fn engine_ask_to_wire(
-    ask: &EngineRequest,
+pub(super) fn engine_request_to_wire(
+    request: &EngineRequest,
     limits: Vec<wire::UpstreamLimit>,
 ) -> wire::EngineAskMessage {
-    let (part_ids, part_tokens) = ask.prompt.parts.iter().map(|p| (p.id, p.tokens)).unzip();
-    let inputs = ask.inputs.iter();
+    let (part_ids, part_tokens) = request
+        .prompt
+        .parts
+        .iter()
+        .map(|p| (p.id, p.tokens))
+        .unzip();
+    let inputs = request.inputs.iter();
     let (input_domains, input_bytes) = inputs.map(|(d, b)| (d.to_string(), *b)).unzip();
     wire::EngineAskMessage {
-        service: ask.service.to_string(),
-        tokens_in: ask.prompt.tokens_in,
-        tokens_out: ask.prompt.tokens_out,
+        service: request.service.to_string(),
+        tokens_in: request.prompt.tokens_in,
+        tokens_out: request.prompt.tokens_out,
         part_ids,
         part_tokens,
         input_domains,
         input_bytes,
-        except: ask.excluded.iter().map(ToString::to_string).collect(),
-        remaining_ms: convert::millis(ask.remaining),
+        except: request.excluded.iter().map(ToString::to_string).collect(),
+        remaining_ms: convert::millis(request.remaining),
         limits,
     }
 }
 
-pub(super) fn engine_ask_from_wire(message: &wire::EngineAskMessage) -> EngineRequest {
+pub(super) fn engine_request_from_wire(message: &wire::EngineAskMessage) -> EngineRequest {
     let parts = message.part_ids.iter().zip(&message.part_tokens);
     let inputs = message.input_domains.iter().zip(&message.input_bytes);
     EngineRequest {
@@ -225,7 +230,7 @@
     })
 }
 
-pub(super) fn news_to_wire(report: &RunReport) -> wire::RunNews {
+pub(super) fn run_report_to_wire(report: &RunReport) -> wire::RunNews {
     let (what, took) = match report.progress {
         RunProgress::FirstEvent(took) => (0, took),
         RunProgress::Ended => (1, Duration::ZERO),
@@ -239,15 +244,15 @@
 }
 
 /// News of a kind that is not known here, as of a later version, ends the run: nothing is then counted for ever.
-pub(super) fn news_from_wire(news: &wire::RunNews) -> RunReport {
-    let what = match news.what {
+pub(super) fn run_report_from_wire(news: &wire::RunNews) -> RunReport {
+    let run_progress = match news.what {
         0 => RunProgress::FirstEvent(convert::from_millis(news.took_ms)),
         2 => RunProgress::Failed,
         _ => RunProgress::Ended,
     };
     RunReport {
         run: news.run,
-        progress: what,
+        progress: run_progress,
     }
 }
 
@@ -285,38 +290,38 @@
     }
 }
 
-pub(super) fn texts(results: &[ResultHandle]) -> Vec<String> {
+pub(super) fn results_to_wire(results: &[ResultHandle]) -> Vec<String> {
     results.iter().map(|result| result.0.to_string()).collect()
 }
 
-pub(super) fn handles(texts: &[String]) -> Vec<ResultHandle> {
-    texts
+pub(super) fn results_from_wire(results: &[String]) -> Vec<ResultHandle> {
+    results
         .iter()
         .map(|text| ResultHandle(text.as_str().into()))
         .collect()
 }
 
 /// Numbers of refusals on the wire; 0 means that the pieces were made.
-const OVERLOADED: u32 = 1;
-const INPUT_GONE: u32 = 2;
-const FAILED: u32 = 3;
-const LATE: u32 = 4;
-const NO_UPSTREAM: u32 = 5;
-const MOVED: u32 = 6;
+const REFUSAL_OVERLOADED: u32 = 1;
+const REFUSAL_INPUT_GONE: u32 = 2;
+const REFUSAL_FAILED: u32 = 3;
+const REFUSAL_LATE: u32 = 4;
+const REFUSAL_NO_UPSTREAM: u32 = 5;
+const REFUSAL_MOVED: u32 = 6;
 
-pub(super) fn answer_to_wire(answer: PiecesAnswer) -> wire::PiecesAnswer {
+pub(super) fn pieces_answer_to_wire(answer: PiecesAnswer) -> wire::PiecesAnswer {
     let mut message = wire::PiecesAnswer::default();
     match answer.reply {
-        Ok(results) => message.results = texts(&results),
+        Ok(results) => message.results = results_to_wire(&results),
         Err(StageRefusal::Overloaded { retry_after }) => {
-            message.refusal = OVERLOADED;
+            message.refusal = REFUSAL_OVERLOADED;
             message.retry_after_ms = convert::millis(retry_after);
         }
-        Err(StageRefusal::InputGone) => message.refusal = INPUT_GONE,
-        Err(StageRefusal::Failed) => message.refusal = FAILED,
-        Err(StageRefusal::Late) => message.refusal = LATE,
-        Err(StageRefusal::NoUpstream) => message.refusal = NO_UPSTREAM,
-        Err(StageRefusal::Moved) => message.refusal = MOVED,
+        Err(StageRefusal::InputGone) => message.refusal = REFUSAL_INPUT_GONE,
+        Err(StageRefusal::Failed) => message.refusal = REFUSAL_FAILED,
+        Err(StageRefusal::Late) => message.refusal = REFUSAL_LATE,
+        Err(StageRefusal::NoUpstream) => message.refusal = REFUSAL_NO_UPSTREAM,
+        Err(StageRefusal::Moved) => message.refusal = REFUSAL_MOVED,
     }
     message.home = answer.home.as_ref().map(outlook_to_wire);
     message.is_late_return = answer.is_late_return;
@@ -324,17 +329,17 @@
 }
 
 /// `None` when the refusal's number is not known.
-pub(super) fn answer_from_wire(answer: &wire::PiecesAnswer) -> Option<PiecesAnswer> {
+pub(super) fn pieces_answer_from_wire(answer: &wire::PiecesAnswer) -> Option<PiecesAnswer> {
     let reply = match answer.refusal {
-        0 => Ok(handles(&answer.results)),
-        OVERLOADED => Err(StageRefusal::Overloaded {
+        0 => Ok(results_from_wire(&answer.results)),
+        REFUSAL_OVERLOADED => Err(StageRefusal::Overloaded {
             retry_after: convert::from_millis(answer.retry_after_ms),
         }),
-        INPUT_GONE => Err(StageRefusal::InputGone),
-        FAILED => Err(StageRefusal::Failed),
-        LATE => Err(StageRefusal::Late),
-        NO_UPSTREAM => Err(StageRefusal::NoUpstream),
-        MOVED => Err(StageRefusal::Moved),
+        REFUSAL_INPUT_GONE => Err(StageRefusal::InputGone),
+        REFUSAL_FAILED => Err(StageRefusal::Failed),
+        REFUSAL_LATE => Err(StageRefusal::Late),
+        REFUSAL_NO_UPSTREAM => Err(StageRefusal::NoUpstream),
+        REFUSAL_MOVED => Err(StageRefusal::Moved),
         _ => return None,
     };
     Some(PiecesAnswer {
--- a/crates/tc-fleet/src/mesh/peers.rs
+++ b/crates/tc-fleet/src/mesh/peers.rs
@@ -12,10 +12,10 @@
 use crate::{
     FleetKeys,
     generated::mesh_client::MeshClient,
-    peers::{AddToken, channel},
+    peers::{TokenInterceptor, channel},
 };
 
-pub(super) type Client = MeshClient<InterceptedService<Channel, AddToken>>;
+pub(super) type Client = MeshClient<InterceptedService<Channel, TokenInterceptor>>;
 
 struct Peer {
     address: SocketAddr,
@@ -25,15 +25,15 @@
 
 /// Clients of all instances this one has talked to.
 pub(super) struct Peers {
-    leave_from: IpAddr,
+    local_ip: IpAddr,
     keys: FleetKeys,
     known: Mutex<HashMap<InstanceId, Peer>>,
 }
 
 impl Peers {
-    pub(super) fn new(leave_from: IpAddr, keys: FleetKeys) -> Self {
+    pub(super) fn new(local_ip: IpAddr, keys: FleetKeys) -> Self {
         Self {
-            leave_from,
+            local_ip,
             keys,
             known: Mutex::default(),
         }
@@ -70,8 +70,8 @@
 
     /// A client for an address whose instance is not known yet.
     pub(super) fn client_at(&self, address: SocketAddr) -> Client {
-        let token = AddToken::new(&self.keys);
-        let leave_from = (!self.leave_from.is_unspecified()).then_some(self.leave_from);
-        MeshClient::with_interceptor(channel(address, leave_from), token)
+        let token = TokenInterceptor::new(&self.keys);
+        let local_ip = (!self.local_ip.is_unspecified()).then_some(self.local_ip);
+        MeshClient::with_interceptor(channel(address, local_ip), token)
     }
 }
--- a/crates/tc-fleet/src/mesh/service.rs
+++ b/crates/tc-fleet/src/mesh/service.rs
@@ -16,8 +16,8 @@
     actor::{Introduced, MeshMsg},
     limits::UpstreamLimits,
     messages::{
-        PiecesAnswer, answer_to_wire, ask_from_wire, choice_to_wire, engine_ask_from_wire, handles,
-        news_from_wire, outlook_to_wire,
+        PiecesAnswer, choice_to_wire, engine_request_from_wire, outlook_to_wire,
+        pieces_answer_to_wire, results_from_wire, run_report_from_wire, stage_request_from_wire,
     },
     world_news::{WorldHave, WorldNews, world_news_to_wire},
 };
@@ -76,7 +76,7 @@
             .ok_or_else(|| Status::invalid_argument("the introduction has no member"))?;
         let introduced = Introduced {
             other,
-            view: introduction.view,
+            view_digest: introduction.view,
             known: introduction.known.into_iter().collect(),
             only_announces: introduction.only_announces,
         };
@@ -84,12 +84,12 @@
         let _ = self
             .node
             .cast(MeshMsg::Introduced(Box::new(introduced), reply));
-        let lacking = answer
+        let missing = answer
             .await
             .map_err(|_| Status::unavailable("this instance is stopping"))?;
-        let same_view = lacking.is_none();
-        let lacking = lacking.unwrap_or_default();
-        let members = lacking.iter().map(convert::record_to_wire).collect();
+        let same_view = missing.is_none();
+        let missing = missing.unwrap_or_default();
+        let members = missing.iter().map(convert::record_to_wire).collect();
         Ok(Response::new(MemberList { members, same_view }))
     }
 
@@ -97,9 +97,9 @@
         &self,
         req: Request<PiecesAskMessage>,
     ) -> Result<Response<WireAnswer>, Status> {
-        let ask = ask_from_wire(&req.into_inner());
-        let answer = (self.handlers.make_pieces)(ask).await;
-        Ok(Response::new(answer_to_wire(answer)))
+        let request = stage_request_from_wire(&req.into_inner());
+        let answer = (self.handlers.make_pieces)(request).await;
+        Ok(Response::new(pieces_answer_to_wire(answer)))
     }
 
     async fn tell_outlook(
@@ -117,7 +117,7 @@
         &self,
         req: Request<FreeResultsMessage>,
     ) -> Result<Response<FreeResultsAnswer>, Status> {
-        (self.handlers.free_results)(handles(&req.into_inner().results));
+        (self.handlers.free_results)(results_from_wire(&req.into_inner().results));
         Ok(Response::new(FreeResultsAnswer {}))
     }
 
@@ -127,11 +127,11 @@
     ) -> Result<Response<EngineChoiceMessage>, Status> {
         let message = req.into_inner();
         self.limits.receive(&message.limits);
-        let ask = engine_ask_from_wire(&message);
-        let choice = (self.handlers.choose_engine)(&ask);
+        let request = engine_request_from_wire(&message);
+        let choice = (self.handlers.choose_engine)(&request);
         let limit = choice
             .as_ref()
-            .and_then(|choice| self.limits.to_asker(&choice.upstream));
+            .and_then(|choice| self.limits.for_engine(&choice.upstream));
         Ok(Response::new(choice_to_wire(choice, limit)))
     }
 
@@ -141,8 +141,8 @@
     ) -> Result<Response<RunNewsAnswer>, Status> {
         let message = req.into_inner();
         self.limits.receive(&message.limits);
-        let news: Vec<RunReport> = message.news.iter().map(news_from_wire).collect();
-        (self.handlers.tell_runs)(&message.service.as_str().into(), &news);
+        let reports: Vec<RunReport> = message.news.iter().map(run_report_from_wire).collect();
+        (self.handlers.tell_runs)(&message.service.as_str().into(), &reports);
         Ok(Response::new(RunNewsAnswer {}))
     }
 
--- a/crates/tc-fleet/src/mesh/suspects.rs
+++ b/crates/tc-fleet/src/mesh/suspects.rs
@@ -18,7 +18,7 @@
 /// Crashes from which on it runs one at a time. From the first on, all that one crash cut off would queue for each other.
 const CRASHES_TO_TRIAL: u32 = 2;
 /// How long it is refused: a request that was refused wrongly gets its next chance by itself.
-const QUARANTINE_LIFE: Duration = Duration::from_mins(10);
+const QUARANTINE_DURATION: Duration = Duration::from_mins(10);
 
 pub(super) fn suspect_table(
     me: &InstanceId,
@@ -28,7 +28,7 @@
     let policy = SuspectPolicy {
         crashes_to_quarantine: CRASHES_TO_QUARANTINE,
         crashes_to_trial: CRASHES_TO_TRIAL,
-        quarantine_duration: Some(QUARANTINE_LIFE),
+        quarantine_duration: Some(QUARANTINE_DURATION),
     };
     SuspectTable::new(me.clone(), policy, tell_home(me, published, peers), None)
 }
--- a/crates/tc-fleet/src/mesh/world_news.rs
+++ b/crates/tc-fleet/src/mesh/world_news.rs
@@ -96,10 +96,10 @@
 }
 
 fn evacuated_to_wire(evacuated: &EvacuatedDomains) -> wire::EvacuatedDomains {
-    let names = evacuated.domains.iter();
+    let domains = evacuated.domains.iter();
     wire::EvacuatedDomains {
         revision: evacuated.revision,
-        names: names.map(|domain| domain.as_str().to_owned()).collect(),
+        names: domains.map(|domain| domain.as_str().to_owned()).collect(),
     }
 }
 
--- a/crates/tc-fleet/src/node/actor.rs
+++ b/crates/tc-fleet/src/node/actor.rs
@@ -29,27 +29,27 @@
 pub(crate) enum NodeMsg {
     Datagram(Box<Datagram>),
     /// Records of an introduction by a seed.
-    Learn(Vec<Record>),
-    Listed(InstanceList),
+    MergeRecords(Vec<Record>),
+    InstanceList(InstanceList),
     Drained(BTreeSet<UpstreamId>),
     Config(Box<ConfigObject>),
     PlatformUnchanged,
     PlatformFailed,
-    Pulled {
+    ConfigPulled {
         from: InstanceId,
         delta: Option<ConfigDelta>,
     },
-    SaysLeaving {
+    UpstreamLeaving {
         upstream: UpstreamId,
         leaving: bool,
     },
     /// A call to it failed: probe it next.
-    Doubt(InstanceId),
+    CallFailed(InstanceId),
     Leave,
     /// Undoes a leave.
-    Stay,
+    CancelLeave,
     /// Tell every live instance of suspects now.
-    SpreadSuspects,
+    AnnounceToAll,
     Records(oneshot::Sender<Vec<Record>>),
     Delta {
         have_revision: u64,
@@ -63,7 +63,7 @@
 /// Configuration revisions over the fleet as this instance knows them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Revisions {
-    pub(crate) in_force: u64,
+    pub(crate) active: u64,
     pub(crate) lowest: u64,
     pub(crate) newest: u64,
 }
@@ -91,9 +91,15 @@
         myself.send_interval(HOUSEKEEPING_INTERVAL, || NodeMsg::Housekeeping);
         myself.send_after(Duration::from_millis(1), || NodeMsg::Tick);
         let membership = Membership::new(args.membership, args.me.clone(), rand::random());
-        let spread = ConfigPuller::new(rand::random());
-        let pause = PauseDetector::new(PAUSE_THRESHOLD);
-        let mut state = NodeState::new(args.me, args.parts, membership, spread, pause);
+        let config_puller = ConfigPuller::new(rand::random());
+        let pause_detector = PauseDetector::new(PAUSE_THRESHOLD);
+        let mut state = NodeState::new(
+            args.me,
+            args.parts,
+            membership,
+            config_puller,
+            pause_detector,
+        );
         state.publish(MonoTime::now());
         Ok(state)
     }
@@ -105,7 +111,7 @@
         state: &mut NodeState,
     ) -> Result<(), ActorProcessingErr> {
         let now = MonoTime::now();
-        let changed = state.take(now, message, &myself);
+        let changed = state.handle_message(now, message, &myself);
         if state.membership.take_changed() || changed {
             state.publish(now);
             state.pull(now, &myself);
@@ -116,20 +122,27 @@
 
 impl NodeState {
     /// Handles one message; returns whether the view has to be published anew.
-    fn take(&mut self, now: MonoTime, message: NodeMsg, myself: &ActorRef<NodeMsg>) -> bool {
+    fn handle_message(
+        &mut self,
+        now: MonoTime,
+        message: NodeMsg,
+        myself: &ActorRef<NodeMsg>,
+    ) -> bool {
         match message {
-            NodeMsg::Datagram(datagram) => self.datagram(now, &datagram, myself),
-            NodeMsg::Learn(records) => self.learn(now, &records),
-            NodeMsg::Listed(list) => return self.listed(now, list),
-            NodeMsg::Drained(drained) => return replace(&mut self.marks.drained, drained),
-            NodeMsg::Config(object) => return self.apply(*object),
-            NodeMsg::PlatformUnchanged => self.spread.platform_unchanged(),
-            NodeMsg::PlatformFailed => self.spread.platform_failed(now),
-            NodeMsg::Pulled { from, delta } => return self.pulled(now, &from, delta),
-            NodeMsg::SaysLeaving { upstream, leaving } => {
-                return self.says_leaving(upstream, leaving);
+            NodeMsg::Datagram(datagram) => self.handle_datagram(now, &datagram, myself),
+            NodeMsg::MergeRecords(records) => self.merge_records(now, &records),
+            NodeMsg::InstanceList(list) => return self.apply_instance_list(now, list),
+            NodeMsg::Drained(drained) => {
+                return replace(&mut self.leaving_upstreams.drained, drained);
+            }
+            NodeMsg::Config(object) => return self.apply_config(*object),
+            NodeMsg::PlatformUnchanged => self.config_puller.platform_unchanged(),
+            NodeMsg::PlatformFailed => self.config_puller.platform_failed(now),
+            NodeMsg::ConfigPulled { from, delta } => return self.handle_pulled(now, &from, delta),
+            NodeMsg::UpstreamLeaving { upstream, leaving } => {
+                return self.set_upstream_leaving(upstream, leaving);
             }
-            NodeMsg::Doubt(id) => {
+            NodeMsg::CallFailed(id) => {
                 self.membership.report_failed_call(now, &id);
                 self.tick(now, None);
             }
@@ -138,12 +151,12 @@
                 self.send(outgoing);
                 return true;
             }
-            NodeMsg::Stay => {
+            NodeMsg::CancelLeave => {
                 let outgoing = self.membership.cancel_leave();
                 self.send(outgoing);
                 return true;
             }
-            NodeMsg::SpreadSuspects => self.spread_suspects(),
+            NodeMsg::AnnounceToAll => self.announce_to_all(),
             NodeMsg::Records(reply) => {
                 let _ = reply.send(self.membership.records());
             }
@@ -151,7 +164,7 @@
                 have_revision,
                 reply,
             } => {
-                let _ = reply.send(config::delta(&self.object, have_revision));
+                let _ = reply.send(config::delta(&self.config_object, have_revision));
             }
             NodeMsg::Revisions(reply) => {
                 let _ = reply.send(self.revisions());
@@ -162,84 +175,90 @@
         false
     }
 
-    fn datagram(&mut self, now: MonoTime, datagram: &Datagram, myself: &ActorRef<NodeMsg>) {
+    fn handle_datagram(&mut self, now: MonoTime, datagram: &Datagram, myself: &ActorRef<NodeMsg>) {
         let Some(message) = convert::message_from_wire(datagram) else {
             metrics::counter!("tc_gossip_refused_total").increment(1);
             return;
         };
-        self.take_piggyback(now, datagram);
-        let revisions = std::iter::once(&message.from).chain(&message.changes);
-        for record in revisions {
-            self.spread
+        self.apply_piggyback(now, datagram);
+        let records = std::iter::once(&message.from).chain(&message.changes);
+        for record in records {
+            self.config_puller
                 .note_peer_revision(now, &record.member.id, record.revision);
         }
         let outgoing = self.membership.handle(now, &message);
         self.send(outgoing);
-        if self.spread.known_revision() > self.spread.active_revision() {
+        if self.config_puller.known_revision() > self.config_puller.active_revision() {
             self.pull(now, myself);
         }
     }
 
-    fn learn(&mut self, now: MonoTime, records: &[Record]) {
+    fn merge_records(&mut self, now: MonoTime, records: &[Record]) {
         for record in records {
-            self.spread
+            self.config_puller
                 .note_peer_revision(now, &record.member.id, record.revision);
         }
         self.membership.merge_records(now, records);
         self.tick(now, None);
     }
 
-    fn listed(&mut self, now: MonoTime, list: InstanceList) -> bool {
+    fn apply_instance_list(&mut self, now: MonoTime, list: InstanceList) -> bool {
         self.membership.apply_instance_list(now, &list);
-        replace(&mut self.list, list)
+        replace(&mut self.instance_list, list)
     }
 
-    fn says_leaving(&mut self, upstream: UpstreamId, leaving: bool) -> bool {
+    fn set_upstream_leaving(&mut self, upstream: UpstreamId, leaving: bool) -> bool {
         if leaving {
-            self.marks.says_leaving.insert(upstream)
+            self.leaving_upstreams.announced.insert(upstream)
         } else {
-            self.marks.says_leaving.remove(&upstream)
+            self.leaving_upstreams.announced.remove(&upstream)
         }
     }
 
-    fn pulled(&mut self, now: MonoTime, from: &InstanceId, delta: Option<ConfigDelta>) -> bool {
-        let object = delta.and_then(|delta| config::apply_delta(&self.object, delta));
-        let Some(object) = object.filter(|object| object.revision > self.spread.active_revision())
+    fn handle_pulled(
+        &mut self,
+        now: MonoTime,
+        from: &InstanceId,
+        delta: Option<ConfigDelta>,
+    ) -> bool {
+        let object = delta.and_then(|delta| config::apply_delta(&self.config_object, delta));
+        let Some(object) =
+            object.filter(|object| object.revision > self.config_puller.active_revision())
         else {
-            self.spread.pull_failed(now, from);
+            self.config_puller.pull_failed(now, from);
             return false;
         };
-        self.apply(object)
+        self.apply_config(object)
     }
 
-    fn spread_suspects(&mut self) {
+    fn announce_to_all(&mut self) {
         let outgoing = self.membership.announce_to_all();
         self.send(outgoing);
     }
 
     fn revisions(&self) -> Revisions {
         Revisions {
-            in_force: self.spread.active_revision(),
+            active: self.config_puller.active_revision(),
             lowest: self.membership.lowest_revision(),
             newest: self
-                .spread
+                .config_puller
                 .known_revision()
                 .max(self.membership.newest_revision().0),
         }
     }
 
-    /// Lets membership act; with `again`, sets the timer for its next moment.
-    fn tick(&mut self, now: MonoTime, again: Option<&ActorRef<NodeMsg>>) {
+    /// Lets membership act; with `reschedule`, sets the timer for its next moment.
+    fn tick(&mut self, now: MonoTime, reschedule: Option<&ActorRef<NodeMsg>>) {
         let outgoing = self.membership.tick(now);
         self.send(outgoing);
-        if let Some(myself) = again {
+        if let Some(myself) = reschedule {
             let wait = self.membership.next_wake().since(MonoTime::now());
             myself.send_after(wait.max(Duration::from_millis(5)), || NodeMsg::Tick);
         }
     }
 
     fn housekeeping(&mut self, now: MonoTime, myself: &ActorRef<NodeMsg>) -> bool {
-        let paused = self.pause.heartbeat(now);
+        let paused = self.pause_detector.heartbeat(now);
         if let Some(gap) = paused {
             // What this instance knew before the pause may be wrong by now: others may have taken it for dead.
             log::warn!(gap_ms = gap.as_millis() as u64; "this process was paused");
@@ -267,21 +286,21 @@
     /// Starts the next pull of the configuration, if one is due.
     fn pull(&mut self, now: MonoTime, myself: &ActorRef<NodeMsg>) {
         let members = self.membership.members();
-        let watching = config_watchers(&members, &self.me.failure_domain, WATCHERS_PER_DOMAIN)
+        let is_watcher = config_watchers(&members, &self.me.failure_domain, WATCHERS_PER_DOMAIN)
             .iter()
             .any(|member| member.id == self.me.id);
         // Reachability is found out by asking; the state machine's backoff paces it.
-        match self.spread.next_pull(now, watching, true) {
+        match self.config_puller.next_pull(now, is_watcher, true) {
             Pull::Peer(id) => match members.iter().find(|member| member.id == id) {
                 Some(member) => self.pull_from(member, myself),
-                None => self.spread.pull_failed(now, &id),
+                None => self.config_puller.pull_failed(now, &id),
             },
             Pull::Platform => {
-                let after = self.parts.config_version();
+                let last_version = self.parts.config_version();
                 crate::store_watch::watch_config(
                     &self.parts,
-                    after,
-                    self.spread.active_revision() == 0,
+                    last_version,
+                    self.config_puller.active_revision() == 0,
                     myself,
                 );
             }
@@ -292,7 +311,7 @@
     fn pull_from(&self, member: &Member, myself: &ActorRef<NodeMsg>) {
         let peer = self.parts.peers.get(member);
         let from = member.id.clone();
-        let have_revision = self.spread.active_revision();
+        let have_revision = self.config_puller.active_revision();
         let myself = myself.clone();
         tokio::spawn(async move {
             let pull = timed(ConfigPull { have_revision });
@@ -302,14 +321,14 @@
                 .await
                 .ok()
                 .map(tonic::Response::into_inner);
-            let _ = myself.cast(NodeMsg::Pulled { from, delta });
+            let _ = myself.cast(NodeMsg::ConfigPulled { from, delta });
         });
     }
 }
 
-fn replace<T: PartialEq>(place: &mut T, value: T) -> bool {
-    let changed = *place != value;
-    *place = value;
+fn replace<T: PartialEq>(target: &mut T, value: T) -> bool {
+    let changed = *target != value;
+    *target = value;
     changed
 }
 
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -16,7 +16,7 @@
 
 use super::{
     VersionCell,
-    table::{self, UpstreamMarks},
+    table::{self, LeavingUpstreams},
 };
 use crate::{
     config, convert,
@@ -56,15 +56,15 @@
     pub(crate) me: Member,
     pub(crate) parts: NodeParts,
     pub(crate) membership: Membership,
-    pub(crate) spread: ConfigPuller,
-    pub(crate) pause: PauseDetector,
-    pub(crate) object: Arc<ConfigObject>,
+    pub(crate) config_puller: ConfigPuller,
+    pub(crate) pause_detector: PauseDetector,
+    pub(crate) config_object: Arc<ConfigObject>,
     pub(crate) config: Arc<FleetConfig>,
-    pub(crate) list: InstanceList,
-    pub(crate) marks: UpstreamMarks,
+    pub(crate) instance_list: InstanceList,
+    pub(crate) leaving_upstreams: LeavingUpstreams,
     pub(crate) next_summary: usize,
     pub(crate) superseded_by: Option<Incarnation>,
-    states: HashMap<InstanceId, MemberState>,
+    member_states: HashMap<InstanceId, MemberState>,
 }
 
 impl NodeState {
@@ -72,22 +72,22 @@
         me: Member,
         parts: NodeParts,
         membership: Membership,
-        spread: ConfigPuller,
-        pause: PauseDetector,
+        config_puller: ConfigPuller,
+        pause_detector: PauseDetector,
     ) -> Self {
         Self {
             me,
             parts,
             membership,
-            spread,
-            pause,
-            object: Arc::default(),
+            config_puller,
+            pause_detector,
+            config_object: Arc::default(),
             config: Arc::default(),
-            list: InstanceList::default(),
-            marks: UpstreamMarks::default(),
+            instance_list: InstanceList::default(),
+            leaving_upstreams: LeavingUpstreams::default(),
             next_summary: 0,
             superseded_by: None,
-            states: HashMap::new(),
+            member_states: HashMap::new(),
         }
     }
 
@@ -95,22 +95,22 @@
     pub(crate) fn send(&mut self, outgoing: Vec<Outgoing>) {
         for out in outgoing {
             let mut datagram = convert::message_to_wire(&out.message);
-            self.piggyback(&mut datagram);
+            self.add_piggyback(&mut datagram);
             self.parts.socket.send(out.to, &datagram);
         }
     }
 
-    fn piggyback(&mut self, datagram: &mut Datagram) {
+    fn add_piggyback(&mut self, datagram: &mut Datagram) {
         let now = MonoTime::now();
         let known = self.parts.known.load();
-        let mine: Vec<&UpstreamId> = known
+        let own_upstreams: Vec<&UpstreamId> = known
             .iter()
             .filter(|(_, k)| k.mine)
             .map(|(id, _)| id)
             .collect();
-        for _ in 0..mine.len().min(SUMMARIES_PER_DATAGRAM) {
+        for _ in 0..own_upstreams.len().min(SUMMARIES_PER_DATAGRAM) {
             self.next_summary = self.next_summary.wrapping_add(1);
-            let id = mine[self.next_summary % mine.len()];
+            let id = own_upstreams[self.next_summary % own_upstreams.len()];
             let Some(cell) = self.parts.summaries.cell(id) else {
                 continue;
             };
@@ -124,7 +124,7 @@
     }
 
     /// Takes up what rides on a datagram.
-    pub(crate) fn take_piggyback(&mut self, now: MonoTime, datagram: &Datagram) {
+    pub(crate) fn apply_piggyback(&mut self, now: MonoTime, datagram: &Datagram) {
         for summary in &datagram.summaries {
             let load = convert::summary_from_wire(summary);
             let summaries = &self.parts.summaries;
@@ -135,27 +135,27 @@
     }
 
     /// Puts a configuration in force if it is valid and newer; returns whether it was.
-    pub(crate) fn apply(&mut self, object: ConfigObject) -> bool {
-        if object.revision <= self.spread.active_revision() {
-            self.spread.activate(object.revision);
+    pub(crate) fn apply_config(&mut self, object: ConfigObject) -> bool {
+        if object.revision <= self.config_puller.active_revision() {
+            self.config_puller.activate(object.revision);
             return false;
         }
         match config::read(&object) {
             Ok(config) => {
-                if !self.spread.activate(object.revision) {
+                if !self.config_puller.activate(object.revision) {
                     return false;
                 }
                 log::info!(revision = object.revision; "configuration in force");
                 metrics::gauge!("tc_config_revision").set(object.revision as f64);
                 self.config = Arc::new(config);
                 self.membership.set_revision(object.revision);
-                self.object = Arc::new(object);
+                self.config_object = Arc::new(object);
                 true
             }
             Err(error) => {
                 log::error!(revision = object.revision; "configuration rejected, the last valid one stays in force: {error}");
                 metrics::counter!("tc_config_rejected_total").increment(1);
-                self.spread.reject(object.revision);
+                self.config_puller.reject(object.revision);
                 false
             }
         }
@@ -164,8 +164,13 @@
     /// Publishes the view anew and tells everyone who acts on it.
     pub(crate) fn publish(&mut self, now: MonoTime) {
         let members: Arc<[Member]> = self.membership.members().into();
-        self.note_state_changes(&members);
-        let table = table::build(&self.config, &self.list, &self.marks, &members);
+        self.handle_state_changes(&members);
+        let table = table::build(
+            &self.config,
+            &self.instance_list,
+            &self.leaving_upstreams,
+            &members,
+        );
         let known = Arc::new(table::for_homes(&table, &self.config, &self.me.id));
         self.parts.summaries.set_upstreams(known.keys());
         self.parts.known.store(Arc::clone(&known));
@@ -186,49 +191,49 @@
         let crashes = self.config.policy.crashes_to_quarantine;
         self.parts.suspects.set_crashes_to_quarantine(now, crashes);
         let _ = self.parts.homes.cast(HomesMsg::Assign(known));
-        self.announce_moved(now, &view);
+        self.announce_moved_permits(now, &view);
     }
 
     /// Lets go of instances that are gone, and of asks waiting at suspect ones.
-    fn note_state_changes(&mut self, members: &[Member]) {
+    fn handle_state_changes(&mut self, members: &[Member]) {
         let mut states = HashMap::with_capacity(members.len());
         for member in members {
             if member.id == self.me.id {
                 continue;
             }
-            let before = self.states.get(&member.id).copied();
+            let before = self.member_states.get(&member.id).copied();
             if before != Some(member.state) {
-                self.state_changed(&member.id, member.state);
+                self.handle_state_change(&member.id, member.state);
             }
             states.insert(member.id.clone(), member.state);
         }
         let gone: Vec<InstanceId> = self
-            .states
+            .member_states
             .keys()
             .filter(|id| !states.contains_key(*id))
             .cloned()
             .collect();
         for id in gone {
-            self.state_changed(&id, MemberState::Dead);
+            self.handle_state_change(&id, MemberState::Dead);
         }
-        self.states = states;
+        self.member_states = states;
     }
 
-    fn state_changed(&mut self, id: &InstanceId, state: MemberState) {
+    fn handle_state_change(&mut self, id: &InstanceId, state: MemberState) {
         log::info!(instance = id.as_str(); "instance is {state:?}");
         match state {
             MemberState::Dead => {
-                self.parts.peers.give_up_asks(id);
+                self.parts.peers.fail_pending_asks(id);
                 self.parts.peers.forget(id);
-                self.spread.remove_peer(id);
+                self.config_puller.remove_peer(id);
                 let _ = self.parts.homes.cast(HomesMsg::EntryGone(id.clone()));
             }
-            MemberState::Suspect => self.parts.peers.give_up_asks(id),
+            MemberState::Suspect => self.parts.peers.fail_pending_asks(id),
             MemberState::Alive | MemberState::Leaving => {}
         }
     }
 
-    fn announce_moved(&self, now: MonoTime, view: &FleetView) {
+    fn announce_moved_permits(&self, now: MonoTime, view: &FleetView) {
         for moved in self.parts.held.rehome(now, view) {
             let upstream = moved.upstream;
             let held = moved.permit;
--- a/crates/tc-fleet/src/node/table.rs
+++ b/crates/tc-fleet/src/node/table.rs
@@ -12,16 +12,16 @@
 
 /// Reasons to give an upstream no new work.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct UpstreamMarks {
+pub(crate) struct LeavingUpstreams {
     /// Says in its load report that it is leaving.
-    pub(crate) says_leaving: BTreeSet<UpstreamId>,
+    pub(crate) announced: BTreeSet<UpstreamId>,
     /// Drained by an operator.
     pub(crate) drained: BTreeSet<UpstreamId>,
 }
 
-impl UpstreamMarks {
-    fn any(&self, id: &UpstreamId) -> bool {
-        self.says_leaving.contains(id) || self.drained.contains(id)
+impl LeavingUpstreams {
+    fn contains(&self, id: &UpstreamId) -> bool {
+        self.announced.contains(id) || self.drained.contains(id)
     }
 }
 
@@ -32,7 +32,7 @@
 pub(crate) fn build(
     config: &FleetConfig,
     list: &InstanceList,
-    marks: &UpstreamMarks,
+    leaving_upstreams: &LeavingUpstreams,
     members: &[Member],
 ) -> UpstreamTable {
     let listed: BTreeMap<&str, &ListedInstance> = list
@@ -45,10 +45,10 @@
         .services
         .iter()
         .map(|(name, service)| {
-            let upstreams = all_of(name, &service.upstreams, list);
+            let upstreams = service_upstreams(name, &service.upstreams, list);
             let states = upstreams
                 .into_iter()
-                .map(|upstream| state_of(upstream, &listed, marks, members))
+                .map(|upstream| upstream_state(upstream, &listed, leaving_upstreams, members))
                 .collect();
             (name.clone(), states)
         })
@@ -56,7 +56,11 @@
 }
 
 /// Configured upstreams, and those that the platform lists for the service beside them.
-fn all_of(service: &ServiceName, configured: &[Upstream], list: &InstanceList) -> Vec<Upstream> {
+fn service_upstreams(
+    service: &ServiceName,
+    configured: &[Upstream],
+    list: &InstanceList,
+) -> Vec<Upstream> {
     let mut all = configured.to_vec();
     let extra = list
         .instances
@@ -77,16 +81,16 @@
     all
 }
 
-fn state_of(
+fn upstream_state(
     upstream: Upstream,
     listed: &BTreeMap<&str, &ListedInstance>,
-    marks: &UpstreamMarks,
+    leaving_upstreams: &LeavingUpstreams,
     members: &[Member],
 ) -> UpstreamState {
     let listed_leaving = listed
         .get(upstream.id.as_str())
         .is_some_and(|listed| listed.state == ListedState::Leaving);
-    let leaving = listed_leaving || marks.any(&upstream.id);
+    let leaving = listed_leaving || leaving_upstreams.contains(&upstream.id);
     let home = home_of(
         upstream.id.as_str(),
         members,
--- a/crates/tc-fleet/src/peers/mod.rs
+++ b/crates/tc-fleet/src/peers/mod.rs
@@ -3,5 +3,5 @@
 mod pool;
 mod stream;
 
-pub(crate) use pool::{AddToken, PeerPool, channel, timed};
+pub(crate) use pool::{PeerPool, TokenInterceptor, channel, timed};
 pub(crate) use stream::{ToHome, unused_release};
--- a/crates/tc-fleet/src/peers/pool.rs
+++ b/crates/tc-fleet/src/peers/pool.rs
@@ -24,15 +24,15 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How often a channel with calls in progress is checked.
-const PING_EVERY: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long the answer to a check may take. A peer that was paused or cut off fails its calls after at most the sum.
-const PING_TIMEOUT: Duration = Duration::from_millis(700);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Adds the fleet token to every call.
 #[derive(Clone)]
-pub(crate) struct AddToken(MetadataValue<Ascii>);
+pub(crate) struct TokenInterceptor(MetadataValue<Ascii>);
 
-impl AddToken {
+impl TokenInterceptor {
     pub(crate) fn new(keys: &FleetKeys) -> Self {
         // The token is hexadecimal digits only, which every header value may hold.
         Self(
@@ -42,14 +42,14 @@
     }
 }
 
-impl Interceptor for AddToken {
+impl Interceptor for TokenInterceptor {
     fn call(&mut self, mut req: Request<()>) -> Result<Request<()>, Status> {
         req.metadata_mut().insert(TOKEN_HEADER, self.0.clone());
         Ok(req)
     }
 }
 
-pub(crate) type Client = FleetClient<InterceptedService<Channel, AddToken>>;
+pub(crate) type Client = FleetClient<InterceptedService<Channel, TokenInterceptor>>;
 
 /// Another instance, in one of its lives, at one address.
 pub(crate) struct Peer {
@@ -74,7 +74,7 @@
     }
 
     /// The error of a failed call to this instance.
-    pub(crate) fn failed(&self, status: &Status) -> FleetError {
+    pub(crate) fn call_error(&self, status: &Status) -> FleetError {
         FleetError::Peer {
             instance: self.id.to_string(),
             problem: status.message().to_owned(),
@@ -85,7 +85,7 @@
 /// All other instances this one has talked to.
 pub(crate) struct PeerPool {
     me: Member,
-    leave_from: Option<IpAddr>,
+    local_ip: Option<IpAddr>,
     keys: FleetKeys,
     summaries: Arc<SummaryTable>,
     traffic: tokio::runtime::Handle,
@@ -102,7 +102,7 @@
     ) -> Self {
         Self {
             me,
-            leave_from: (!listen_ip.is_unspecified()).then_some(listen_ip),
+            local_ip: (!listen_ip.is_unspecified()).then_some(listen_ip),
             keys,
             summaries,
             traffic,
@@ -119,7 +119,7 @@
         {
             return Arc::clone(peer);
         }
-        let peer = Arc::new(self.make(member));
+        let peer = Arc::new(self.connect(member));
         peers.insert(member.id.clone(), Arc::clone(&peer));
         peer
     }
@@ -133,20 +133,23 @@
     }
 
     /// Lets asks waiting at a member that stopped answering fail, but keeps its channel.
-    pub(crate) fn give_up_asks(&self, id: &InstanceId) {
+    pub(crate) fn fail_pending_asks(&self, id: &InstanceId) {
         let peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = peers.get(id) {
-            peer.send(ToHome::GiveUp);
+            peer.send(ToHome::FailPending);
         }
     }
 
     /// A client for an address whose instance is not known yet.
-    pub(crate) fn client_of(&self, address: SocketAddr) -> Client {
-        FleetClient::with_interceptor(channel(address, self.leave_from), AddToken::new(&self.keys))
+    pub(crate) fn client_at(&self, address: SocketAddr) -> Client {
+        FleetClient::with_interceptor(
+            channel(address, self.local_ip),
+            TokenInterceptor::new(&self.keys),
+        )
     }
 
-    fn make(&self, member: &Member) -> Peer {
-        let client = self.client_of(member.fleet_address);
+    fn connect(&self, member: &Member) -> Peer {
+        let client = self.client_at(member.fleet_address);
         let (to_home, from_entry) = mpsc::unbounded_channel();
         let args = StreamArgs {
             me: self.me.clone(),
@@ -166,15 +169,15 @@
 
 // Without a fixed source a machine of several addresses leaves by any of them, seen as calls that a packet filter
 // between failure domains refuses though datagrams, which leave by the listening socket, pass.
-pub(crate) fn channel(address: SocketAddr, leave_from: Option<IpAddr>) -> Channel {
+pub(crate) fn channel(address: SocketAddr, local_ip: Option<IpAddr>) -> Channel {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .unwrap_or_else(|_| Endpoint::from_static("http://127.0.0.1:1"));
     endpoint
         .connect_timeout(CONNECT_TIMEOUT)
-        .http2_keep_alive_interval(PING_EVERY)
-        .keep_alive_timeout(PING_TIMEOUT)
+        .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
         .tcp_nodelay(true)
-        .local_address(leave_from)
+        .local_address(local_ip)
         .connect_lazy()
 }
 
--- a/crates/tc-fleet/src/peers/stream.rs
+++ b/crates/tc-fleet/src/peers/stream.rs
@@ -20,20 +20,20 @@
 };
 
 /// Most messages in one batch.
-const BATCH: usize = 64;
+const MAX_BATCH_MESSAGES: usize = 64;
 /// Batches that may wait for the connection before senders feel it.
-const BATCHES_WAITING: usize = 16;
+const MAX_QUEUED_BATCHES: usize = 16;
 /// Longest wait for a stream to open; asks wait behind it.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Asks given up whose late grant is still waited for, at most.
-const ABANDONED: usize = 4_096;
+const MAX_ABANDONED: usize = 4_096;
 /// Wait before a broken stream is opened again.
-const REOPEN_AFTER: Duration = Duration::from_millis(50);
+const REOPEN_DELAY: Duration = Duration::from_millis(50);
 /// Longest silence after an ask: a home answers or says "queued" at once. A paused home still accepts bytes, so only
 /// silence shows it; without this an ask would wait for its whole slack.
-const SILENCE: Duration = Duration::from_millis(200);
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 /// How often silence is looked for.
-const SILENCE_CHECK: Duration = Duration::from_millis(50);
+const REPLY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Gets the home's answer, or `None` when the home cannot be reached.
 pub(crate) type OnAnswer = Box<dyn FnOnce(Option<HomeAnswer>) + Send>;
@@ -54,7 +54,7 @@
         held: HeldPermit,
     },
     /// The home stopped answering probes: let every waiting ask fail.
-    GiveUp,
+    FailPending,
 }
 
 impl ToHome {
@@ -88,16 +88,16 @@
             return;
         };
         let mut session = Session::new(&args);
-        let more = session.run(first, &mut from_entry).await;
+        let may_reopen = session.run(first, &mut from_entry).await;
         session.fail_all();
-        if !more {
+        if !may_reopen {
             return;
         }
         // What came in while the stream was broken would otherwise wait for one failed opening after the other.
         while let Ok(message) = from_entry.try_recv() {
             message.fail();
         }
-        tokio::time::sleep(REOPEN_AFTER).await;
+        tokio::time::sleep(REOPEN_DELAY).await;
     }
 }
 
@@ -128,9 +128,9 @@
         first: ToHome,
         from_entry: &mut mpsc::UnboundedReceiver<ToHome>,
     ) -> bool {
-        let (to_wire, batches) = mpsc::channel(BATCHES_WAITING);
+        let (to_wire, batches) = mpsc::channel(MAX_QUEUED_BATCHES);
         let mut batch = self.empty_batch();
-        self.add(&mut batch, first);
+        self.add_to_batch(&mut batch, first);
         if send(&to_wire, batch).await.is_err() {
             return true;
         }
@@ -140,43 +140,44 @@
         let Ok(Ok(answers)) = opened.await else {
             return true;
         };
-        self.pump(from_entry, to_wire, answers.into_inner()).await
+        self.exchange(from_entry, to_wire, answers.into_inner())
+            .await
     }
 
-    async fn pump(
+    async fn exchange(
         &mut self,
         from_entry: &mut mpsc::UnboundedReceiver<ToHome>,
         to_wire: mpsc::Sender<EntryBatch>,
         mut answers: Streaming<HomeBatch>,
     ) -> bool {
-        let mut silence = tokio::time::interval(SILENCE_CHECK);
-        silence.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut waiting = Vec::with_capacity(BATCH);
+        let mut reply_check = tokio::time::interval(REPLY_CHECK_INTERVAL);
+        reply_check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut messages = Vec::with_capacity(MAX_BATCH_MESSAGES);
         loop {
             tokio::select! {
                 answer = answers.message() => match answer {
                     Ok(Some(answer)) => {
-                        self.take(answer);
+                        self.handle_batch(answer);
                         if !self.flush(&to_wire).await {
                             return true;
                         }
                     }
                     _ => return true,
                 },
-                count = from_entry.recv_many(&mut waiting, BATCH) => {
+                count = from_entry.recv_many(&mut messages, MAX_BATCH_MESSAGES) => {
                     if count == 0 {
                         return false;
                     }
                     let mut batch = self.empty_batch();
-                    for message in waiting.drain(..) {
-                        self.add(&mut batch, message);
+                    for message in messages.drain(..) {
+                        self.add_to_batch(&mut batch, message);
                     }
                     if send(&to_wire, batch).await.is_err() {
                         return true;
                     }
                 }
-                _ = silence.tick(), if !self.pending.is_empty() => {
-                    self.fail_silent();
+                _ = reply_check.tick(), if !self.pending.is_empty() => {
+                    self.fail_unanswered();
                     if !self.flush(&to_wire).await {
                         return true;
                     }
@@ -208,7 +209,7 @@
         }
     }
 
-    fn add(&mut self, batch: &mut EntryBatch, message: ToHome) {
+    fn add_to_batch(&mut self, batch: &mut EntryBatch, message: ToHome) {
         match message {
             ToHome::Ask { ask, on_answer } => {
                 let asked_at = MonoTime::now();
@@ -234,11 +235,11 @@
             ToHome::Held { upstream, held } => {
                 batch.held.push(convert::held_to_wire(&upstream, &held));
             }
-            ToHome::GiveUp => self.fail_all(),
+            ToHome::FailPending => self.fail_all(),
         }
     }
 
-    fn take(&mut self, batch: HomeBatch) {
+    fn handle_batch(&mut self, batch: HomeBatch) {
         let now = MonoTime::now();
         for summary in &batch.summaries {
             let load = convert::summary_from_wire(summary);
@@ -247,11 +248,11 @@
             summaries.note_incarnation(&summary.upstream, Incarnation(summary.incarnation));
         }
         for reply in batch.replies {
-            self.reply(reply);
+            self.handle_reply(reply);
         }
     }
 
-    fn reply(&mut self, reply: PermitReply) {
+    fn handle_reply(&mut self, reply: PermitReply) {
         if matches!(reply.verdict, Some(Verdict::Queued(_))) {
             if let Some(pending) = self.pending.get_mut(&reply.ask) {
                 pending.queued = true;
@@ -259,21 +260,28 @@
             return;
         }
         let Some(pending) = self.pending.remove(&reply.ask) else {
-            self.late_reply(&reply);
+            self.handle_late_reply(&reply);
             return;
         };
-        (pending.on_answer)(reply.verdict.and_then(verdict_from_wire).map(bare_answer));
+        (pending.on_answer)(
+            reply
+                .verdict
+                .and_then(verdict_from_wire)
+                .map(answer_without_summary),
+        );
     }
 
-    fn fail_silent(&mut self) {
+    fn fail_unanswered(&mut self) {
         let now = MonoTime::now();
-        let silent: Vec<u64> = self
+        let unanswered: Vec<u64> = self
             .pending
             .iter()
-            .filter(|(_, pending)| !pending.queued && now.since(pending.asked_at) > SILENCE)
+            .filter(|(_, pending)| {
+                !pending.queued && now.since(pending.asked_at) > FIRST_REPLY_TIMEOUT
+            })
             .map(|(ask, _)| *ask)
             .collect();
-        for ask in silent {
+        for ask in unanswered {
             if let Some(on_answer) = self.abandon(ask) {
                 self.cancelled.push(ask);
                 on_answer(None);
@@ -283,13 +291,13 @@
 
     fn abandon(&mut self, ask: u64) -> Option<OnAnswer> {
         let pending = self.pending.remove(&ask)?;
-        if self.abandoned.len() < ABANDONED {
+        if self.abandoned.len() < MAX_ABANDONED {
             self.abandoned.insert(ask, pending.upstream);
         }
         Some(pending.on_answer)
     }
 
-    fn late_reply(&mut self, reply: &PermitReply) {
+    fn handle_late_reply(&mut self, reply: &PermitReply) {
         let Some(upstream) = self.abandoned.remove(&reply.ask) else {
             return;
         };
@@ -328,7 +336,7 @@
 }
 
 /// Summaries travel beside the replies, so the answer itself carries none.
-fn bare_answer(verdict: HomeVerdict) -> HomeAnswer {
+fn answer_without_summary(verdict: HomeVerdict) -> HomeAnswer {
     HomeAnswer {
         verdict,
         summary: tc_protocol::UpstreamSummary::default(),
@@ -348,7 +356,7 @@
             better: (!redirect.upstream.is_empty()).then(|| redirect.upstream.as_str().into()),
         }),
         Verdict::Refused(refused) => Some(HomeVerdict::Refused {
-            reason: convert::reason_from(refused.reason),
+            reason: convert::reason_from_wire(refused.reason),
             retry_after: convert::from_millis(refused.retry_after_ms),
         }),
         Verdict::Queued(_) => None,
--- a/crates/tc-fleet/src/server.rs
+++ b/crates/tc-fleet/src/server.rs
@@ -28,12 +28,12 @@
 };
 
 /// Answers in one batch at most.
-const BATCH: usize = 64;
+const MAX_BATCH_REPLIES: usize = 64;
 /// Batches waiting for a slow entry before the home waits for it.
-const BATCHES_WAITING: usize = 16;
+const MAX_QUEUED_BATCHES: usize = 16;
 
 /// Gives the JSON of an explanation kept here, or of this instance's report.
-pub(crate) type JsonOf<Q> = Box<dyn Fn(Q) -> BoxFuture<'static, Option<String>> + Send + Sync>;
+pub(crate) type JsonSource<Q> = Box<dyn Fn(Q) -> BoxFuture<'static, Option<String>> + Send + Sync>;
 
 /// The service; cheap to clone.
 #[derive(Clone)]
@@ -44,8 +44,8 @@
     pub(crate) parts: NodeParts,
     pub(crate) node: ActorRef<NodeMsg>,
     pub(crate) orders: Arc<OrderDesk>,
-    pub(crate) explain: JsonOf<RequestId>,
-    pub(crate) report: JsonOf<()>,
+    pub(crate) explain: JsonSource<RequestId>,
+    pub(crate) report: JsonSource<()>,
 }
 
 /// Refuses calls without the fleet's token.
@@ -57,7 +57,7 @@
             .metadata()
             .get(TOKEN_HEADER)
             .map(|token| token.as_bytes().to_vec());
-        if token.is_some_and(|token| keys.token_fits(&token)) {
+        if token.is_some_and(|token| keys.verify_token(&token)) {
             return Ok(req);
         }
         metrics::counter!("tc_fleet_calls_refused_total").increment(1);
@@ -80,7 +80,8 @@
         let homes = self.0.parts.homes.clone();
         tokio::spawn(read_batches(req.into_inner(), homes, answers));
         let batches =
-            ReceiverStream::new(batched(to_wire, Arc::clone(&self.0.parts.summaries))).map(Ok);
+            ReceiverStream::new(batch_replies(to_wire, Arc::clone(&self.0.parts.summaries)))
+                .map(Ok);
         Ok(Response::new(Box::pin(batches)))
     }
 
@@ -102,7 +103,7 @@
             .and_then(convert::record_from_wire);
         let newcomer =
             newcomer.ok_or_else(|| Status::invalid_argument("the introduction has no member"))?;
-        let _ = self.0.node.cast(NodeMsg::Learn(vec![newcomer]));
+        let _ = self.0.node.cast(NodeMsg::MergeRecords(vec![newcomer]));
         let records = ask(&self.0.node, NodeMsg::Records).await?;
         let members = records.iter().map(convert::record_to_wire).collect();
         Ok(Response::new(MemberList {
@@ -150,7 +151,7 @@
         let message = if req.into_inner().leave {
             NodeMsg::Leave
         } else {
-            NodeMsg::Stay
+            NodeMsg::CancelLeave
         };
         let _ = self.0.node.cast(message);
         Ok(Response::new(LeaveAnswer {}))
@@ -177,7 +178,7 @@
         .map_err(|_| Status::unavailable("this instance is stopping"))
 }
 
-struct Numbered {
+struct AskReply {
     ask: u64,
     upstream: UpstreamId,
     answer: Option<HomeAnswer>,
@@ -187,7 +188,7 @@
 async fn read_batches(
     mut batches: Streaming<EntryBatch>,
     homes: ActorRef<HomesMsg>,
-    answers: mpsc::UnboundedSender<Numbered>,
+    answers: mpsc::UnboundedSender<AskReply>,
 ) {
     while let Ok(Some(batch)) = batches.message().await {
         let entry = InstanceId::from(batch.from.as_str());
@@ -210,20 +211,20 @@
             });
         }
         for ask in &batch.asks {
-            pass_ask(&homes, &entry, ask, &answers);
+            forward_ask(&homes, &entry, ask, &answers);
         }
     }
 }
 
-fn pass_ask(
+fn forward_ask(
     homes: &ActorRef<HomesMsg>,
     entry: &InstanceId,
     ask: &PermitAsk,
-    answers: &mpsc::UnboundedSender<Numbered>,
+    answers: &mpsc::UnboundedSender<AskReply>,
 ) {
     let upstream = UpstreamId::from(ask.upstream.as_str());
     let number = ask.ask;
-    let waiting = Numbered {
+    let waiting = AskReply {
         ask: number,
         upstream: upstream.clone(),
         answer: None,
@@ -233,7 +234,7 @@
         let _ = to_entry.send(waiting);
     });
     let reply = reply_to(homes.clone(), upstream.clone(), number, answers.clone());
-    let ask = home_ask(entry, ask);
+    let ask = home_ask_from_wire(entry, ask);
     let _ = homes.cast(HomesMsg::Ask {
         upstream,
         ask,
@@ -247,15 +248,15 @@
     homes: ActorRef<HomesMsg>,
     upstream: UpstreamId,
     ask: u64,
-    answers: mpsc::UnboundedSender<Numbered>,
+    answers: mpsc::UnboundedSender<AskReply>,
 ) -> ReplyTo {
     Box::new(move |answer| {
-        let numbered = Numbered {
+        let ask_reply = AskReply {
             ask,
             upstream,
             answer: Some(answer),
         };
-        let Err(mpsc::error::SendError(lost)) = answers.send(numbered) else {
+        let Err(mpsc::error::SendError(lost)) = answers.send(ask_reply) else {
             return;
         };
         if let Some(HomeVerdict::Granted { permit, .. }) = lost.answer.map(|a| a.verdict) {
@@ -269,15 +270,15 @@
 }
 
 /// Gathers what is ready into batches, so that one write carries many answers under load and none waits.
-fn batched(
-    mut answers: mpsc::UnboundedReceiver<Numbered>,
-    loads: Arc<SummaryTable>,
+fn batch_replies(
+    mut answers: mpsc::UnboundedReceiver<AskReply>,
+    table: Arc<SummaryTable>,
 ) -> mpsc::Receiver<HomeBatch> {
-    let (to_wire, batches) = mpsc::channel(BATCHES_WAITING);
+    let (to_wire, batches) = mpsc::channel(MAX_QUEUED_BATCHES);
     tokio::spawn(async move {
-        let mut ready = Vec::with_capacity(BATCH);
-        while answers.recv_many(&mut ready, BATCH).await > 0 {
-            let batch = batch_of(ready.drain(..), &loads);
+        let mut ready = Vec::with_capacity(MAX_BATCH_REPLIES);
+        while answers.recv_many(&mut ready, MAX_BATCH_REPLIES).await > 0 {
+            let batch = build_batch(ready.drain(..), &table);
             let bytes = batch.encoded_len() as u64;
             metrics::counter!("tc_fleet_stream_bytes_total", "role" => "home").increment(bytes);
             if to_wire.send(batch).await.is_err() {
@@ -288,28 +289,28 @@
     batches
 }
 
-fn batch_of(answers: impl Iterator<Item = Numbered>, loads: &SummaryTable) -> HomeBatch {
+fn build_batch(answers: impl Iterator<Item = AskReply>, table: &SummaryTable) -> HomeBatch {
     let mut batch = HomeBatch::default();
     let mut summaries = HashMap::new();
-    for numbered in answers {
-        let verdict = match &numbered.answer {
+    for ask_reply in answers {
+        let verdict = match &ask_reply.answer {
             Some(answer) => {
-                summaries.insert(numbered.upstream.clone(), (answer.summary, answer.leaving));
+                summaries.insert(ask_reply.upstream.clone(), (answer.summary, answer.leaving));
                 verdict_to_wire(&answer.verdict)
             }
             None => Verdict::Queued(QueuedAsk {}),
         };
         batch.replies.push(PermitReply {
-            ask: numbered.ask,
+            ask: ask_reply.ask,
             verdict: Some(verdict),
         });
     }
     // A verdict in the same batch makes the "queued" before it needless.
-    drop_answered(&mut batch.replies);
+    drop_superseded(&mut batch.replies);
     batch.summaries = summaries
         .iter()
         .map(|(id, (summary, leaving))| {
-            let incarnation = loads
+            let incarnation = table
                 .cell(id)
                 .map(|cell| cell.incarnation())
                 .unwrap_or_default();
@@ -319,18 +320,18 @@
     batch
 }
 
-fn drop_answered(replies: &mut Vec<PermitReply>) {
-    let decided: std::collections::HashSet<u64> = replies
+fn drop_superseded(replies: &mut Vec<PermitReply>) {
+    let answered: std::collections::HashSet<u64> = replies
         .iter()
         .filter(|reply| !matches!(reply.verdict, Some(Verdict::Queued(_))))
         .map(|reply| reply.ask)
         .collect();
     replies.retain(|reply| {
-        !matches!(reply.verdict, Some(Verdict::Queued(_))) || !decided.contains(&reply.ask)
+        !matches!(reply.verdict, Some(Verdict::Queued(_))) || !answered.contains(&reply.ask)
     });
 }
 
-fn home_ask(entry: &InstanceId, ask: &PermitAsk) -> HomeAsk {
+fn home_ask_from_wire(entry: &InstanceId, ask: &PermitAsk) -> HomeAsk {
     HomeAsk {
         entry: entry.clone(),
         ask: ask.ask,
@@ -368,7 +369,7 @@
             reason,
             retry_after,
         } => Verdict::Refused(RefusedAsk {
-            reason: convert::reason_number(*reason),
+            reason: convert::reason_to_wire(*reason),
             retry_after_ms: convert::millis(*retry_after),
         }),
     }
--- a/crates/tc-fleet/src/start.rs
+++ b/crates/tc-fleet/src/start.rs
@@ -130,7 +130,7 @@
     tokio::spawn(introduce(settings.clone(), parts.clone(), node.clone()));
     let node = node.clone();
     parts.suspects.set_spread_now(Box::new(move || {
-        let _ = node.cast(NodeMsg::SpreadSuspects);
+        let _ = node.cast(NodeMsg::AnnounceToAll);
     }));
 }
 
@@ -148,7 +148,7 @@
             .iter()
             .filter(|seed| **seed != settings.me.fleet_address)
         {
-            let mut client = parts.peers.client_of(*seed);
+            let mut client = parts.peers.client_at(*seed);
             let introduction = timed(Introduction {
                 me: Some(me.clone()),
                 view: 0,
@@ -164,7 +164,7 @@
                 .iter()
                 .filter_map(convert::record_from_wire)
                 .collect();
-            let _ = node.cast(NodeMsg::Learn(records));
+            let _ = node.cast(NodeMsg::MergeRecords(records));
             break;
         }
         tokio::time::sleep(INTRODUCE_AGAIN).await;
--- a/crates/tc-fleet/src/store_watch.rs
+++ b/crates/tc-fleet/src/store_watch.rs
@@ -60,7 +60,7 @@
 pub(crate) async fn read_lists(parts: NodeParts, node: ActorRef<NodeMsg>) {
     loop {
         if let Ok(list) = parts.store.instances(Purpose::Instances).await
-            && node.cast(NodeMsg::Listed(list)).is_err()
+            && node.cast(NodeMsg::InstanceList(list)).is_err()
         {
             return;
         }
--- a/crates/tc-fleet/src/summary.rs
+++ b/crates/tc-fleet/src/summary.rs
@@ -109,16 +109,16 @@
 
 /// Counts one use of an upstream by this instance until dropped.
 #[derive(Debug)]
-pub(crate) struct UseGuard(Arc<SummaryCell>);
+pub(crate) struct InFlightGuard(Arc<SummaryCell>);
 
-impl UseGuard {
+impl InFlightGuard {
     pub(crate) fn new(cell: Arc<SummaryCell>) -> Self {
         cell.own_in_flight.fetch_add(1, Relaxed);
         Self(cell)
     }
 }
 
-impl Drop for UseGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.own_in_flight.fetch_sub(1, Relaxed);
     }
