--- a/crates/tc-fleet/src/mesh/actor.rs
+++ b/crates/tc-fleet/src/mesh/actor.rs
@@ -1,4 +1,5 @@
-//! Membership on the control thread: datagrams and timers go through one actor, which publishes the list of members.
+//! The membership actor of the mesh. It runs on the control thread, handles datagrams and timers, and publishes the
+//! member list.
 
 use std::{
     collections::HashSet,
@@ -23,50 +24,50 @@
     suspects::SuspectTable,
 };
 
-/// Shortest wait between two ticks, so that a timer that is always due cannot keep the thread busy.
+/// Minimum interval between two ticks, so that a timer that is always due does not keep the thread busy.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A datagram up to this many bytes has room for limits beside its news of members.
+/// Maximum size of a datagram, in bytes, that rate limits are added to. Larger ones have no room left for them.
 const MAX_BYTES_BEFORE_LIMITS: usize = 1_000;
 
-/// What another instance says when it compares its list of members with this one's.
+/// Introduction of another instance, which compares its member list with this one's.
 pub(crate) struct Introduced {
     pub(super) other: Record,
-    /// Digest of its list; 0 when it wants all.
+    /// Digest of its member list, or 0 to request all members.
     pub(super) view_digest: u64,
     pub(super) known: HashSet<u32>,
-    /// It wants to be known, and no list.
+    /// Whether it only announces itself and requests no records.
     pub(super) only_announces: bool,
 }
 
-/// What can be told to the actor.
+/// Messages to [`MeshActor`].
 pub(crate) enum MeshMsg {
     Datagram(Box<Datagram>),
-    /// Records of an introduction; answered with whether anything of them was news.
+    /// Records received in reply to an introduction. The reply tells whether they changed the member list.
     MergeRecords(Vec<Record>, oneshot::Sender<bool>),
-    /// Another instance tells of itself and of its view, and wants to know what it lacks; answered with nothing when both
-    /// views are the same.
+    /// An introduction by another instance. The reply has the records that it is missing, or `None` if both instances
+    /// have the same members.
     Introduced(Box<Introduced>, oneshot::Sender<Option<Vec<Record>>>),
-    /// Short hashes of the members that are known here.
+    /// Requests the short hashes of the known members.
     MemberHashes(oneshot::Sender<Vec<u32>>),
-    /// A call to it failed: connect to it anew, and probe it next.
+    /// A call to the instance failed: reconnect and probe it next.
     CallFailed(InstanceId),
-    /// It did not answer a call in time: probe it next.
+    /// A call to the instance timed out: probe it next.
     CallTimedOut(InstanceId),
-    /// Tell every instance of suspects now.
+    /// Sends the reported suspects to every instance now.
     AnnounceToAll,
-    /// This process was absent for a while.
+    /// This process was paused and has resumed.
     Resumed,
     Leave,
     Tick,
 }
 
-/// What other threads read.
+/// State published to other threads.
 pub(super) struct Published {
     pub(super) members: ArcSwap<Vec<Member>>,
     /// Digest of the members that are not dead.
     pub(super) view_digest: AtomicU64,
-    /// Counts changes of the members.
+    /// Counter of changes of the member list.
     pub(super) changes: watch::Sender<u64>,
 }
 
@@ -85,7 +86,7 @@
     args: MeshArgs,
 }
 
-/// The actor; its state is [`MeshState`].
+/// The membership actor; its state is [`MeshState`].
 pub(super) struct MeshActor;
 
 impl Actor for MeshActor {
@@ -125,7 +126,7 @@
             MeshMsg::MergeRecords(records, reply) => {
                 let changed = self.membership.merge_records(now, &records);
                 self.tick(now);
-                // Fails only when nobody waits for it any more.
+                // Fails only if the requester has stopped waiting.
                 let _ = reply.send(changed);
             }
             MeshMsg::Introduced(introduced, reply) => {
@@ -138,11 +139,11 @@
                 self.membership.merge_records(now, &[other]);
                 let is_different = !only_announces && self.membership.view_digest() != view_digest;
                 let missing = is_different.then(|| self.membership.missing_records(&known));
-                // Fails only when the other has given up.
+                // Fails only if the other instance has cancelled its call.
                 let _ = reply.send(missing);
             }
             MeshMsg::MemberHashes(reply) => {
-                // Fails only when nobody waits for it any more.
+                // Fails only if the requester has stopped waiting.
                 let _ = reply.send(self.membership.member_hashes());
             }
             MeshMsg::CallFailed(id) => {
@@ -159,7 +160,7 @@
                 self.send(outgoing);
             }
             MeshMsg::Resumed => {
-                // What it knew before may be wrong by now: others may have taken it for dead.
+                // State from before the pause may be outdated: others may have declared this instance dead.
                 self.membership.resumed(now);
                 self.tick(now);
             }
@@ -219,10 +220,10 @@
     }
 }
 
-/// One log line for each member whose state is another than before.
+/// Logs each member whose state has changed.
 ///
-/// Both lists are in order of identifier and are walked once together: looked up one by one, the members of a fleet of
-/// hundreds cost half a millisecond a change, and a failure domain that is lost brings hundreds of changes.
+/// Both lists are ordered by identifier and are merged in one pass. Individual lookups took half a millisecond per
+/// change in a fleet of hundreds, and the loss of a failure domain causes hundreds of changes.
 fn log_state_changes(before: &[Member], after: &[Member]) {
     let mut before = before.iter().peekable();
     for member in after {
@@ -233,13 +234,13 @@
                 instance = member.id.as_str(),
                 state = format!("{:?}", member.state).as_str(),
                 incarnation = member.incarnation.0;
-                "state of an instance changed"
+                "instance state changed"
             );
         }
     }
 }
 
-/// Addresses of members other than `me` that may answer.
+/// Returns the fleet addresses of the members other than `me` that are not dead.
 pub(super) fn other_addresses(members: &[Member], me: &InstanceId) -> Vec<SocketAddr> {
     members
         .iter()
--- a/crates/tc-fleet/src/mesh/engine_calls.rs
+++ b/crates/tc-fleet/src/mesh/engine_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the homes of model services.
+//! RPCs to the homes of model services.
 
 use std::time::Duration;
 
@@ -15,12 +15,12 @@
 };
 use crate::{generated::RunNewsMessage, peers::timed};
 
-/// Longest wait for a home's choice of an engine. An instance that waits longer chooses by itself, which costs
-/// its request less than the wait.
+/// Timeout for a home's choice of an engine. After it, the instance chooses an engine itself, which delays the request
+/// less than waiting longer would.
 const CHOICE_TIMEOUT: Duration = Duration::from_millis(60);
 
 impl Mesh {
-    /// Asks the home of a model service for an engine; `None` when it knows none.
+    /// Asks the home of a model service to choose an engine. Returns `None` if the home knows no engine.
     pub async fn choose_engine(
         &self,
         home: &Member,
@@ -41,7 +41,7 @@
         Ok(choice_from_wire(&choice))
     }
 
-    /// Tells the home that chose engines for runs what became of them.
+    /// Reports the progress of runs to the home that chose their engines.
     pub async fn tell_runs(
         &self,
         home: &Member,
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -1,4 +1,4 @@
-//! Starting the mesh, and the handle that the rest of the process uses.
+//! Startup of the mesh, and the handle to it.
 
 use std::{
     net::SocketAddr,
@@ -42,32 +42,32 @@
     suspects::{Origin, SuspectTable, TrialGuard},
 };
 
-/// How long an ask for pieces may outlive the request's own time, for the way back.
+/// Time added to the remaining time of a stage request, so that the response can still arrive.
 const RESPONSE_GRACE: Duration = Duration::from_millis(200);
 
-/// What [`Mesh::start`] needs to know.
+/// Settings for [`Mesh::start`].
 #[derive(Clone, Debug)]
 pub struct MeshSettings {
     /// This instance.
     pub me: Member,
-    /// Where to listen for other instances, TCP and UDP.
+    /// Address to listen on for other instances, TCP and UDP.
     pub listen: SocketAddr,
     /// Keys that authenticate instances to each other.
     pub keys: FleetKeys,
-    /// Probe timings.
+    /// Probe intervals and timeouts.
     pub timing: MembershipConfig,
-    /// Runs calls to and from other instances; the traffic threads' runtime.
+    /// Runtime of the traffic threads, which serves calls from other instances.
     pub traffic: tokio::runtime::Handle,
     /// Rate limits of upstreams, shared with the rest of the process.
     pub limits: Arc<UpstreamLimits>,
 }
 
-/// The run of a request that may crash upstreams; other_addresses of its kind wait until it is dropped.
+/// A trial run of a request suspected of crashing upstreams. Other runs of the same request wait until it is dropped.
 pub struct SuspectTrial {
     _guard: TrialGuard,
 }
 
-/// Handle of the mesh; clones share it.
+/// Handle to the mesh, cheap to clone.
 #[derive(Clone)]
 pub struct Mesh {
     pub(super) inner: Arc<Inner>,
@@ -83,10 +83,11 @@
 }
 
 impl Mesh {
-    /// Starts the actor, sockets and server on the current runtime, which is the control thread's.
+    /// Starts the actor, the sockets and the server. Call it on the control thread's runtime.
     ///
     /// # Errors
-    /// [`FleetError::Listen`] when the address is taken, [`FleetError::Actors`] when the actor does not start.
+    /// Returns [`FleetError::Listen`] if the address cannot be bound, and [`FleetError::Actors`] if the actor fails to
+    /// start.
     pub async fn start(
         settings: MeshSettings,
         handlers: Arc<MeshHandlers>,
@@ -144,25 +145,25 @@
         })
     }
 
-    /// This instance.
+    /// Returns this instance.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.inner.me
     }
 
-    /// All known instances, this one included; never waits.
+    /// Returns all known instances, including this one, without blocking.
     #[must_use]
     pub fn members(&self) -> Arc<Vec<Member>> {
         self.inner.published.members.load_full()
     }
 
-    /// Told whenever [`Mesh::members`] may have changed.
+    /// Returns a receiver that is notified when [`Mesh::members`] may have changed.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.inner.published.changes.subscribe()
     }
 
-    /// The instance that holds the role named by `key`, leaving out those in `excluded`.
+    /// Returns the instance that holds the role named by `key`, among those not in `excluded`.
     #[must_use]
     pub fn home(&self, key: &str, excluded: &[InstanceId]) -> Option<Member> {
         let members = self.members();
@@ -177,34 +178,36 @@
         home_of(key, &remaining, None, None).cloned()
     }
 
-    /// First step of a planned stop: tells everyone that this instance is leaving.
+    /// Announces that this instance is leaving, as the first step of a planned stop.
     pub fn leave(&self) {
         let _ = self.inner.node.cast(MeshMsg::Leave);
     }
 
-    /// This process did not run for a while: other_addresses may have taken it for dead.
+    /// Reports that this process was paused, so that other instances may have declared it dead.
     pub fn resumed(&self) {
         let _ = self.inner.node.cast(MeshMsg::Resumed);
     }
 
-    /// A call to the instance was not answered in time: it is probed next. It may only be busy, so its connection stays: hundreds
-    /// that connect anew because of one slow moment are what keeps a busy home from recovering.
+    /// Reports that a call to an instance timed out. The instance is probed next.
+    ///
+    /// Its connection is kept, since it may only be busy. If hundreds of instances reconnected after one slow moment, a
+    /// busy home would not recover.
     pub fn report_timeout(&self, id: &InstanceId) {
         let _ = self.inner.node.cast(MeshMsg::CallTimedOut(id.clone()));
     }
 
-    /// A call to the instance failed: it is probed next, and the next call to it connects anew.
+    /// Reports a failed call to an instance. It is probed next, and the next call to it uses a new connection.
     pub fn report_failed_call(&self, id: &InstanceId) {
         let _ = self.inner.node.cast(MeshMsg::CallFailed(id.clone()));
     }
 
-    /// Fleet addresses of the other instances that may answer.
+    /// Returns the fleet addresses of the other instances that are not dead.
     #[must_use]
     pub fn other_addresses(&self) -> Vec<SocketAddr> {
         other_addresses(&self.members(), &self.inner.me.id)
     }
 
-    /// Asks a home to make the pieces of a stage. Dropping the future cancels what was not started.
+    /// Asks a home to process the pieces of a stage. Dropping the future cancels the pieces that were not started.
     pub async fn make_pieces(
         &self,
         home: &Member,
@@ -222,7 +225,7 @@
         })
     }
 
-    /// Tells a home that nobody reads these results any more.
+    /// Tells a home that results are no longer needed.
     pub async fn free_results(
         &self,
         home: &Member,
@@ -238,7 +241,7 @@
             .map_err(|status| call_error(home, &status))
     }
 
-    /// Asks the home of a batch service how it stands; `None` when it is not the home.
+    /// Asks the home of a batch service for its load. Returns `None` if the instance is not the home.
     pub async fn outlook(
         &self,
         home: &Member,
@@ -255,10 +258,12 @@
         Ok(answer.into_inner().home.as_ref().map(outlook_from_wire))
     }
 
-    /// Waits for leave to run a request: at once unless it has crashed upstreams, in which case it runs once at a time
-    /// over all instances, and not at all after a few crashes in a row.
+    /// Waits until a request may run. Requests that are not suspected of crashing upstreams may run at once. Suspects
+    /// run one at a time across all instances, and are refused after [`SuspectPolicy::crashes_to_quarantine`] crashes.
+    ///
+    /// Hold the returned guard until the run has ended.
     ///
-    /// The guard is to be held until the run has ended.
+    /// [`SuspectPolicy::crashes_to_quarantine`]: tc_policy::SuspectPolicy::crashes_to_quarantine
     pub async fn try_trial(
         &self,
         input: Fingerprint,
@@ -274,7 +279,8 @@
         Ok(guard.map(|guard| SuspectTrial { _guard: guard }))
     }
 
-    /// An upstream's connection broke while it ran a request. Tells the home of such requests without waiting for it.
+    /// Reports that an upstream's connection broke while it ran a request. The report is sent to the home of the
+    /// request's fingerprint in the background.
     pub fn record_crash(
         &self,
         input: Fingerprint,
@@ -291,14 +297,15 @@
         tokio::spawn(suspects.died(input, upstream));
     }
 
-    /// A request ran to its end: it crashes nothing.
+    /// Reports that a request ran to completion, which clears it of suspicion.
     pub fn record_success(&self, input: Fingerprint) {
         self.inner.suspects.ran_whole(input);
     }
 
-    /// Follows what another instance hears from the store: at once what this one lacks, then each change.
+    /// Subscribes to the store state that another instance knows. The stream first yields what is newer than `have`,
+    /// then each change.
     ///
-    /// The stream ends with an error; dropping it ends it for the other too.
+    /// If the stream fails, its last item is an error. Dropping it cancels the call at the other instance.
     pub async fn follow_world(
         &self,
         from: &Member,
@@ -345,14 +352,14 @@
 ) {
     let service = MeshServer::with_interceptor(service, check_token(keys.clone()));
     let Ok(listener) = listener.into_std() else {
-        log::error!("the socket for other instances cannot be moved to the traffic threads");
+        log::error!("cannot move the fleet listener to the traffic threads");
         return;
     };
     traffic.spawn(async move {
         let listener = match TcpListener::from_std(listener) {
             Ok(listener) => listener,
             Err(error) => {
-                log::error!("the socket for other instances cannot be used: {error}");
+                log::error!("cannot use the fleet listener: {error}");
                 return;
             }
         };
@@ -361,7 +368,7 @@
             .add_service(service)
             .serve_with_incoming(incoming);
         if let Err(error) = served.await {
-            log::error!("serving other instances ended: {error}");
+            log::error!("fleet server stopped: {error}");
         }
     });
 }
--- a/crates/tc-fleet/src/mesh/limits.rs
+++ b/crates/tc-fleet/src/mesh/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that upstreams announce, as instances tell each other of them.
+//! Rate limits announced by upstreams, and their exchange between instances.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -13,23 +13,23 @@
 
 use crate::{convert, generated as wire};
 
-/// Limits in one datagram at most.
+/// Maximum number of limits in a datagram.
 const MAX_LIMITS_PER_DATAGRAM: usize = 4;
-/// Limits in one report to a home at most.
+/// Maximum number of limits in a report to a home.
 const MAX_LIMITS_PER_REPORT: usize = 16;
-/// Limits in one ask for an engine at most.
+/// Maximum number of limits in an engine request.
 const MAX_LIMITS_PER_REQUEST: usize = 32;
-/// Announcements up to this age go into reports to homes. Longer than the gathering of reports.
+/// Maximum age of announcements included in reports to homes. Longer than the interval over which reports are batched.
 const MAX_REPORTED_AGE: Duration = Duration::from_secs(1);
 
-/// The rate limits known to this instance, from answers and from other instances.
+/// The rate limits known to this instance, from answers of upstreams and from other instances.
 #[derive(Debug, Default)]
 pub struct UpstreamLimits {
     known: Mutex<KnownLimits>,
 }
 
 impl UpstreamLimits {
-    /// Records what an answer of the upstream announced.
+    /// Records the limit announced in an answer of the upstream.
     pub fn observe(&self, upstream: &UpstreamId, announced: AnnouncedLimit) {
         let limit = match announced {
             AnnouncedLimit::None => None,
@@ -38,7 +38,7 @@
                 Some(limit)
             }
             AnnouncedLimit::Unreadable => {
-                log::warn!(upstream = upstream.as_str(); "upstream limit unreadable");
+                log::warn!(upstream = upstream.as_str(); "cannot read the rate limit announced by an upstream");
                 return;
             }
         };
@@ -54,7 +54,7 @@
         self.lock().get(upstream)
     }
 
-    /// Returns a number that rises with each change of a limit.
+    /// Returns a counter that increases with each change of a limit.
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.lock().changes()
@@ -67,7 +67,7 @@
         metrics::gauge!("tc_upstream_limits").set(known.limited() as f64);
     }
 
-    /// Takes up what another instance told.
+    /// Records limits received from another instance.
     pub(super) fn receive<'a>(&self, updates: impl IntoIterator<Item = &'a wire::UpstreamLimit>) {
         let mut updates = updates.into_iter().filter_map(limit_from_wire).peekable();
         if updates.peek().is_none() {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns limits for the next datagram.
+    /// Returns the limits to add to the next datagram.
     pub(super) fn to_gossip(&self) -> Vec<wire::UpstreamLimit> {
         let updates = self
             .lock()
@@ -91,7 +91,7 @@
         updates.iter().map(limit_to_wire).collect()
     }
 
-    /// Returns limits for a report to a home.
+    /// Returns the limits to add to a report to a home.
     pub(super) fn to_report(&self) -> Vec<wire::UpstreamLimit> {
         let now = MonoTime::now();
         let updates = self
@@ -100,7 +100,7 @@
         updates.iter().map(limit_to_wire).collect()
     }
 
-    /// Returns limits for an ask, which the home goes by even if it has just started.
+    /// Returns the limits to add to an engine request, so that a home that has just started knows them too.
     pub(super) fn to_engine_request(&self) -> Vec<wire::UpstreamLimit> {
         let updates = self
             .lock()
@@ -108,7 +108,7 @@
         updates.iter().map(limit_to_wire).collect()
     }
 
-    /// Returns the limit of an engine that an asker is to use.
+    /// Returns the limit to add to the reply to an engine request that selected this engine.
     pub(super) fn for_engine(&self, upstream: &UpstreamId) -> Option<wire::UpstreamLimit> {
         let update = self.lock().news_of(MonoTime::now(), upstream);
         update.as_ref().map(limit_to_wire)
@@ -121,7 +121,7 @@
 
 fn log_change(known: &KnownLimits, upstream: &UpstreamId, change: LimitChange, source: &str) {
     metrics::gauge!("tc_upstream_limits").set(known.limited() as f64);
-    log::info!(upstream = upstream.as_str(), source = source, per_s = change.after.map(RateLimit::per_s), before_per_s = change.before.map(RateLimit::per_s); "upstream limit changed");
+    log::info!(upstream = upstream.as_str(), source = source, per_s = change.after.map(RateLimit::per_s), before_per_s = change.before.map(RateLimit::per_s); "rate limit of an upstream changed");
 }
 
 fn limit_to_wire(update: &RateLimitUpdate) -> wire::UpstreamLimit {
@@ -132,7 +132,7 @@
     }
 }
 
-/// Returns `None` for a rate that is none.
+/// Returns `None` if the rate is invalid.
 fn limit_from_wire(update: &wire::UpstreamLimit) -> Option<RateLimitUpdate> {
     let limit = match update.per_s {
         Some(per_s) => Some(RateLimit::new(per_s)?),
--- a/crates/tc-fleet/src/mesh/members.rs
+++ b/crates/tc-fleet/src/mesh/members.rs
@@ -1,4 +1,4 @@
-//! Telling other instances of this one, and comparing lists of members with theirs.
+//! Introduction of this instance to others, and comparison of member lists.
 
 use std::{net::SocketAddr, sync::atomic::Ordering};
 
@@ -14,14 +14,14 @@
 };
 
 impl Mesh {
-    /// Introduces this instance at an address and takes up the members known there.
+    /// Introduces this instance to the one at an address and merges the members known there.
     pub async fn introduce_at(&self, address: SocketAddr) -> Result<(), MeshError> {
         let client = self.inner.peers.client_at(address);
         let peer_id: InstanceId = address.to_string().into();
         self.compare_with(client, &peer_id).await.map(|_| ())
     }
 
-    /// Makes this instance known at an address without asking who there is.
+    /// Announces this instance to the one at an address without requesting its members.
     pub async fn announce_at(&self, address: SocketAddr) -> Result<(), MeshError> {
         let mut client = self.inner.peers.client_at(address);
         let introduction = timed(Introduction {
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Compares the list of members with another instance's and takes up what that one knows beyond.
+    /// Compares the member list with another instance's and merges the records that are missing here.
     pub async fn compare_members(&self, other: &Member) -> Result<ComparisonOutcome, MeshError> {
         let client = self.inner.peers.client(other);
         self.compare_with(client, &other.id).await
--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -1,4 +1,4 @@
-//! Typed messages between instances and their wire forms.
+//! Conversion between messages of the mesh and their wire types.
 
 use std::time::Duration;
 
@@ -14,39 +14,39 @@
 
 use crate::{convert, generated as wire};
 
-/// Why a call to another instance brought no answer.
+/// Error of a call to another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MeshError {
-    /// It could not be reached, or did not answer.
-    #[error("instance {instance} does not answer: {problem}")]
+    /// The instance is unreachable or the call failed.
+    #[error("call to instance {instance} failed: {problem}")]
     NoAnswer {
-        /// Who was called.
+        /// The called instance.
         instance: InstanceId,
-        /// What went wrong.
+        /// Status of the call.
         problem: String,
     },
-    /// It did not answer in time; it may only be busy.
-    #[error("instance {instance} does not answer in time")]
+    /// The instance did not answer in time. It may only be busy.
+    #[error("call to instance {instance} timed out")]
     TimedOut {
-        /// Who was called.
+        /// The called instance.
         instance: InstanceId,
     },
-    /// Its answer does not fit the protocol; it is of another version or broken.
-    #[error("instance {instance} gave an answer that cannot be read")]
+    /// The answer violates the protocol: the instance runs another version or is faulty.
+    #[error("instance {instance} sent a malformed answer")]
     Malformed {
-        /// Who was called.
+        /// The called instance.
         instance: InstanceId,
     },
 }
 
-/// What a home answers to an ask for pieces.
+/// Answer of a home to a [`StageRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct PiecesAnswer {
-    /// The results in the order of the pieces, or why there are none.
+    /// The results in the order of the pieces, or why the stage was refused.
     pub reply: Result<Vec<ResultHandle>, StageRefusal>,
-    /// How the home stands; `None` where no home can tell.
+    /// Load of the home; `None` if the answering instance is not the home.
     pub home: Option<HomeOutlook>,
-    /// Whether the request was refused before and comes too late to be in time for its caller.
+    /// Whether the request was refused before and has returned too late to meet its caller's latency target.
     pub is_late_return: bool,
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-/// `None` when a stage does not follow earlier ones only: whoever walks such a chain would not come to its end.
+/// Returns `None` if a stage depends on itself or a later one: traversing such a chain would not terminate.
 fn chain_from_wire(chain: &wire::Chain) -> Option<StageChain> {
     let stage = |(index, stage): (usize, &wire::ChainStage)| {
         let depends_on: Vec<usize> = stage.after.iter().map(|before| *before as usize).collect();
@@ -243,7 +243,8 @@
     }
 }
 
-/// News of a kind that is not known here, as of a later version, ends the run: nothing is then counted for ever.
+/// Treats unknown kinds of progress, as a later version may send, as the end of the run. Otherwise the run would be
+/// counted as in progress forever.
 pub(super) fn run_report_from_wire(news: &wire::RunNews) -> RunReport {
     let run_progress = match news.what {
         0 => RunProgress::FirstEvent(convert::from_millis(news.took_ms)),
@@ -301,7 +302,7 @@
         .collect()
 }
 
-/// Numbers of refusals on the wire; 0 means that the pieces were made.
+/// Refusal codes on the wire; 0 means success.
 const REFUSAL_OVERLOADED: u32 = 1;
 const REFUSAL_INPUT_GONE: u32 = 2;
 const REFUSAL_FAILED: u32 = 3;
@@ -328,7 +329,7 @@
     message
 }
 
-/// `None` when the refusal's number is not known.
+/// Returns `None` if the refusal code is unknown.
 pub(super) fn pieces_answer_from_wire(answer: &wire::PiecesAnswer) -> Option<PiecesAnswer> {
     let reply = match answer.refusal {
         0 => Ok(results_from_wire(&answer.results)),
--- a/crates/tc-fleet/src/mesh/mod.rs
+++ b/crates/tc-fleet/src/mesh/mod.rs
@@ -1,6 +1,6 @@
-//! The layer between instances for routed requests: who there is, and calls to the homes of batch services.
+//! Membership and RPCs between instances for routed requests.
 //!
-//! [`Mesh::start`] runs on the control thread; the handle it gives is used by traffic threads.
+//! [`Mesh::start`] runs on the control thread. Traffic threads use the handle that it returns.
 
 mod actor;
 mod engine_calls;
--- a/crates/tc-fleet/src/mesh/peers.rs
+++ b/crates/tc-fleet/src/mesh/peers.rs
@@ -1,4 +1,4 @@
-//! Channels to other instances, made on first use.
+//! gRPC clients for other instances, created on first use.
 
 use std::{
     collections::HashMap,
@@ -23,7 +23,7 @@
     client: Client,
 }
 
-/// Clients of all instances this one has talked to.
+/// Clients for all instances that this one has called.
 pub(super) struct Peers {
     local_ip: IpAddr,
     keys: FleetKeys,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The client for a member, made anew when the member restarted or moved.
+    /// Returns the client for a member. A new one is created if the member has restarted or its address has changed.
     pub(super) fn client(&self, member: &Member) -> Client {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = known.get(&member.id)
@@ -58,9 +58,9 @@
         client
     }
 
-    /// Drops the channel of a member that does not answer: its calls fail, and the next one connects anew.
+    /// Drops the client for a member that does not answer. The next call uses a new connection.
     ///
-    /// A channel may have gone silent for good while a new one would work.
+    /// An established connection may stay unresponsive although a new one would work.
     pub(super) fn forget(&self, id: &InstanceId) {
         self.known
             .lock()
@@ -68,7 +68,7 @@
             .remove(id);
     }
 
-    /// A client for an address whose instance is not known yet.
+    /// Creates a client for an address whose instance is not known yet.
     pub(super) fn client_at(&self, address: SocketAddr) -> Client {
         let token = TokenInterceptor::new(&self.keys);
         let local_ip = (!self.local_ip.is_unspecified()).then_some(self.local_ip);
--- a/crates/tc-fleet/src/mesh/service.rs
+++ b/crates/tc-fleet/src/mesh/service.rs
@@ -1,4 +1,4 @@
-//! What other instances may call here.
+//! gRPC service of the mesh, called by other instances.
 
 use std::sync::Arc;
 
@@ -32,31 +32,31 @@
     suspects::SuspectTable,
 };
 
-/// Chooses an engine for a prompt; `None` when none is known.
+/// Chooses an engine for a prompt. Returns `None` if no engine is known.
 pub type ChooseEngine = dyn Fn(&EngineRequest) -> Option<EngineChoice> + Send + Sync;
-/// Takes up what became of runs of a service.
+/// Handles progress reports of runs of a service.
 pub type TellRuns = dyn Fn(&ServiceName, &[RunReport]) + Send + Sync;
 
-/// Tells how the home of a service stands; `None` if it is not here.
+/// Returns the load of a service's home, or `None` if the home is not here.
 pub type TellOutlook = dyn Fn(&ServiceName) -> Option<HomeOutlook> + Send + Sync;
 
-/// What this instance does for others. Futures that are dropped cancel what they stand for.
+/// Handlers of calls from other instances. Dropping a returned future cancels its operation.
 pub struct MeshHandlers {
-    /// Makes the pieces of a stage as the home of its service.
+    /// Processes the pieces of a stage as the home of its service.
     pub make_pieces: Box<dyn Fn(StageRequest) -> BoxFuture<'static, PiecesAnswer> + Send + Sync>,
-    /// How the home of a service stands, if it is here.
+    /// Returns the load of a service's home, if it is here.
     pub outlook: Box<TellOutlook>,
-    /// Gives up results.
+    /// Frees results that are no longer needed.
     pub free_results: Box<dyn Fn(Vec<ResultHandle>) + Send + Sync>,
     /// Chooses an engine as the home of its service.
     pub choose_engine: Box<ChooseEngine>,
-    /// Takes up what became of runs whose engines were chosen here.
+    /// Handles progress reports of runs whose engines were chosen here.
     pub tell_runs: Box<TellRuns>,
-    /// Tells of the store: at once what the asker lacks, then each change, until the stream is dropped.
+    /// Streams the state of the store: first what is newer than the given revisions, then each change.
     pub follow_world: Box<dyn Fn(WorldHave) -> BoxStream<'static, WorldNews> + Send + Sync>,
 }
 
-/// The service; cheap to clone.
+/// Implementation of the gRPC service, cheap to clone.
 #[derive(Clone)]
 pub(super) struct Service {
     pub(super) node: ActorRef<MeshMsg>,
--- a/crates/tc-fleet/src/mesh/suspects.rs
+++ b/crates/tc-fleet/src/mesh/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that may crash upstreams, as the mesh tells of them.
+//! Setup of the table of requests suspected of crashing upstreams.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,12 +12,14 @@
     suspects::{SuspectTable, TellHome, Told},
 };
 
-/// Crashes that quarantine a request. Upstreams also crash by themselves, and requests that callers repeat are in flight
-/// in several of such crashes: with two, one request in a few hundred would be refused for what it did not do.
+/// Crashes after which a request is quarantined. Upstreams also crash for other reasons, and requests that callers
+/// retry are in flight during several such crashes: with a threshold of 2, one request in a few hundred would be
+/// refused wrongly.
 const CRASHES_TO_QUARANTINE: u32 = 3;
-/// Crashes from which on it runs one at a time. From the first on, all that one crash cut off would queue for each other.
+/// Crashes from which a request runs only as a trial, one at a time. With a threshold of 1, all requests interrupted by
+/// a single crash would wait for each other's trials.
 const CRASHES_TO_TRIAL: u32 = 2;
-/// How long it is refused: a request that was refused wrongly gets its next chance by itself.
+/// Duration of a quarantine. It is limited so that a wrongly quarantined request can run again without an operator.
 const QUARANTINE_DURATION: Duration = Duration::from_mins(10);
 
 pub(super) fn suspect_table(
--- a/crates/tc-fleet/src/mesh/world_news.rs
+++ b/crates/tc-fleet/src/mesh/world_news.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of the store, and its wire form.
+//! Store updates exchanged between instances, and their conversion to and from wire types.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -7,29 +7,29 @@
 
 use crate::generated as wire;
 
-/// What an instance knows of the store, as numbers to compare.
+/// Revisions of the store's state that an instance has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorldHave {
-    /// Version of the configuration; 0 for none.
+    /// Version of the configuration, or 0 if there is none.
     pub config_version: u64,
-    /// Revision of the list of upstreams; 0 for none.
+    /// Revision of the upstream list, or 0 if there is none.
     pub upstreams_revision: u64,
-    /// Revision of the evacuated failure domains; 0 for none.
+    /// Revision of the evacuated failure domains, or 0 if there is none.
     pub evacuated_revision: u64,
 }
 
-/// An object of the store as it is handed on.
+/// An entry of the store's upstream registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistryEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: Arc<str>,
     /// Revision of its last change.
     pub revision: u64,
-    /// Its value.
+    /// Value of the entry.
     pub value: Arc<Value>,
 }
 
-/// What one instance tells another of the store.
+/// A store update that one instance sends to another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorldNews {
     /// Time as of which the sender's state is confirmed, that is, includes every change that the store had accepted by
@@ -38,47 +38,48 @@
     /// The receiver applies the offset to the time at which it sent the call. That is earlier than the receipt, so the
     /// result never overstates how recent the state is.
     pub confirmed_ms: Option<i64>,
-    /// The configuration and the store's revision of it, if it is newer.
+    /// Configuration and its store revision, if newer than the receiver's.
     pub config: Option<(Arc<Value>, u64)>,
-    /// What is new about upstreams.
+    /// Changes of the upstream list, if any.
     pub upstreams: Option<UpstreamNews>,
-    /// All evacuated failure domains, if that is newer.
+    /// All evacuated failure domains, if newer than the receiver's.
     pub evacuated: Option<EvacuatedDomains>,
 }
 
-/// The failure domains whose upstreams must get nothing new, as of a revision of the store.
+/// The failure domains whose upstreams get no new work, as of a store revision.
 ///
-/// There are as many as there are failure domains at most, so they are always told whole.
+/// The set is never larger than the number of failure domains, so it is always sent in full.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvacuatedDomains {
-    /// The store's revision that it shows; 0 before anything is known.
+    /// Store revision of the set; 0 if none is known yet.
     pub revision: u64,
-    /// Which.
+    /// Evacuated failure domains.
     pub domains: BTreeSet<FailureDomain>,
 }
 
-/// How one list of upstreams differs from an earlier one.
+/// Difference between an upstream list and an earlier one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamNews {
-    /// Revision of the later list.
+    /// Revision of the new list.
     pub revision: u64,
-    /// Entries that are new or changed.
+    /// Added or changed entries.
     pub changed: Vec<RegistryEntry>,
-    /// Entries that are gone.
+    /// Removed entries.
     pub removed: Removed,
 }
 
-/// Which entries of a list are gone.
+/// Entries removed from an upstream list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Removed {
-    /// These, from the list of an earlier revision.
+    /// The named entries were removed from the list of an earlier revision.
     Named {
-        /// Revision of that list. On top of another one the differences would leave entries that are gone from both.
+        /// Revision of the earlier list. Applied to a list of another revision, the difference would keep entries that
+        /// have been removed.
         since: u64,
-        /// What is gone from it.
+        /// Names of the removed entries.
         names: Vec<Arc<str>>,
     },
-    /// All but these.
+    /// All entries except the named ones were removed.
     AllExcept(Vec<Arc<str>>),
 }
 
@@ -130,7 +131,7 @@
     }
 }
 
-/// `None` when any part cannot be read: half of the news would look like upstreams that are gone.
+/// Returns `None` if any part is malformed: applying the rest would make upstreams appear removed.
 pub(super) fn world_news_from_wire(news: &wire::WorldNews) -> Option<WorldNews> {
     let config = if news.config.is_empty() {
         None
