--- a/crates/tc-fleet/src/node/actor.rs
+++ b/crates/tc-fleet/src/node/actor.rs
@@ -1,4 +1,4 @@
-//! The node's messages and how they change its state.
+//! Messages of the node actor and their handling.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -20,15 +20,15 @@
     settings::HOUSEKEEPING_INTERVAL,
 };
 
-/// Watchers of the configuration object per failure domain.
+/// Number of instances per failure domain that watch the configuration object.
 pub(crate) const WATCHERS_PER_DOMAIN: usize = 2;
-/// A gap in the housekeeping beat above this means that the process was paused.
+/// Gap between housekeeping runs above which the process is considered to have been paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// What can be told to the node.
+/// Messages to [`NodeActor`].
 pub(crate) enum NodeMsg {
     Datagram(Box<Datagram>),
-    /// Records of an introduction by a seed.
+    /// Records received from an introduction.
     MergeRecords(Vec<Record>),
     InstanceList(InstanceList),
     Drained(BTreeSet<UpstreamId>),
@@ -43,12 +43,12 @@
         upstream: UpstreamId,
         leaving: bool,
     },
-    /// A call to it failed: probe it next.
+    /// A call to the instance failed: probe it next.
     CallFailed(InstanceId),
     Leave,
-    /// Undoes a leave.
+    /// Cancels a leave.
     CancelLeave,
-    /// Tell every live instance of suspects now.
+    /// Sends the reported suspects to every live instance now.
     AnnounceToAll,
     Records(oneshot::Sender<Vec<Record>>),
     Delta {
@@ -60,7 +60,7 @@
     Housekeeping,
 }
 
-/// Configuration revisions over the fleet as this instance knows them.
+/// Configuration revisions in the fleet, as known to this instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Revisions {
     pub(crate) active: u64,
@@ -68,14 +68,14 @@
     pub(crate) newest: u64,
 }
 
-/// What the node starts with.
+/// Arguments of [`NodeActor`].
 pub(crate) struct NodeArgs {
     pub(crate) me: Member,
     pub(crate) membership: MembershipConfig,
     pub(crate) parts: NodeParts,
 }
 
-/// The actor; its state is [`NodeState`].
+/// The node actor; its state is [`NodeState`].
 pub(crate) struct NodeActor;
 
 impl Actor for NodeActor {
@@ -121,7 +121,7 @@
 }
 
 impl NodeState {
-    /// Handles one message; returns whether the view has to be published anew.
+    /// Handles a message. Returns whether the view has to be published again.
     fn handle_message(
         &mut self,
         now: MonoTime,
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Lets membership act; with `reschedule`, sets the timer for its next moment.
+    /// Performs the due membership actions. If `reschedule` is set, schedules the next tick.
     fn tick(&mut self, now: MonoTime, reschedule: Option<&ActorRef<NodeMsg>>) {
         let outgoing = self.membership.tick(now);
         self.send(outgoing);
@@ -260,8 +260,8 @@
     fn housekeeping(&mut self, now: MonoTime, myself: &ActorRef<NodeMsg>) -> bool {
         let paused = self.pause_detector.heartbeat(now);
         if let Some(gap) = paused {
-            // What this instance knew before the pause may be wrong by now: others may have taken it for dead.
-            log::warn!(gap_ms = gap.as_millis() as u64; "this process was paused");
+            // State from before the pause may be outdated: others may have declared this instance dead.
+            log::warn!(gap_ms = gap.as_millis() as u64; "process was paused");
             metrics::counter!("tc_pauses_total").increment(1);
             self.membership.resumed(now);
             self.tick(now, None);
@@ -272,24 +272,26 @@
         paused.is_some() || store.reachable != self.parts.view.load().store.reachable
     }
 
-    /// A later life of this instance's identifier is about: this process was replaced and must not act for it.
+    /// Logs an error when a higher incarnation of this instance's identifier is known: another process has replaced
+    /// this one, which must stop.
     fn check_superseded(&mut self) {
         if let Some(incarnation) = self.membership.superseded_by()
             && self.superseded_by != Some(incarnation)
         {
             self.superseded_by = Some(incarnation);
-            log::error!(incarnation = incarnation.0; "another process runs with this instance's name and started later; stop one of them");
+            log::error!(incarnation = incarnation.0; "another process with this instance's identifier was started later; stop one of them");
             metrics::counter!("tc_superseded_total").increment(1);
         }
     }
 
-    /// Starts the next pull of the configuration, if one is due.
+    /// Starts the next configuration pull if one is due.
     fn pull(&mut self, now: MonoTime, myself: &ActorRef<NodeMsg>) {
         let members = self.membership.members();
         let is_watcher = config_watchers(&members, &self.me.failure_domain, WATCHERS_PER_DOMAIN)
             .iter()
             .any(|member| member.id == self.me.id);
-        // Reachability is found out by asking; the state machine's backoff paces it.
+        // The platform is always assumed reachable: a failed pull shows that it is not, and the puller's backoff limits
+        // the rate of attempts.
         match self.config_puller.next_pull(now, is_watcher, true) {
             Pull::Peer(id) => match members.iter().find(|member| member.id == id) {
                 Some(member) => self.pull_from(member, myself),
@@ -333,12 +335,12 @@
 }
 
 impl NodeParts {
-    /// Version of the configuration object last seen at the platform.
+    /// Returns the version of the configuration object last read from the platform.
     pub(crate) fn config_version(&self) -> u64 {
         self.config_version
             .load(std::sync::atomic::Ordering::Relaxed)
     }
 }
 
-/// Shared counter of the configuration object's version.
+/// Shared version of the configuration object.
 pub(crate) type VersionCell = Arc<std::sync::atomic::AtomicU64>;
--- a/crates/tc-fleet/src/node/mod.rs
+++ b/crates/tc-fleet/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The actor that holds this instance's view of the fleet and publishes it, on the control thread.
+//! The node actor. It runs on the control thread and maintains and publishes this instance's view of the fleet.
 
 mod actor;
 mod state;
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What the node knows, and how a view is made of it.
+//! State of the node actor, from which the fleet view is built.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -30,10 +30,10 @@
     suspects::{SUSPECTS_PER_DATAGRAM, SuspectTable},
 };
 
-/// Summaries of own homes put into one datagram at most.
+/// Maximum number of summaries added to a datagram, for upstreams that have their home here.
 const SUMMARIES_PER_DATAGRAM: usize = 6;
 
-/// What the node shares with other parts.
+/// State that the node actor shares with the rest of the process.
 #[derive(Clone)]
 pub(crate) struct NodeParts {
     pub(crate) view: Arc<ArcSwap<FleetView>>,
@@ -44,10 +44,10 @@
     pub(crate) held: Arc<HeldTable>,
     pub(crate) limits: Arc<WorkspaceLimiter>,
     pub(crate) suspects: Arc<SuspectTable>,
-    /// Upstreams drained by operators, as last read.
+    /// Upstreams drained by operators, as last read from the store.
     pub(crate) drained: Arc<ArcSwap<BTreeSet<UpstreamId>>>,
     pub(crate) store: Store,
-    /// Version of the configuration object last seen at the platform; 0 before the first.
+    /// Version of the configuration object last read from the platform; 0 before the first read.
     pub(crate) config_version: VersionCell,
     pub(crate) socket: GossipSocket,
 }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sends membership messages, with this instance's summaries and suspects on them.
+    /// Sends membership messages with summaries and suspects piggybacked.
     pub(crate) fn send(&mut self, outgoing: Vec<Outgoing>) {
         for out in outgoing {
             let mut datagram = convert::message_to_wire(&out.message);
@@ -123,7 +123,7 @@
         datagram.suspects = self.parts.suspects.to_gossip(now, SUSPECTS_PER_DATAGRAM);
     }
 
-    /// Takes up what rides on a datagram.
+    /// Applies the summaries and suspects piggybacked on a datagram.
     pub(crate) fn apply_piggyback(&mut self, now: MonoTime, datagram: &Datagram) {
         for summary in &datagram.summaries {
             let load = convert::summary_from_wire(summary);
@@ -134,7 +134,7 @@
         self.parts.suspects.heard(now, &datagram.suspects);
     }
 
-    /// Puts a configuration in force if it is valid and newer; returns whether it was.
+    /// Activates a configuration if it is valid and newer than the active one. Returns whether it was activated.
     pub(crate) fn apply_config(&mut self, object: ConfigObject) -> bool {
         if object.revision <= self.config_puller.active_revision() {
             self.config_puller.activate(object.revision);
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Publishes the view anew and tells everyone who acts on it.
+    /// Publishes a new view and updates the limits, suspects and homes that depend on it.
     pub(crate) fn publish(&mut self, now: MonoTime) {
         let members: Arc<[Member]> = self.membership.members().into();
         self.handle_state_changes(&members);
@@ -194,7 +194,7 @@
         self.announce_moved_permits(now, &view);
     }
 
-    /// Lets go of instances that are gone, and of asks waiting at suspect ones.
+    /// Handles members whose state has changed since the last call. Members missing from the list count as dead.
     fn handle_state_changes(&mut self, members: &[Member]) {
         let mut states = HashMap::with_capacity(members.len());
         for member in members {
--- a/crates/tc-fleet/src/node/table.rs
+++ b/crates/tc-fleet/src/node/table.rs
@@ -1,4 +1,4 @@
-//! The upstream table: what the configuration, the platform's list, the upstreams themselves and operators say.
+//! The upstream table, merged from the configuration, the platform's list, load reports and drains by operators.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,12 +10,12 @@
 
 use crate::homes::KnownUpstream;
 
-/// Reasons to give an upstream no new work.
+/// Upstreams that get no new work, by reason.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct LeavingUpstreams {
-    /// Says in its load report that it is leaving.
+    /// Upstreams whose load report says that they are leaving.
     pub(crate) announced: BTreeSet<UpstreamId>,
-    /// Drained by an operator.
+    /// Upstreams drained by an operator.
     pub(crate) drained: BTreeSet<UpstreamId>,
 }
 
@@ -28,7 +28,7 @@
 /// Upstreams by service, as published in the view.
 pub(crate) type UpstreamTable = BTreeMap<ServiceName, Vec<UpstreamState>>;
 
-/// Builds the table; homes are placed among `members`.
+/// Builds the table. Homes are placed on `members`.
 pub(crate) fn build(
     config: &FleetConfig,
     list: &InstanceList,
@@ -55,7 +55,7 @@
         .collect()
 }
 
-/// Configured upstreams, and those that the platform lists for the service beside them.
+/// Returns the configured upstreams of a service and those that only the platform lists.
 fn service_upstreams(
     service: &ServiceName,
     configured: &[Upstream],
@@ -106,7 +106,7 @@
     }
 }
 
-/// The table as the homes need it.
+/// Converts the table to the form that homes use.
 pub(crate) fn for_homes(
     table: &UpstreamTable,
     config: &FleetConfig,
--- a/crates/tc-fleet/src/peers/mod.rs
+++ b/crates/tc-fleet/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to other instances: one permit stream per pair, and single calls on the same channel.
+//! RPCs to other instances: one permit stream per peer, and unary calls over the same channel.
 
 mod pool;
 mod stream;
--- a/crates/tc-fleet/src/peers/pool.rs
+++ b/crates/tc-fleet/src/peers/pool.rs
@@ -1,4 +1,4 @@
-//! Channels to other instances, made on first use and dropped when the instance is gone.
+//! Channels to other instances, created on first use and dropped when the instance is dead.
 
 use std::{
     collections::HashMap,
@@ -23,9 +23,10 @@
 };
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often a channel with calls in progress is checked.
+/// Interval of keep-alive pings on a channel with calls in progress.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the answer to a check may take. A peer that was paused or cut off fails its calls after at most the sum.
+/// Timeout of a keep-alive ping. Calls to a paused or unreachable peer fail after at most the interval plus this
+/// timeout.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Adds the fleet token to every call.
@@ -34,7 +35,7 @@
 
 impl TokenInterceptor {
     pub(crate) fn new(keys: &FleetKeys) -> Self {
-        // The token is hexadecimal digits only, which every header value may hold.
+        // The token has only hexadecimal digits, so it is a valid header value.
         Self(
             MetadataValue::try_from(keys.token())
                 .unwrap_or_else(|_| MetadataValue::from_static("")),
@@ -51,7 +52,7 @@
 
 pub(crate) type Client = FleetClient<InterceptedService<Channel, TokenInterceptor>>;
 
-/// Another instance, in one of its lives, at one address.
+/// Connection to one incarnation of another instance at one address.
 pub(crate) struct Peer {
     id: InstanceId,
     address: SocketAddr,
@@ -61,19 +62,20 @@
 }
 
 impl Peer {
-    /// A client for single calls.
+    /// Returns a client for unary calls.
     pub(crate) fn client(&self) -> Client {
         self.client.clone()
     }
 
-    /// Puts something on the permit stream; order is kept. Fails only when the stream's task has ended.
+    /// Sends a message on the permit stream. Messages keep their order. If the stream's task has ended, the message
+    /// fails.
     pub(crate) fn send(&self, message: ToHome) {
         if let Err(mpsc::error::SendError(message)) = self.to_home.send(message) {
             message.fail();
         }
     }
 
-    /// The error of a failed call to this instance.
+    /// Converts the status of a failed call to this instance to an error.
     pub(crate) fn call_error(&self, status: &Status) -> FleetError {
         FleetError::Peer {
             instance: self.id.to_string(),
@@ -82,7 +84,7 @@
     }
 }
 
-/// All other instances this one has talked to.
+/// Peers for all other instances that this one has called.
 pub(crate) struct PeerPool {
     me: Member,
     local_ip: Option<IpAddr>,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The peer for a member, made anew when the member restarted or moved.
+    /// Returns the peer for a member. A new one is created if the member has restarted or its address has changed.
     pub(crate) fn get(&self, member: &Member) -> Arc<Peer> {
         let mut peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = peers.get(&member.id)
@@ -124,7 +126,7 @@
         peer
     }
 
-    /// Ends the streams of a member that is gone; asks waiting there fail at once.
+    /// Drops the peer of a dead member, which ends its permit stream. Pending asks fail at once.
     pub(crate) fn forget(&self, id: &InstanceId) {
         self.peers
             .lock()
@@ -132,7 +134,7 @@
             .remove(id);
     }
 
-    /// Lets asks waiting at a member that stopped answering fail, but keeps its channel.
+    /// Fails the pending asks at a member that stopped answering probes, but keeps its channel.
     pub(crate) fn fail_pending_asks(&self, id: &InstanceId) {
         let peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = peers.get(id) {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// A client for an address whose instance is not known yet.
+    /// Creates a client for an address whose instance is not known yet.
     pub(crate) fn client_at(&self, address: SocketAddr) -> Client {
         FleetClient::with_interceptor(
             channel(address, self.local_ip),
@@ -167,8 +169,10 @@
     }
 }
 
-// Without a fixed source a machine of several addresses leaves by any of them, seen as calls that a packet filter
-// between failure domains refuses though datagrams, which leave by the listening socket, pass.
+/// Creates a channel that connects on first use, from `local_ip` if it is set.
+///
+/// Without a fixed source address, a host with several addresses may connect from any of them. Packet filters between
+/// failure domains then rejected the connections, but let pass datagrams, which are sent from the listening socket.
 pub(crate) fn channel(address: SocketAddr, local_ip: Option<IpAddr>) -> Channel {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .unwrap_or_else(|_| Endpoint::from_static("http://127.0.0.1:1"));
@@ -181,7 +185,7 @@
         .connect_lazy()
 }
 
-/// A request with the ordinary timeout for calls between instances.
+/// Creates a request with the default timeout for calls between instances.
 pub(crate) fn timed<T>(message: T) -> Request<T> {
     let mut req = Request::new(message);
     req.set_timeout(PEER_TIMEOUT);
--- a/crates/tc-fleet/src/peers/stream.rs
+++ b/crates/tc-fleet/src/peers/stream.rs
@@ -1,4 +1,4 @@
-//! The permit stream to one home: batches what traffic threads put in, hands answers back.
+//! The permit stream to one home. It batches the messages of traffic threads and dispatches the replies.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -19,26 +19,27 @@
     summary::SummaryTable,
 };
 
-/// Most messages in one batch.
+/// Maximum number of messages in a batch.
 const MAX_BATCH_MESSAGES: usize = 64;
-/// Batches that may wait for the connection before senders feel it.
+/// Maximum number of batches queued for the connection. Beyond it, the stream's task waits.
 const MAX_QUEUED_BATCHES: usize = 16;
-/// Longest wait for a stream to open; asks wait behind it.
+/// Timeout for opening a stream, during which asks wait.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Asks given up whose late grant is still waited for, at most.
+/// Maximum number of abandoned asks that are remembered in order to release a late grant.
 const MAX_ABANDONED: usize = 4_096;
-/// Wait before a broken stream is opened again.
+/// Delay before a broken stream is reopened.
 const REOPEN_DELAY: Duration = Duration::from_millis(50);
-/// Longest silence after an ask: a home answers or says "queued" at once. A paused home still accepts bytes, so only
-/// silence shows it; without this an ask would wait for its whole slack.
+/// Timeout for the first reply to an ask; a home sends a verdict or "queued" at once. The kernel of a paused home still
+/// accepts bytes, so only the missing reply reveals the pause. Without this timeout, an ask would wait for its whole
+/// slack.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often silence is looked for.
+/// Interval at which pending asks are checked for the timeout.
 const REPLY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Gets the home's answer, or `None` when the home cannot be reached.
+/// Called with the home's answer, or `None` if the home is unreachable.
 pub(crate) type OnAnswer = Box<dyn FnOnce(Option<HomeAnswer>) + Send>;
 
-/// What an entry tells a home.
+/// Message from an entry to a home.
 pub(crate) enum ToHome {
     Ask {
         ask: PermitAsk,
@@ -53,12 +54,12 @@
         upstream: UpstreamId,
         held: HeldPermit,
     },
-    /// The home stopped answering probes: let every waiting ask fail.
+    /// Fails all pending asks, because the home stopped answering probes.
     FailPending,
 }
 
 impl ToHome {
-    /// Tells an ask that its home cannot be reached; other messages have nobody to tell.
+    /// Fails an ask because its home is unreachable. Other messages are dropped, since nothing waits for them.
     pub(crate) fn fail(self) {
         if let Self::Ask { on_answer, .. } = self {
             on_answer(None);
@@ -66,7 +67,7 @@
     }
 }
 
-/// What a stream task needs.
+/// Arguments of a stream task.
 pub(crate) struct StreamArgs {
     pub(crate) me: Member,
     pub(crate) client: Client,
@@ -80,10 +81,10 @@
     queued: bool,
 }
 
-/// Runs until the peer is dropped from the pool.
+/// Runs the permit stream until the peer is dropped from the pool.
 pub(crate) async fn run(args: StreamArgs, mut from_entry: mpsc::UnboundedReceiver<ToHome>) {
     loop {
-        // Nothing is opened before there is something to say: pairs that never talk cost nothing.
+        // The stream is opened only for a first message, so that peers without traffic cost nothing.
         let Some(first) = from_entry.recv().await else {
             return;
         };
@@ -93,7 +94,8 @@
         if !may_reopen {
             return;
         }
-        // What came in while the stream was broken would otherwise wait for one failed opening after the other.
+        // Messages that arrived while the stream was broken would otherwise wait for repeated failed attempts to reopen
+        // it.
         while let Ok(message) = from_entry.try_recv() {
             message.fail();
         }
@@ -104,8 +106,8 @@
 struct Session<'a> {
     args: &'a StreamArgs,
     pending: HashMap<u64, Pending>,
-    // A grant may cross a cancel. Unless it is given back, the home counts a call that never comes until the permit
-    // expires, seen as an upstream that stays below its concurrency.
+    // A grant may cross a cancellation. Unless it is released, the home counts it as in flight until the permit
+    // expires, and the upstream stays below its concurrency.
     abandoned: HashMap<u64, UpstreamId>,
     unused: Vec<(UpstreamId, PermitId)>,
     cancelled: Vec<u64>,
@@ -122,7 +124,7 @@
         }
     }
 
-    /// One connection's life; returns whether there may be a next one.
+    /// Opens the stream and runs it until it ends. Returns whether it may be reopened.
     async fn run(
         &mut self,
         first: ToHome,
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Sends grants back that nobody waits for any more, and cancels asks that were given up here.
+    /// Releases grants of abandoned asks and cancels asks that timed out. Returns `false` if the stream is broken.
     async fn flush(&mut self, to_wire: &mpsc::Sender<EntryBatch>) -> bool {
         if self.unused.is_empty() && self.cancelled.is_empty() {
             return true;
@@ -313,7 +315,7 @@
     }
 }
 
-/// Puts a batch on the wire and counts its bytes.
+/// Sends a batch and counts its bytes.
 async fn send(
     to_wire: &mpsc::Sender<EntryBatch>,
     batch: EntryBatch,
@@ -323,7 +325,7 @@
     to_wire.send(batch).await
 }
 
-/// The release of a permit that was never used.
+/// Creates the release of a permit that was never used.
 pub(crate) fn unused_release(permit: PermitId) -> Release {
     Release {
         permit,
@@ -335,7 +337,7 @@
     }
 }
 
-/// Summaries travel beside the replies, so the answer itself carries none.
+/// Creates an answer with a default summary. Summaries are sent separately from the replies of a batch.
 fn answer_without_summary(verdict: HomeVerdict) -> HomeAnswer {
     HomeAnswer {
         verdict,
