--- a/crates/tc-fleet/src/convert.rs
+++ b/crates/tc-fleet/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between generated types on the wire and the types the rest of the code uses.
+//! Conversion between generated wire types and the types used by the rest of the code.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     RefusalReason::OverLimit,
 ];
 
-/// Position of `value` in `table`, which is its number on the wire; tables only ever grow at their end.
+/// Returns the number of `value` on the wire, which is its index in `table`. New values may only be appended to tables.
 fn to_number<T: PartialEq>(table: &[T], value: &T) -> u32 {
     table
         .iter()
@@ -83,7 +83,7 @@
     }
 }
 
-/// `None` when an address or the state cannot be read: the sender is of another version or broken.
+/// Returns `None` if an address or the state is invalid: the sender runs another version or is faulty.
 pub(crate) fn record_from_wire(record: &wire::MemberRecord) -> Option<Record> {
     Some(Record {
         member: Member {
--- a/crates/tc-fleet/src/gossip.rs
+++ b/crates/tc-fleet/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between instances: sealing, sending and receiving.
+//! Signing, sending and receiving of datagrams between instances.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,10 +7,10 @@
 
 use crate::{FleetKeys, generated::Datagram};
 
-/// Largest datagram sent or taken, in bytes; below it no network of today splits one.
+/// Maximum size of a datagram, in bytes. Datagrams up to this size are not fragmented on today's networks.
 pub(crate) const MAX_DATAGRAM: usize = 1_400;
 
-/// The socket and the keys that seal what goes through it.
+/// UDP socket with the keys that authenticate its datagrams.
 #[derive(Clone)]
 pub(crate) struct GossipSocket {
     socket: Arc<UdpSocket>,
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Sends one datagram without waiting; a full socket buffer loses it, as the network might.
+    /// Sends a datagram without blocking. If the socket buffer is full, the datagram is lost, as it may be in the
+    /// network.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let mut bytes = datagram.encode_to_vec();
         self.keys.sign(&mut bytes);
@@ -41,12 +42,12 @@
         }
     }
 
-    /// Hands every authentic datagram on until nobody takes them any more.
+    /// Passes each authentic datagram to `on_datagram` until that returns `false`.
     pub(crate) async fn receive(self, on_datagram: impl Fn(Datagram) -> bool) {
         let mut buf = vec![0; MAX_DATAGRAM + 1];
         loop {
             let Ok((length, _from)) = self.socket.recv_from(&mut buf).await else {
-                // An ICMP answer to an earlier datagram; the socket itself is fine.
+                // Caused by an ICMP error for an earlier datagram; the socket remains usable.
                 continue;
             };
             metrics::counter!("tc_gossip_bytes_total", "way" => "received")
--- a/crates/tc-fleet/src/key.rs
+++ b/crates/tc-fleet/src/key.rs
@@ -1,8 +1,8 @@
-//! Authentication between instances by a shared key.
+//! Authentication between instances by shared keys.
 //!
-//! A datagram carries an HMAC-SHA-256 tag after its bytes; a call carries a token derived from the key. Several keys
-//! may be given, the first signs and all verify, so that a key is rotated without a stop: add the new one last
-//! everywhere, move it to the front everywhere, drop the old one everywhere.
+//! A datagram ends with an HMAC-SHA-256 tag, and a call carries a token derived from the key. The first of several keys
+//! signs, and all of them verify. To rotate keys without downtime, append the new key on all instances, then move it to
+//! the front on all, then remove the old one from all.
 
 use std::{
     fmt::{self, Write as _},
@@ -17,7 +17,7 @@
 
 type HmacSha256 = Hmac<Sha256>;
 
-/// Length of a datagram's tag in bytes.
+/// Length of a datagram's tag, in bytes.
 pub(crate) const TAG_BYTES: usize = 32;
 /// Metadata key of the token on calls between instances.
 pub(crate) const TOKEN_HEADER: &str = "x-fleet-token";
@@ -33,7 +33,10 @@
 }
 
 impl FleetKeys {
-    /// Keys from texts of at least 16 bytes each; the first signs, all verify.
+    /// Creates the keys from strings of at least 16 bytes each. The first key signs, and all verify.
+    ///
+    /// # Errors
+    /// Returns [`FleetError::ShortKey`] if a key is shorter or there is none.
     ///
     /// ```
     /// use tc_fleet::FleetKeys;
@@ -66,14 +69,14 @@
         })
     }
 
-    /// Appends the tag of `bytes` to them.
+    /// Appends the tag of `bytes`.
     pub(crate) fn sign(&self, bytes: &mut Vec<u8>) {
         let mut mac = self.macs[0].clone();
         mac.update(bytes);
         bytes.extend_from_slice(&mac.finalize().into_bytes());
     }
 
-    /// The bytes before the tag, if the tag fits any key.
+    /// Returns the bytes before the tag if the tag is valid for any key.
     pub(crate) fn verify<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
         let tag_start = datagram.len().checked_sub(TAG_BYTES)?;
         let (bytes, tag) = datagram.split_at(tag_start);
@@ -85,12 +88,12 @@
         is_valid.then_some(bytes)
     }
 
-    /// The token this instance sends with calls.
+    /// Returns the token that this instance sends with calls.
     pub(crate) fn token(&self) -> &str {
         &self.tokens[0]
     }
 
-    /// Whether a received token fits any key, in constant time per key.
+    /// Returns whether a received token is valid for any key, in constant time per key.
     pub(crate) fn verify_token(&self, token: &[u8]) -> bool {
         self.tokens
             .iter()
--- a/crates/tc-fleet/src/server.rs
+++ b/crates/tc-fleet/src/server.rs
@@ -1,4 +1,4 @@
-//! What other instances may call here.
+//! gRPC service of the fleet, called by other instances.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -27,19 +27,19 @@
     summary::SummaryTable,
 };
 
-/// Answers in one batch at most.
+/// Maximum number of replies in a batch.
 const MAX_BATCH_REPLIES: usize = 64;
-/// Batches waiting for a slow entry before the home waits for it.
+/// Maximum number of batches queued for a slow entry. Beyond it, replies stay in the unbounded channel.
 const MAX_QUEUED_BATCHES: usize = 16;
 
-/// Gives the JSON of an explanation kept here, or of this instance's report.
+/// Returns the JSON of an explanation stored here, or of this instance's report.
 pub(crate) type JsonSource<Q> = Box<dyn Fn(Q) -> BoxFuture<'static, Option<String>> + Send + Sync>;
 
-/// The service; cheap to clone.
+/// Implementation of the gRPC service, cheap to clone.
 #[derive(Clone)]
 pub(crate) struct FleetService(pub(crate) Arc<ServiceParts>);
 
-/// What the service answers from.
+/// State and functions that the service uses.
 pub(crate) struct ServiceParts {
     pub(crate) parts: NodeParts,
     pub(crate) node: ActorRef<NodeMsg>,
@@ -48,7 +48,7 @@
     pub(crate) report: JsonSource<()>,
 }
 
-/// Refuses calls without the fleet's token.
+/// Returns an interceptor that rejects calls without a valid fleet token.
 pub(crate) fn check_token(
     keys: FleetKeys,
 ) -> impl FnMut(Request<()>) -> Result<Request<()>, Status> + Clone {
@@ -166,7 +166,7 @@
     }
 }
 
-/// Asks the node actor; fails only while this instance stops.
+/// Sends a request to the node actor and waits for the reply. Fails only while this instance is stopping.
 pub(crate) async fn ask<T>(
     node: &ActorRef<NodeMsg>,
     question: impl FnOnce(oneshot::Sender<T>) -> NodeMsg,
@@ -184,7 +184,7 @@
     answer: Option<HomeAnswer>,
 }
 
-/// Hands an entry's asks and releases to the homes until its stream ends.
+/// Forwards an entry's asks and releases to the homes until its stream ends.
 async fn read_batches(
     mut batches: Streaming<EntryBatch>,
     homes: ActorRef<HomesMsg>,
@@ -243,7 +243,7 @@
     });
 }
 
-/// Puts the answer on the stream; a grant for an entry that is gone is taken back.
+/// Returns a function that sends the answer on the stream. If the stream has ended, a granted permit is released.
 fn reply_to(
     homes: ActorRef<HomesMsg>,
     upstream: UpstreamId,
@@ -269,7 +269,7 @@
     })
 }
 
-/// Gathers what is ready into batches, so that one write carries many answers under load and none waits.
+/// Collects the replies that are ready into batches. Under load one write carries many of them, and none is delayed.
 fn batch_replies(
     mut answers: mpsc::UnboundedReceiver<AskReply>,
     table: Arc<SummaryTable>,
@@ -305,7 +305,7 @@
             verdict: Some(verdict),
         });
     }
-    // A verdict in the same batch makes the "queued" before it needless.
+    // A verdict in the same batch makes the preceding "queued" redundant.
     drop_superseded(&mut batch.replies);
     batch.summaries = summaries
         .iter()
--- a/crates/tc-fleet/src/summary.rs
+++ b/crates/tc-fleet/src/summary.rs
@@ -1,4 +1,4 @@
-//! Last known load of each upstream, shared by all threads without locks.
+//! Last known load of each upstream, shared between threads without locks.
 
 use std::{
     collections::HashMap,
@@ -12,9 +12,10 @@
 use arc_swap::ArcSwap;
 use tc_protocol::{Incarnation, MonoTime, UpstreamId, UpstreamSummary};
 
-/// One upstream's summary, updated field by field.
+/// Summary of one upstream, updated field by field.
 ///
-/// A reader may see fields of two updates; both are estimates, and the home decides in the end.
+/// A reader may see a mix of two updates. This is acceptable, because both are estimates and the home makes the final
+/// decision.
 #[derive(Debug, Default)]
 pub(crate) struct SummaryCell {
     in_flight: AtomicU32,
@@ -26,7 +27,7 @@
     leaving: AtomicBool,
     incarnation: AtomicU64,
     updated_at: AtomicU64,
-    /// Permits and asks of this instance that are not over.
+    /// Number of this instance's permits and asks in progress.
     pub(crate) own_in_flight: AtomicU32,
 }
 
@@ -44,12 +45,13 @@
         self.updated_at.store(now.0, Relaxed);
     }
 
-    /// Life of the upstream's process, 0 when not known.
+    /// Returns the incarnation of the upstream's process, or 0 if it is not known.
     pub(crate) fn incarnation(&self) -> Incarnation {
         Incarnation(self.incarnation.load(Relaxed))
     }
 
-    /// The summary, whether the home said the upstream is leaving, and the age; `None` before the first one.
+    /// Returns the summary, whether the upstream is leaving according to its home, and the age of the summary. Returns
+    /// `None` before the first update.
     pub(crate) fn load(&self, now: MonoTime) -> Option<(UpstreamSummary, bool, Duration)> {
         let updated_at = self.updated_at.load(Relaxed);
         if updated_at == 0 {
@@ -78,7 +80,7 @@
 }
 
 impl SummaryTable {
-    /// Keeps exactly the cells of `ids`; those that stay keep their content.
+    /// Sets the known upstreams. Upstreams that were known before keep their summary.
     pub(crate) fn set_upstreams<'a>(&self, ids: impl Iterator<Item = &'a UpstreamId>) {
         let old = self.cells.load();
         let cells = ids
@@ -91,7 +93,7 @@
         self.cells.load().get(id).map(Arc::clone)
     }
 
-    /// Notes which life of its process an upstream is in; 0 says nothing.
+    /// Records the incarnation of an upstream's process. 0 means unknown and is ignored.
     pub(crate) fn note_incarnation(&self, id: &str, incarnation: Incarnation) {
         if incarnation != Incarnation(0)
             && let Some(cell) = self.cells.load().get(id)
@@ -107,7 +109,7 @@
     }
 }
 
-/// Counts one use of an upstream by this instance until dropped.
+/// Counts a use of an upstream by this instance until dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard(Arc<SummaryCell>);
 
