--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -75,7 +75,7 @@
 
 pub(super) struct Inner {
     pub(super) me: Member,
-    pub(super) node: ActorRef<MeshMsg>,
+    pub(super) actor: ActorRef<MeshMsg>,
     pub(super) published: Arc<Published>,
     pub(super) peers: Arc<Peers>,
     suspects: Arc<SuspectTable>,
@@ -113,21 +113,21 @@
             suspects: Arc::clone(&suspects),
             limits: Arc::clone(&settings.limits),
         };
-        let (node, _) = Actor::spawn(None, MeshActor, args)
+        let (actor, _) = Actor::spawn(None, MeshActor, args)
             .await
             .map_err(|error| FleetError::Actors(error.to_string()))?;
-        let to_node = node.clone();
+        let to_actor = actor.clone();
         tokio::spawn(
             socket.receive(move |datagram| {
-                to_node.cast(MeshMsg::Datagram(Box::new(datagram))).is_ok()
+                to_actor.cast(MeshMsg::Datagram(Box::new(datagram))).is_ok()
             }),
         );
-        let to_node = node.clone();
+        let to_actor = actor.clone();
         suspects.set_spread_now(Box::new(move || {
-            let _ = to_node.cast(MeshMsg::AnnounceToAll);
+            let _ = to_actor.cast(MeshMsg::AnnounceToAll);
         }));
         let service = Service {
-            node: node.clone(),
+            actor: actor.clone(),
             suspects: Arc::clone(&suspects),
             limits: Arc::clone(&settings.limits),
             handlers,
@@ -136,7 +136,7 @@
         Ok(Self {
             inner: Arc::new(Inner {
                 me: settings.me,
-                node,
+                actor,
                 published,
                 peers,
                 suspects,
@@ -180,12 +180,12 @@
 
     /// Announces that this instance is leaving, as the first step of a planned stop.
     pub fn leave(&self) {
-        let _ = self.inner.node.cast(MeshMsg::Leave);
+        let _ = self.inner.actor.cast(MeshMsg::Leave);
     }
 
     /// Reports that this process was paused, so that other instances may have declared it dead.
     pub fn resumed(&self) {
-        let _ = self.inner.node.cast(MeshMsg::Resumed);
+        let _ = self.inner.actor.cast(MeshMsg::Resumed);
     }
 
     /// Reports that a call to an instance timed out. The instance is probed next.
@@ -193,12 +193,12 @@
     /// Its connection is kept, since it may only be busy. If hundreds of instances reconnected after one slow moment, a
     /// busy home would not recover.
     pub fn report_timeout(&self, id: &InstanceId) {
-        let _ = self.inner.node.cast(MeshMsg::CallTimedOut(id.clone()));
+        let _ = self.inner.actor.cast(MeshMsg::CallTimedOut(id.clone()));
     }
 
     /// Reports a failed call to an instance. It is probed next, and the next call to it uses a new connection.
     pub fn report_failed_call(&self, id: &InstanceId) {
-        let _ = self.inner.node.cast(MeshMsg::CallFailed(id.clone()));
+        let _ = self.inner.actor.cast(MeshMsg::CallFailed(id.clone()));
     }
 
     /// Returns the fleet addresses of the other instances that are not dead.
@@ -266,7 +266,7 @@
     /// [`SuspectPolicy::crashes_to_quarantine`]: tc_policy::SuspectPolicy::crashes_to_quarantine
     pub async fn try_trial(
         &self,
-        input: Fingerprint,
+        fingerprint: Fingerprint,
         service: &ServiceName,
         workspace: &WorkspaceName,
         slack: Duration,
@@ -275,7 +275,11 @@
             workspace: workspace.clone(),
             service: service.clone(),
         };
-        let guard = self.inner.suspects.try_trial(input, origin, slack).await?;
+        let guard = self
+            .inner
+            .suspects
+            .try_trial(fingerprint, origin, slack)
+            .await?;
         Ok(guard.map(|guard| SuspectTrial { _guard: guard }))
     }
 
@@ -283,7 +287,7 @@
     /// request's fingerprint in the background.
     pub fn record_crash(
         &self,
-        input: Fingerprint,
+        fingerprint: Fingerprint,
         service: &ServiceName,
         workspace: &WorkspaceName,
         upstream: UpstreamId,
@@ -293,13 +297,13 @@
             workspace: workspace.clone(),
             service: service.clone(),
         };
-        suspects.note_origin(input, origin);
-        tokio::spawn(suspects.died(input, upstream));
+        suspects.note_origin(fingerprint, origin);
+        tokio::spawn(suspects.died(fingerprint, upstream));
     }
 
     /// Reports that a request ran to completion, which clears it of suspicion.
-    pub fn record_success(&self, input: Fingerprint) {
-        self.inner.suspects.ran_whole(input);
+    pub fn record_success(&self, fingerprint: Fingerprint) {
+        self.inner.suspects.ran_whole(fingerprint);
     }
 
     /// Subscribes to the store state that another instance knows. The stream first yields what is newer than `have`,
--- a/crates/tc-fleet/src/mesh/members.rs
+++ b/crates/tc-fleet/src/mesh/members.rs
@@ -62,7 +62,7 @@
         };
         let stopping = |_| no_answer("this instance is stopping".to_owned());
         let (reply, known) = oneshot::channel();
-        let _ = self.inner.node.cast(MeshMsg::MemberHashes(reply));
+        let _ = self.inner.actor.cast(MeshMsg::MemberHashes(reply));
         let introduction = timed(Introduction {
             me: Some(self.own_record()),
             view: self.inner.published.view_digest.load(Ordering::Acquire),
@@ -78,7 +78,7 @@
         let missing = list.members.iter();
         let missing: Vec<Record> = missing.filter_map(convert::record_from_wire).collect();
         let (reply, changed) = oneshot::channel();
-        let _ = self.inner.node.cast(MeshMsg::MergeRecords(missing, reply));
+        let _ = self.inner.actor.cast(MeshMsg::MergeRecords(missing, reply));
         let changed = changed.await.map_err(stopping)?;
         Ok(if changed {
             ComparisonOutcome::Updated
--- a/crates/tc-fleet/src/mesh/service.rs
+++ b/crates/tc-fleet/src/mesh/service.rs
@@ -59,7 +59,7 @@
 /// Implementation of the gRPC service, cheap to clone.
 #[derive(Clone)]
 pub(super) struct Service {
-    pub(super) node: ActorRef<MeshMsg>,
+    pub(super) actor: ActorRef<MeshMsg>,
     pub(super) handlers: Arc<MeshHandlers>,
     pub(super) suspects: Arc<SuspectTable>,
     pub(super) limits: Arc<UpstreamLimits>,
@@ -82,7 +82,7 @@
         };
         let (reply, answer) = oneshot::channel();
         let _ = self
-            .node
+            .actor
             .cast(MeshMsg::Introduced(Box::new(introduced), reply));
         let missing = answer
             .await
--- a/crates/tc-fleet/src/mesh/world_news.rs
+++ b/crates/tc-fleet/src/mesh/world_news.rs
@@ -117,14 +117,14 @@
         Removed::Named { since, names } => (names, false, *since),
         Removed::AllExcept(names) => (names, true, 0),
     };
-    let entry = |object: &RegistryEntry| wire::RegistryEntry {
-        name: object.name.to_string(),
-        revision: object.revision,
-        value: object.value.to_string().into_bytes(),
+    let entry_to_wire = |entry: &RegistryEntry| wire::RegistryEntry {
+        name: entry.name.to_string(),
+        revision: entry.revision,
+        value: entry.value.to_string().into_bytes(),
     };
     wire::UpstreamNews {
         revision: news.revision,
-        changed: news.changed.iter().map(entry).collect(),
+        changed: news.changed.iter().map(entry_to_wire).collect(),
         names: names.iter().map(ToString::to_string).collect(),
         is_whole,
         since,
@@ -152,14 +152,14 @@
 }
 
 fn upstream_news_from_wire(news: &wire::UpstreamNews) -> Option<UpstreamNews> {
-    let object = |entry: &wire::RegistryEntry| {
+    let entry_from_wire = |entry: &wire::RegistryEntry| {
         Some(RegistryEntry {
             name: entry.name.as_str().into(),
             revision: entry.revision,
             value: Arc::new(serde_json::from_slice(&entry.value).ok()?),
         })
     };
-    let changed: Option<Vec<RegistryEntry>> = news.changed.iter().map(object).collect();
+    let changed: Option<Vec<RegistryEntry>> = news.changed.iter().map(entry_from_wire).collect();
     let names = news.names.iter().map(|name| name.as_str().into()).collect();
     Some(UpstreamNews {
         revision: news.revision,
