--- a/crates/tc-fleet/src/mesh/actor.rs
+++ b/crates/tc-fleet/src/mesh/actor.rs
@@ -46,7 +46,7 @@
     /// Records received in reply to an introduction. The reply tells whether they changed the member list.
     MergeRecords(Vec<Record>, oneshot::Sender<bool>),
     /// An introduction by another instance. The reply has the records that it is missing, or `None` if both instances
-    /// have the same members.
+    /// have the same members or it only announces itself.
     Introduced(Box<Introduced>, oneshot::Sender<Option<Vec<Record>>>),
     /// Requests the short hashes of the known members.
     MemberHashes(oneshot::Sender<Vec<u32>>),
