--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -1,4 +1,4 @@
-//! Typed messages between instances and their wire forms.
+//! Conversion between messages of the mesh and their wire types.
 
 use std::time::Duration;
 
@@ -14,75 +14,75 @@
 
 use crate::{convert, generated as wire};
 
-/// Why a call to another instance brought no answer.
+/// Error of a call to another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MeshError {
-    /// It could not be reached, or did not answer.
-    #[error("instance {instance} does not answer: {problem}")]
+    /// The instance is unreachable or the call failed.
+    #[error("call to instance {instance} failed: {problem}")]
     NoAnswer {
-        /// Who was called.
+        /// The called instance.
         instance: InstanceId,
-        /// What went wrong.
+        /// Status of the call.
         problem: String,
     },
-    /// It did not answer in time; it may only be busy.
-    #[error("instance {instance} does not answer in time")]
-    Late {
-        /// Who was called.
+    /// The instance did not answer in time. It may only be busy.
+    #[error("call to instance {instance} timed out")]
+    TimedOut {
+        /// The called instance.
         instance: InstanceId,
     },
-    /// Its answer does not fit the protocol; it is of another version or broken.
-    #[error("instance {instance} gave an answer that cannot be read")]
+    /// The answer violates the protocol: the instance runs another version or is faulty.
+    #[error("instance {instance} sent a malformed answer")]
     Malformed {
-        /// Who was called.
+        /// The called instance.
         instance: InstanceId,
     },
 }
 
-/// What a home answers to an ask for pieces.
+/// Answer of a home to a [`StageRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct PiecesAnswer {
-    /// The results in the order of the pieces, or why there are none.
+    /// The results in the order of the pieces, or why the stage was refused.
     pub reply: Result<Vec<ResultHandle>, StageRefusal>,
-    /// How the home stands; `None` where no home can tell.
+    /// Load of the home; `None` if the answering instance is not the home.
     pub home: Option<HomeOutlook>,
-    /// Whether the request was refused before and comes too late to be in time for its caller.
+    /// Whether the request was refused before and has returned too late to meet its caller's latency target.
     pub is_late_return: bool,
 }
 
-pub(super) fn ask_to_wire(ask: &StageRequest) -> wire::PiecesAskMessage {
-    let (input_key, input_results) = match &ask.input {
+pub(super) fn stage_request_to_wire(request: &StageRequest) -> wire::PiecesAskMessage {
+    let (input_key, input_results) = match &request.input {
         PieceInput::Request(key) => (key.to_string(), Vec::new()),
-        PieceInput::Results(results) => (String::new(), texts(results)),
+        PieceInput::Results(results) => (String::new(), results_to_wire(results)),
     };
     wire::PiecesAskMessage {
-        request: ask.request.to_string(),
-        service: ask.service.to_string(),
-        stage: ask.stage,
-        pieces: ask.pieces,
+        request: request.request.to_string(),
+        service: request.service.to_string(),
+        stage: request.stage,
+        pieces: request.pieces,
         input_key,
         input_results,
-        result_bytes: ask.result_bytes,
-        rank: u32::from(ask.priority),
-        in_time_for_ms: convert::millis(ask.until_latency_target),
-        remaining_ms: convert::millis(ask.remaining),
-        prefer: ask
+        result_bytes: request.result_bytes,
+        rank: u32::from(request.priority),
+        in_time_for_ms: convert::millis(request.until_latency_target),
+        remaining_ms: convert::millis(request.remaining),
+        prefer: request
             .preferred_domain
             .as_ref()
             .map(ToString::to_string)
             .unwrap_or_default(),
-        held_bytes: ask.held_bytes,
-        is_last_reader: ask.is_last_reader,
-        following: following_to_wire(&ask.dependents),
-        chain: ask.chain.as_ref().map(chain_to_wire),
+        held_bytes: request.held_bytes,
+        is_last_reader: request.is_last_reader,
+        following: dependents_to_wire(&request.dependents),
+        chain: request.chain.as_ref().map(chain_to_wire),
     }
 }
 
-pub(super) fn ask_from_wire(message: &wire::PiecesAskMessage) -> StageRequest {
+pub(super) fn stage_request_from_wire(message: &wire::PiecesAskMessage) -> StageRequest {
     let input = if message.input_results.is_empty() {
         PieceInput::Request(message.input_key.as_str().into())
     } else {
-        PieceInput::Results(handles(&message.input_results).into())
+        PieceInput::Results(results_from_wire(&message.input_results).into())
     };
     StageRequest {
         request: message.request.as_str().into(),
@@ -97,7 +97,7 @@
         preferred_domain: (!message.prefer.is_empty()).then(|| message.prefer.as_str().into()),
         held_bytes: message.held_bytes,
         is_last_reader: message.is_last_reader,
-        dependents: following_from_wire(&message.following),
+        dependents: dependents_from_wire(&message.following),
         chain: message.chain.as_ref().and_then(chain_from_wire),
     }
 }
@@ -123,12 +123,12 @@
     }
 }
 
-/// `None` when a stage does not follow earlier ones only: whoever walks such a chain would not come to its end.
+/// Returns `None` if a stage depends on itself or a later one: traversing such a chain would not terminate.
 fn chain_from_wire(chain: &wire::Chain) -> Option<StageChain> {
     let stage = |(index, stage): (usize, &wire::ChainStage)| {
         let depends_on: Vec<usize> = stage.after.iter().map(|before| *before as usize).collect();
-        let is_sound = depends_on.iter().all(|before| *before < index);
-        is_sound.then(|| RouteStage {
+        let is_valid = depends_on.iter().all(|before| *before < index);
+        is_valid.then(|| RouteStage {
             service: stage.service.as_str().into(),
             depends_on,
             result_bytes: stage.result_bytes,
@@ -144,41 +144,46 @@
     })
 }
 
-fn following_to_wire(following: &[(ServiceName, u32)]) -> Vec<wire::FollowingPieces> {
+fn dependents_to_wire(dependents: &[(ServiceName, u32)]) -> Vec<wire::FollowingPieces> {
     let to_wire = |(service, pieces): &(ServiceName, u32)| wire::FollowingPieces {
         service: service.to_string(),
         pieces: *pieces,
     };
-    following.iter().map(to_wire).collect()
+    dependents.iter().map(to_wire).collect()
 }
 
-fn following_from_wire(following: &[wire::FollowingPieces]) -> Vec<(ServiceName, u32)> {
+fn dependents_from_wire(dependents: &[wire::FollowingPieces]) -> Vec<(ServiceName, u32)> {
     let from_wire = |next: &wire::FollowingPieces| (next.service.as_str().into(), next.pieces);
-    following.iter().map(from_wire).collect()
+    dependents.iter().map(from_wire).collect()
 }
 
-pub(super) fn engine_ask_to_wire(
-    ask: &EngineRequest,
+pub(super) fn engine_request_to_wire(
+    request: &EngineRequest,
     limits: Vec<wire::UpstreamLimit>,
 ) -> wire::EngineAskMessage {
-    let (part_ids, part_tokens) = ask.prompt.parts.iter().map(|p| (p.id, p.tokens)).unzip();
-    let inputs = ask.inputs.iter();
+    let (part_ids, part_tokens) = request
+        .prompt
+        .parts
+        .iter()
+        .map(|p| (p.id, p.tokens))
+        .unzip();
+    let inputs = request.inputs.iter();
     let (input_domains, input_bytes) = inputs.map(|(d, b)| (d.to_string(), *b)).unzip();
     wire::EngineAskMessage {
-        service: ask.service.to_string(),
-        tokens_in: ask.prompt.tokens_in,
-        tokens_out: ask.prompt.tokens_out,
+        service: request.service.to_string(),
+        tokens_in: request.prompt.tokens_in,
+        tokens_out: request.prompt.tokens_out,
         part_ids,
         part_tokens,
         input_domains,
         input_bytes,
-        except: ask.excluded.iter().map(ToString::to_string).collect(),
-        remaining_ms: convert::millis(ask.remaining),
+        except: request.excluded.iter().map(ToString::to_string).collect(),
+        remaining_ms: convert::millis(request.remaining),
         limits,
     }
 }
 
-pub(super) fn engine_ask_from_wire(message: &wire::EngineAskMessage) -> EngineRequest {
+pub(super) fn engine_request_from_wire(message: &wire::EngineAskMessage) -> EngineRequest {
     let parts = message.part_ids.iter().zip(&message.part_tokens);
     let inputs = message.input_domains.iter().zip(&message.input_bytes);
     EngineRequest {
@@ -225,7 +230,7 @@
     })
 }
 
-pub(super) fn news_to_wire(report: &RunReport) -> wire::RunNews {
+pub(super) fn run_report_to_wire(report: &RunReport) -> wire::RunNews {
     let (what, took) = match report.progress {
         RunProgress::FirstEvent(took) => (0, took),
         RunProgress::Ended => (1, Duration::ZERO),
@@ -238,16 +243,17 @@
     }
 }
 
-/// News of a kind that is not known here, as of a later version, ends the run: nothing is then counted for ever.
-pub(super) fn news_from_wire(news: &wire::RunNews) -> RunReport {
-    let what = match news.what {
+/// Treats unknown kinds of progress, as a later version may send, as the end of the run. Otherwise the run would be
+/// counted as in progress forever.
+pub(super) fn run_report_from_wire(news: &wire::RunNews) -> RunReport {
+    let run_progress = match news.what {
         0 => RunProgress::FirstEvent(convert::from_millis(news.took_ms)),
         2 => RunProgress::Failed,
         _ => RunProgress::Ended,
     };
     RunReport {
         run: news.run,
-        progress: what,
+        progress: run_progress,
     }
 }
 
@@ -285,56 +291,56 @@
     }
 }
 
-pub(super) fn texts(results: &[ResultHandle]) -> Vec<String> {
+pub(super) fn results_to_wire(results: &[ResultHandle]) -> Vec<String> {
     results.iter().map(|result| result.0.to_string()).collect()
 }
 
-pub(super) fn handles(texts: &[String]) -> Vec<ResultHandle> {
-    texts
+pub(super) fn results_from_wire(results: &[String]) -> Vec<ResultHandle> {
+    results
         .iter()
         .map(|text| ResultHandle(text.as_str().into()))
         .collect()
 }
 
-/// Numbers of refusals on the wire; 0 means that the pieces were made.
-const OVERLOADED: u32 = 1;
-const INPUT_GONE: u32 = 2;
-const FAILED: u32 = 3;
-const LATE: u32 = 4;
-const NO_UPSTREAM: u32 = 5;
-const MOVED: u32 = 6;
+/// Refusal codes on the wire; 0 means success.
+const REFUSAL_OVERLOADED: u32 = 1;
+const REFUSAL_INPUT_GONE: u32 = 2;
+const REFUSAL_FAILED: u32 = 3;
+const REFUSAL_LATE: u32 = 4;
+const REFUSAL_NO_UPSTREAM: u32 = 5;
+const REFUSAL_MOVED: u32 = 6;
 
-pub(super) fn answer_to_wire(answer: PiecesAnswer) -> wire::PiecesAnswer {
+pub(super) fn pieces_answer_to_wire(answer: PiecesAnswer) -> wire::PiecesAnswer {
     let mut message = wire::PiecesAnswer::default();
     match answer.reply {
-        Ok(results) => message.results = texts(&results),
+        Ok(results) => message.results = results_to_wire(&results),
         Err(StageRefusal::Overloaded { retry_after }) => {
-            message.refusal = OVERLOADED;
+            message.refusal = REFUSAL_OVERLOADED;
             message.retry_after_ms = convert::millis(retry_after);
         }
-        Err(StageRefusal::InputGone) => message.refusal = INPUT_GONE,
-        Err(StageRefusal::Failed) => message.refusal = FAILED,
-        Err(StageRefusal::Late) => message.refusal = LATE,
-        Err(StageRefusal::NoUpstream) => message.refusal = NO_UPSTREAM,
-        Err(StageRefusal::Moved) => message.refusal = MOVED,
+        Err(StageRefusal::InputGone) => message.refusal = REFUSAL_INPUT_GONE,
+        Err(StageRefusal::Failed) => message.refusal = REFUSAL_FAILED,
+        Err(StageRefusal::Late) => message.refusal = REFUSAL_LATE,
+        Err(StageRefusal::NoUpstream) => message.refusal = REFUSAL_NO_UPSTREAM,
+        Err(StageRefusal::Moved) => message.refusal = REFUSAL_MOVED,
     }
     message.home = answer.home.as_ref().map(outlook_to_wire);
     message.is_late_return = answer.is_late_return;
     message
 }
 
-/// `None` when the refusal's number is not known.
-pub(super) fn answer_from_wire(answer: &wire::PiecesAnswer) -> Option<PiecesAnswer> {
+/// Returns `None` if the refusal code is unknown.
+pub(super) fn pieces_answer_from_wire(answer: &wire::PiecesAnswer) -> Option<PiecesAnswer> {
     let reply = match answer.refusal {
-        0 => Ok(handles(&answer.results)),
-        OVERLOADED => Err(StageRefusal::Overloaded {
+        0 => Ok(results_from_wire(&answer.results)),
+        REFUSAL_OVERLOADED => Err(StageRefusal::Overloaded {
             retry_after: convert::from_millis(answer.retry_after_ms),
         }),
-        INPUT_GONE => Err(StageRefusal::InputGone),
-        FAILED => Err(StageRefusal::Failed),
-        LATE => Err(StageRefusal::Late),
-        NO_UPSTREAM => Err(StageRefusal::NoUpstream),
-        MOVED => Err(StageRefusal::Moved),
+        REFUSAL_INPUT_GONE => Err(StageRefusal::InputGone),
+        REFUSAL_FAILED => Err(StageRefusal::Failed),
+        REFUSAL_LATE => Err(StageRefusal::Late),
+        REFUSAL_NO_UPSTREAM => Err(StageRefusal::NoUpstream),
+        REFUSAL_MOVED => Err(StageRefusal::Moved),
         _ => return None,
     };
     Some(PiecesAnswer {
--- a/crates/tc-fleet/src/mesh/mod.rs
+++ b/crates/tc-fleet/src/mesh/mod.rs
@@ -1,6 +1,6 @@
-//! The layer between instances for routed requests: who there is, and calls to the homes of batch services.
+//! Membership and RPCs between instances for routed requests.
 //!
-//! [`Mesh::start`] runs on the control thread; the handle it gives is used by traffic threads.
+//! [`Mesh::start`] runs on the control thread. Traffic threads use the handle that it returns.
 
 mod actor;
 mod engine_calls;
@@ -13,8 +13,10 @@
 mod suspects;
 mod world_news;
 
-pub use handle::{Mesh, MeshSettings, SuspectRun};
+pub use handle::{Mesh, MeshSettings, SuspectTrial};
 pub use limits::UpstreamLimits;
 pub use messages::{MeshError, PiecesAnswer};
 pub use service::{ChooseEngine, MeshHandlers, TellOutlook, TellRuns};
-pub use world_news::{EvacuatedDomains, Gone, UpstreamNews, WorldHave, WorldNews, WorldObject};
+pub use world_news::{
+    EvacuatedDomains, RegistryEntry, Removed, UpstreamNews, WorldHave, WorldNews,
+};
--- a/crates/tc-fleet/src/mesh/peers.rs
+++ b/crates/tc-fleet/src/mesh/peers.rs
@@ -1,4 +1,4 @@
-//! Channels to other instances, made on first use.
+//! gRPC clients for other instances, created on first use.
 
 use std::{
     collections::HashMap,
@@ -12,10 +12,10 @@
 use crate::{
     FleetKeys,
     generated::mesh_client::MeshClient,
-    peers::{AddToken, channel},
+    peers::{TokenInterceptor, channel},
 };
 
-pub(super) type Client = MeshClient<InterceptedService<Channel, AddToken>>;
+pub(super) type Client = MeshClient<InterceptedService<Channel, TokenInterceptor>>;
 
 struct Peer {
     address: SocketAddr,
@@ -23,23 +23,23 @@
     client: Client,
 }
 
-/// Clients of all instances this one has talked to.
+/// Clients for all instances that this one has called.
 pub(super) struct Peers {
-    leave_from: IpAddr,
+    local_ip: IpAddr,
     keys: FleetKeys,
     known: Mutex<HashMap<InstanceId, Peer>>,
 }
 
 impl Peers {
-    pub(super) fn new(leave_from: IpAddr, keys: FleetKeys) -> Self {
+    pub(super) fn new(local_ip: IpAddr, keys: FleetKeys) -> Self {
         Self {
-            leave_from,
+            local_ip,
             keys,
             known: Mutex::default(),
         }
     }
 
-    /// The client for a member, made anew when the member restarted or moved.
+    /// Returns the client for a member. A new one is created if the member has restarted or its address has changed.
     pub(super) fn client(&self, member: &Member) -> Client {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = known.get(&member.id)
@@ -58,9 +58,9 @@
         client
     }
 
-    /// Drops the channel of a member that does not answer: its calls fail, and the next one connects anew.
+    /// Drops the client for a member that does not answer. The next call uses a new connection.
     ///
-    /// A channel may have gone silent for good while a new one would work.
+    /// An established connection may stay unresponsive although a new one would work.
     pub(super) fn forget(&self, id: &InstanceId) {
         self.known
             .lock()
@@ -68,10 +68,10 @@
             .remove(id);
     }
 
-    /// A client for an address whose instance is not known yet.
+    /// Creates a client for an address whose instance is not known yet.
     pub(super) fn client_at(&self, address: SocketAddr) -> Client {
-        let token = AddToken::new(&self.keys);
-        let leave_from = (!self.leave_from.is_unspecified()).then_some(self.leave_from);
-        MeshClient::with_interceptor(channel(address, leave_from), token)
+        let token = TokenInterceptor::new(&self.keys);
+        let local_ip = (!self.local_ip.is_unspecified()).then_some(self.local_ip);
+        MeshClient::with_interceptor(channel(address, local_ip), token)
     }
 }
--- a/crates/tc-fleet/src/node/table.rs
+++ b/crates/tc-fleet/src/node/table.rs
@@ -1,4 +1,4 @@
-//! The upstream table: what the configuration, the platform's list, the upstreams themselves and operators say.
+//! The upstream table, merged from the configuration, the platform's list, load reports and drains by operators.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,29 +10,29 @@
 
 use crate::homes::KnownUpstream;
 
-/// Reasons to give an upstream no new work.
+/// Upstreams that get no new work, by reason.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct UpstreamMarks {
-    /// Says in its load report that it is leaving.
-    pub(crate) says_leaving: BTreeSet<UpstreamId>,
-    /// Drained by an operator.
+pub(crate) struct LeavingUpstreams {
+    /// Upstreams whose load report says that they are leaving.
+    pub(crate) announced: BTreeSet<UpstreamId>,
+    /// Upstreams drained by an operator.
     pub(crate) drained: BTreeSet<UpstreamId>,
 }
 
-impl UpstreamMarks {
-    fn any(&self, id: &UpstreamId) -> bool {
-        self.says_leaving.contains(id) || self.drained.contains(id)
+impl LeavingUpstreams {
+    fn contains(&self, id: &UpstreamId) -> bool {
+        self.announced.contains(id) || self.drained.contains(id)
     }
 }
 
 /// Upstreams by service, as published in the view.
 pub(crate) type UpstreamTable = BTreeMap<ServiceName, Vec<UpstreamState>>;
 
-/// Builds the table; homes are placed among `members`.
+/// Builds the table. Homes are placed on `members`.
 pub(crate) fn build(
     config: &FleetConfig,
     list: &InstanceList,
-    marks: &UpstreamMarks,
+    leaving_upstreams: &LeavingUpstreams,
     members: &[Member],
 ) -> UpstreamTable {
     let listed: BTreeMap<&str, &ListedInstance> = list
@@ -45,18 +45,22 @@
         .services
         .iter()
         .map(|(name, service)| {
-            let upstreams = all_of(name, &service.upstreams, list);
+            let upstreams = service_upstreams(name, &service.upstreams, list);
             let states = upstreams
                 .into_iter()
-                .map(|upstream| state_of(upstream, &listed, marks, members))
+                .map(|upstream| upstream_state(upstream, &listed, leaving_upstreams, members))
                 .collect();
             (name.clone(), states)
         })
         .collect()
 }
 
-/// Configured upstreams, and those that the platform lists for the service beside them.
-fn all_of(service: &ServiceName, configured: &[Upstream], list: &InstanceList) -> Vec<Upstream> {
+/// Returns the configured upstreams of a service and those that only the platform lists.
+fn service_upstreams(
+    service: &ServiceName,
+    configured: &[Upstream],
+    list: &InstanceList,
+) -> Vec<Upstream> {
     let mut all = configured.to_vec();
     let extra = list
         .instances
@@ -77,16 +81,16 @@
     all
 }
 
-fn state_of(
+fn upstream_state(
     upstream: Upstream,
     listed: &BTreeMap<&str, &ListedInstance>,
-    marks: &UpstreamMarks,
+    leaving_upstreams: &LeavingUpstreams,
     members: &[Member],
 ) -> UpstreamState {
     let listed_leaving = listed
         .get(upstream.id.as_str())
         .is_some_and(|listed| listed.state == ListedState::Leaving);
-    let leaving = listed_leaving || marks.any(&upstream.id);
+    let leaving = listed_leaving || leaving_upstreams.contains(&upstream.id);
     let home = home_of(
         upstream.id.as_str(),
         members,
@@ -102,7 +106,7 @@
     }
 }
 
-/// The table as the homes need it.
+/// Converts the table to the form that homes use.
 pub(crate) fn for_homes(
     table: &UpstreamTable,
     config: &FleetConfig,
--- a/crates/tc-fleet/src/peers/pool.rs
+++ b/crates/tc-fleet/src/peers/pool.rs
@@ -1,4 +1,4 @@
-//! Channels to other instances, made on first use and dropped when the instance is gone.
+//! Channels to other instances, created on first use and dropped when the instance is dead.
 
 use std::{
     collections::HashMap,
@@ -23,18 +23,19 @@
 };
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often a channel with calls in progress is checked.
-const PING_EVERY: Duration = Duration::from_secs(1);
-/// How long the answer to a check may take. A peer that was paused or cut off fails its calls after at most the sum.
-const PING_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval of keep-alive pings on a channel with calls in progress.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a keep-alive ping. Calls to a paused or unreachable peer fail after at most the interval plus this
+/// timeout.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Adds the fleet token to every call.
 #[derive(Clone)]
-pub(crate) struct AddToken(MetadataValue<Ascii>);
+pub(crate) struct TokenInterceptor(MetadataValue<Ascii>);
 
-impl AddToken {
+impl TokenInterceptor {
     pub(crate) fn new(keys: &FleetKeys) -> Self {
-        // The token is hexadecimal digits only, which every header value may hold.
+        // The token has only hexadecimal digits, so it is a valid header value.
         Self(
             MetadataValue::try_from(keys.token())
                 .unwrap_or_else(|_| MetadataValue::from_static("")),
@@ -42,16 +43,16 @@
     }
 }
 
-impl Interceptor for AddToken {
+impl Interceptor for TokenInterceptor {
     fn call(&mut self, mut req: Request<()>) -> Result<Request<()>, Status> {
         req.metadata_mut().insert(TOKEN_HEADER, self.0.clone());
         Ok(req)
     }
 }
 
-pub(crate) type Client = FleetClient<InterceptedService<Channel, AddToken>>;
+pub(crate) type Client = FleetClient<InterceptedService<Channel, TokenInterceptor>>;
 
-/// Another instance, in one of its lives, at one address.
+/// Connection to one incarnation of another instance at one address.
 pub(crate) struct Peer {
     id: InstanceId,
     address: SocketAddr,
@@ -61,20 +62,21 @@
 }
 
 impl Peer {
-    /// A client for single calls.
+    /// Returns a client for unary calls.
     pub(crate) fn client(&self) -> Client {
         self.client.clone()
     }
 
-    /// Puts something on the permit stream; order is kept. Fails only when the stream's task has ended.
+    /// Sends a message on the permit stream. Messages keep their order. If the stream's task has ended, the message
+    /// fails.
     pub(crate) fn send(&self, message: ToHome) {
         if let Err(mpsc::error::SendError(message)) = self.to_home.send(message) {
             message.fail();
         }
     }
 
-    /// The error of a failed call to this instance.
-    pub(crate) fn failed(&self, status: &Status) -> FleetError {
+    /// Converts the status of a failed call to this instance to an error.
+    pub(crate) fn call_error(&self, status: &Status) -> FleetError {
         FleetError::Peer {
             instance: self.id.to_string(),
             problem: status.message().to_owned(),
@@ -82,10 +84,10 @@
     }
 }
 
-/// All other instances this one has talked to.
+/// Peers for all other instances that this one has called.
 pub(crate) struct PeerPool {
     me: Member,
-    leave_from: Option<IpAddr>,
+    local_ip: Option<IpAddr>,
     keys: FleetKeys,
     summaries: Arc<SummaryTable>,
     traffic: tokio::runtime::Handle,
@@ -102,7 +104,7 @@
     ) -> Self {
         Self {
             me,
-            leave_from: (!listen_ip.is_unspecified()).then_some(listen_ip),
+            local_ip: (!listen_ip.is_unspecified()).then_some(listen_ip),
             keys,
             summaries,
             traffic,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The peer for a member, made anew when the member restarted or moved.
+    /// Returns the peer for a member. A new one is created if the member has restarted or its address has changed.
     pub(crate) fn get(&self, member: &Member) -> Arc<Peer> {
         let mut peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = peers.get(&member.id)
@@ -119,12 +121,12 @@
         {
             return Arc::clone(peer);
         }
-        let peer = Arc::new(self.make(member));
+        let peer = Arc::new(self.connect(member));
         peers.insert(member.id.clone(), Arc::clone(&peer));
         peer
     }
 
-    /// Ends the streams of a member that is gone; asks waiting there fail at once.
+    /// Drops the peer of a dead member, which ends its permit stream. Pending asks fail at once.
     pub(crate) fn forget(&self, id: &InstanceId) {
         self.peers
             .lock()
@@ -132,21 +134,24 @@
             .remove(id);
     }
 
-    /// Lets asks waiting at a member that stopped answering fail, but keeps its channel.
-    pub(crate) fn give_up_asks(&self, id: &InstanceId) {
+    /// Fails the pending asks at a member that stopped answering probes, but keeps its channel.
+    pub(crate) fn fail_pending_asks(&self, id: &InstanceId) {
         let peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = peers.get(id) {
-            peer.send(ToHome::GiveUp);
+            peer.send(ToHome::FailPending);
         }
     }
 
-    /// A client for an address whose instance is not known yet.
-    pub(crate) fn client_of(&self, address: SocketAddr) -> Client {
-        FleetClient::with_interceptor(channel(address, self.leave_from), AddToken::new(&self.keys))
+    /// Creates a client for an address whose instance is not known yet.
+    pub(crate) fn client_at(&self, address: SocketAddr) -> Client {
+        FleetClient::with_interceptor(
+            channel(address, self.local_ip),
+            TokenInterceptor::new(&self.keys),
+        )
     }
 
-    fn make(&self, member: &Member) -> Peer {
-        let client = self.client_of(member.fleet_address);
+    fn connect(&self, member: &Member) -> Peer {
+        let client = self.client_at(member.fleet_address);
         let (to_home, from_entry) = mpsc::unbounded_channel();
         let args = StreamArgs {
             me: self.me.clone(),
@@ -164,21 +169,23 @@
     }
 }
 
-// Without a fixed source a machine of several addresses leaves by any of them, seen as calls that a packet filter
-// between failure domains refuses though datagrams, which leave by the listening socket, pass.
-pub(crate) fn channel(address: SocketAddr, leave_from: Option<IpAddr>) -> Channel {
+/// Creates a channel that connects on first use, from `local_ip` if it is set.
+///
+/// Without a fixed source address, a host with several addresses may connect from any of them. Packet filters between
+/// failure domains then rejected the connections, but let pass datagrams, which are sent from the listening socket.
+pub(crate) fn channel(address: SocketAddr, local_ip: Option<IpAddr>) -> Channel {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .unwrap_or_else(|_| Endpoint::from_static("http://127.0.0.1:1"));
     endpoint
         .connect_timeout(CONNECT_TIMEOUT)
-        .http2_keep_alive_interval(PING_EVERY)
-        .keep_alive_timeout(PING_TIMEOUT)
+        .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
         .tcp_nodelay(true)
-        .local_address(leave_from)
+        .local_address(local_ip)
         .connect_lazy()
 }
 
-/// A request with the ordinary timeout for calls between instances.
+/// Creates a request with the default timeout for calls between instances.
 pub(crate) fn timed<T>(message: T) -> Request<T> {
     let mut req = Request::new(message);
     req.set_timeout(PEER_TIMEOUT);
