--- a/crates/tc-gateway/src/budgets.rs
+++ b/crates/tc-gateway/src/budgets.rs
@@ -8,7 +8,7 @@
 use tc_policy::{RetryBudget, RetryLimits};
 use tc_protocol::{MonoTime, ServiceName};
 
-use crate::settings::RepeatSettings;
+use crate::settings::RetryBudgetSettings;
 
 /// Part of the budget that is used. The rest covers instances whose lists of members differ for a moment, and
 /// requests that are counted by the instance that got them while their repeats are not.
@@ -19,12 +19,12 @@
 /// Each instance takes its own requests' share and an equal part of what is allowed besides, so that the sum over
 /// all of them keeps the fleet's budget with nothing to be agreed.
 pub(crate) struct RepeatBudgets {
-    settings: RepeatSettings,
+    settings: RetryBudgetSettings,
     by_service: Mutex<HashMap<ServiceName, RetryBudget>>,
 }
 
 impl RepeatBudgets {
-    pub(crate) fn new(settings: RepeatSettings) -> Self {
+    pub(crate) fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
             by_service: Mutex::default(),
--- a/crates/tc-gateway/src/events.rs
+++ b/crates/tc-gateway/src/events.rs
@@ -24,7 +24,7 @@
 /// assert!(events.push(b"\nid: 2"));
 /// assert_eq!(events.take_event().unwrap().id, Some(1));
 /// assert!(events.take_event().is_none());
-/// assert!(events.has_rest());
+/// assert!(events.has_partial_event());
 /// ```
 #[derive(Debug, Default)]
 pub struct EventSplitter {
@@ -55,7 +55,7 @@
 
     /// Whether a part of an event is left.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.rest.is_empty()
     }
 }
--- a/crates/tc-gateway/src/join.rs
+++ b/crates/tc-gateway/src/join.rs
@@ -202,7 +202,7 @@
         let value = serde_json::json!({ "fleet": address });
         let kind = self.edges.kinds.members;
         let dialect = &self.edges.store;
-        let name = &self.settings.machine;
+        let name = &self.settings.node_name;
         let put = self
             .store
             .put_kind(Purpose::Members, dialect, kind, name, &value);
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -137,7 +137,7 @@
         }
         match answered.reply.body.chunk().await {
             Some(Ok(bytes)) if events.push(&bytes) => {}
-            None if !events.has_rest() => {
+            None if !events.has_partial_event() => {
                 return Ok(Opened::Stream(Box::new(OpenStream {
                     answered,
                     events,
@@ -275,7 +275,7 @@
             Some(Ok(bytes)) if self.open.events.push(&bytes) => Ok(()),
             Some(Ok(_)) => Err(Broken::wrong("an event is too large")),
             Some(Err(error)) => Err(Broken::from_end(Some(error))),
-            None if self.open.events.has_rest() => Err(Broken::from_end(None)),
+            None if self.open.events.has_partial_event() => Err(Broken::from_end(None)),
             None => {
                 self.ended = true;
                 self.cx.mesh.ran_whole(self.req.fingerprint());
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -20,7 +20,7 @@
 const MOST_ADDRESSES: usize = 64;
 
 /// Renders the metrics of this process.
-pub type MetricsText = Arc<dyn Fn() -> String + Send + Sync>;
+pub type MetricsRenderer = Arc<dyn Fn() -> String + Send + Sync>;
 
 /// Answers small questions.
 #[derive(Clone)]
@@ -28,7 +28,7 @@
     pub(crate) cx: Arc<RunContext>,
     pub(crate) stop: Arc<StopState>,
     pub(crate) address_max_age: Duration,
-    pub(crate) metrics: MetricsText,
+    pub(crate) metrics: MetricsRenderer,
 }
 
 impl InfoService {
--- a/crates/tc-gateway/src/serve/mod.rs
+++ b/crates/tc-gateway/src/serve/mod.rs
@@ -7,4 +7,4 @@
 pub(crate) use accept::{ConnectionLimits, Connections, accept};
 pub(crate) use callers::CallerService;
 pub(crate) use info::InfoService;
-pub use info::MetricsText;
+pub use info::MetricsRenderer;
--- a/crates/tc-gateway/src/settings.rs
+++ b/crates/tc-gateway/src/settings.rs
@@ -13,7 +13,7 @@
     /// This instance, with the addresses that others are told.
     pub me: Member,
     /// Name of the machine; it stays the same over restarts, the instance's identifier does not.
-    pub machine: String,
+    pub node_name: String,
     /// Where callers are asked to come to.
     pub listen: SocketAddr,
     /// Where readiness is asked for.
@@ -31,16 +31,16 @@
     /// Calls to the store this instance may make a second.
     pub store_calls_per_s: f64,
     /// How often requests may be sent again, over all instances.
-    pub repeats: RepeatSettings,
+    pub retry_budget: RetryBudgetSettings,
     /// Time between SIGTERM and the end of the process.
     pub grace: Duration,
     /// How long an upstream serves on after it said that it leaves.
-    pub leave_time: Duration,
+    pub drain_time: Duration,
     /// Longest time from the store's acknowledgement of a configuration until every instance applies it.
-    pub config_time: Duration,
+    pub config_apply_limit: Duration,
     /// How long after the store has acknowledged it an evacuation may take to count on every instance; `None` where
     /// failure domains are not evacuated, so that nobody watches for it.
-    pub evacuate_time: Option<Duration>,
+    pub evacuation_limit: Option<Duration>,
     /// How far beyond what they bear cold upstreams may be driven.
     pub cold: ColdAllowance,
     /// Longest time callers keep a list of addresses.
@@ -60,7 +60,7 @@
 
 /// The fleet's budget for sending requests again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatSettings {
+pub struct RetryBudgetSettings {
     /// Repeats a request.
     pub ratio: f64,
     /// Repeats in a window besides.
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -26,7 +26,7 @@
     limits::LimitedSends,
     listeners::{Listeners, on_traffic},
     run::{AnswerBody, RunContext, SharedOutlooks, SharedPromptTimes},
-    serve::{CallerService, ConnectionLimits, Connections, InfoService, MetricsText, accept},
+    serve::{CallerService, ConnectionLimits, Connections, InfoService, MetricsRenderer, accept},
     settings::GatewaySettings,
     stop::{Asked, Signals, StopState, stop},
     unknown_headers::UnknownHeaders,
@@ -86,7 +86,7 @@
         settings: GatewaySettings,
         edges: Edges,
         traffic: tokio::runtime::Handle,
-        metrics: MetricsText,
+        metrics: MetricsRenderer,
     ) -> Result<Self, GatewayError> {
         let listeners = Listeners::bind(&settings).await?;
         let store = Store::new(StoreSettings {
@@ -104,13 +104,13 @@
             store: store.clone(),
             edges,
             cell: Arc::clone(&world),
-            leave_time: settings.leave_time,
+            drain_time: settings.drain_time,
             watches: role.watches(),
             check_after: role.check_after(),
         };
         tokio::spawn(watch_config(watch.clone()));
         tokio::spawn(watch_upstreams(watch.clone()));
-        if settings.evacuate_time.is_some() {
+        if settings.evacuation_limit.is_some() {
             tokio::spawn(watch_evacuations(watch));
         } else {
             world.leave_out(WorldPart::Evacuations);
@@ -149,7 +149,7 @@
 
     /// Instances that are not thought to be dead, this one included.
     #[must_use]
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.cx.instances()
     }
 
@@ -172,7 +172,7 @@
     settings: GatewaySettings,
     edges: Edges,
     traffic: tokio::runtime::Handle,
-    metrics: MetricsText,
+    metrics: MetricsRenderer,
     reload: impl Fn() + Send,
 ) -> Result<(), GatewayError> {
     let mut signals = Signals::new()?;
@@ -196,7 +196,7 @@
         max_response_bytes: MAX_ANSWER_BYTES,
         ..ClientSettings::default()
     });
-    let budgets = Arc::new(RepeatBudgets::new(settings.repeats));
+    let budgets = Arc::new(RepeatBudgets::new(settings.retry_budget));
     let (freer, given_up) = Freer::new();
     let limits = Arc::<UpstreamLimits>::default();
     let unknown_headers = Arc::<UnknownHeaders>::default();
@@ -254,8 +254,12 @@
 
 /// Bound within which whatever the store says must count on every instance.
 fn news_bound(settings: &GatewaySettings) -> Duration {
-    let evacuate_time = settings.evacuate_time.unwrap_or(settings.leave_time);
-    let times = [settings.leave_time, settings.config_time, evacuate_time];
+    let evacuation_limit = settings.evacuation_limit.unwrap_or(settings.drain_time);
+    let times = [
+        settings.drain_time,
+        settings.config_apply_limit,
+        evacuation_limit,
+    ];
     times.into_iter().min().unwrap_or_default()
 }
 
@@ -265,7 +269,7 @@
         settings: &GatewaySettings,
         traffic: &tokio::runtime::Handle,
         listeners: Listeners,
-        metrics: MetricsText,
+        metrics: MetricsRenderer,
     ) -> Result<(), GatewayError> {
         let _entered = traffic.enter();
         self.start_callers(on_traffic(listeners.callers)?);
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -35,7 +35,7 @@
 pub(crate) use follow::{StoreRole, follow_source};
 pub(crate) use reading::Reading;
 pub(crate) use tell::tell_world;
-pub use upstreams::{TakenUp, UpstreamTable};
+pub use upstreams::{ApplyOutcome, UpstreamTable};
 pub(crate) use watch::{WatchContext, first_world, watch_config, watch_upstreams};
 
 /// What requests read; never changes once published.
@@ -247,9 +247,9 @@
         let _writing = self.write();
         let world = self.load();
         match world.upstreams.with_news(&self.edges, upstreams) {
-            TakenUp::Newer(next) => self.publish_upstreams(&world, next),
-            TakenUp::Older => {}
-            TakenUp::Unfit => return false,
+            ApplyOutcome::Updated(next) => self.publish_upstreams(&world, next),
+            ApplyOutcome::Outdated => {}
+            ApplyOutcome::BaseMismatch => return false,
         }
         true
     }
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -22,16 +22,16 @@
 
 /// What came of another instance's news.
 #[derive(Clone, Debug)]
-pub enum TakenUp {
+pub enum ApplyOutcome {
     /// The list with them.
-    Newer(UpstreamTable),
+    Updated(UpstreamTable),
     /// They are older than what is known here.
-    Older,
+    Outdated,
     /// They are differences from another list than this one: ask for what is lacking.
     ///
     /// An instance that goes on with a source which is behind it would otherwise keep for ever what was both written and
     /// removed between the source's list and its own, seen as calls to upstreams that are long gone.
-    Unfit,
+    BaseMismatch,
 }
 
 #[derive(Clone, Debug)]
@@ -174,17 +174,17 @@
 
     /// Takes up another instance's news.
     #[must_use]
-    pub fn with_news(&self, edges: &Edges, news: &UpstreamNews) -> TakenUp {
+    pub fn with_news(&self, edges: &Edges, news: &UpstreamNews) -> ApplyOutcome {
         if news.revision < self.revision {
-            return TakenUp::Older;
+            return ApplyOutcome::Outdated;
         }
         let gone: Vec<Arc<str>> = match &news.gone {
             Gone::Named { since, .. } if *since != self.revision => {
                 let is_newer = news.revision > self.revision;
                 return if is_newer {
-                    TakenUp::Unfit
+                    ApplyOutcome::BaseMismatch
                 } else {
-                    TakenUp::Older
+                    ApplyOutcome::Outdated
                 };
             }
             Gone::Named { names, .. } => names.clone(),
@@ -206,7 +206,7 @@
             })
         });
         let events: Vec<ObjectEvent> = put.chain(removed).collect();
-        TakenUp::Newer(self.with_events(edges, &events, news.revision))
+        ApplyOutcome::Updated(self.with_events(edges, &events, news.revision))
     }
 
     /// This table with changes taken up.
--- a/crates/tc-gateway/src/world/watch.rs
+++ b/crates/tc-gateway/src/world/watch.rs
@@ -28,7 +28,7 @@
     pub(crate) edges: Edges,
     pub(crate) cell: Arc<WorldCell>,
     /// How long an upstream serves on after it said that it leaves.
-    pub(crate) leave_time: Duration,
+    pub(crate) drain_time: Duration,
     /// Whether this instance watches at all; the others hear from those that do.
     pub(crate) watches: Receiver<bool>,
     /// Age of a part's confirmation from which this instance lists it while it watches.
@@ -134,7 +134,7 @@
     let part = WorldPart::Upstreams;
     let followed = cx.followed(part, kind, Purpose::Registry, "list of upstreams");
     let mut watch = GatedWatch::new(&cx, followed);
-    let gather = cx.leave_time.mul_f64(GATHER_PART);
+    let gather = cx.drain_time.mul_f64(GATHER_PART);
     let mut upstreams = UpstreamKeeper {
         cell: cx.cell,
         removals: HeldRemovals::default(),
--- a/crates/tc-gateway/tests/events.rs
+++ b/crates/tc-gateway/tests/events.rs
@@ -32,7 +32,7 @@
             }
             assert_eq!(ids, [1, 2, 3, 4, 5, 6]);
             assert_eq!(passed, text.as_bytes());
-            assert!(!splitter.has_rest());
+            assert!(!splitter.has_partial_event());
         },
     );
 }
@@ -50,7 +50,7 @@
             }
         }
         assert!(passed <= given);
-        assert_eq!(splitter.has_rest(), passed < given);
+        assert_eq!(splitter.has_partial_event(), passed < given);
     });
 }
 
