--- a/crates/tc-gateway/src/events.rs
+++ b/crates/tc-gateway/src/events.rs
@@ -28,35 +28,35 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    buffer: BytesMut,
     /// Where the search for the end of the next event goes on.
-    searched: usize,
+    search_from: usize,
 }
 
 impl EventSplitter {
     /// Takes bytes; false when an event grows larger than any may be.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        self.rest.extend_from_slice(bytes);
-        self.rest.len() <= MAX_EVENT_BYTES
+        self.buffer.extend_from_slice(bytes);
+        self.buffer.len() <= MAX_EVENT_BYTES
     }
 
     /// The next whole event.
     pub fn take_event(&mut self) -> Option<Event> {
-        let Some(end) = end_of_event(&self.rest, self.searched) else {
+        let Some(end) = end_of_event(&self.buffer, self.search_from) else {
             // A blank line may be cut anywhere: look again at the last three bytes.
-            self.searched = self.rest.len().saturating_sub(3);
+            self.search_from = self.buffer.len().saturating_sub(3);
             return None;
         };
-        self.searched = 0;
-        let bytes = self.rest.split_to(end).freeze();
-        let id = id_of(&bytes);
+        self.search_from = 0;
+        let bytes = self.buffer.split_to(end).freeze();
+        let id = event_id(&bytes);
         Some(Event { bytes, id })
     }
 
     /// Whether a part of an event is left.
     #[must_use]
     pub fn has_partial_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.buffer.is_empty()
     }
 }
 
@@ -74,7 +74,7 @@
     None
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     event
         .split(|b| *b == b'\n')
         .filter_map(|line| line.strip_prefix(b"id:"))
--- a/crates/tc-gateway/src/freeze.rs
+++ b/crates/tc-gateway/src/freeze.rs
@@ -21,9 +21,9 @@
 
 /// Shortest absence that counts. Upstreams are given work for seconds after they said that they leave, and a busy
 /// process on an eighth of a core is late by up to a few hundred milliseconds.
-const SHORTEST: Duration = Duration::from_millis(800);
+const MIN_PAUSE: Duration = Duration::from_millis(800);
 /// How often it is looked when no request does; well inside the shortest absence.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The system's own account of suspended time: what the boot-time clock counts and the steady clock does not.
 ///
@@ -39,67 +39,67 @@
     }
 }
 
-struct LastLook {
+struct LastCheck {
     at: MonoTime,
     suspended: Duration,
 }
 
 /// Counts the times that this process was absent.
-pub(crate) struct FreezeWatch {
+pub(crate) struct PauseMonitor {
     suspended: SuspendedTime,
-    last: Mutex<LastLook>,
-    freezes: Sender<u64>,
+    last: Mutex<LastCheck>,
+    pauses: Sender<u64>,
 }
 
-impl FreezeWatch {
+impl PauseMonitor {
     pub(crate) fn new(suspended: SuspendedTime) -> Self {
-        let last = LastLook {
+        let last = LastCheck {
             at: MonoTime::now(),
             suspended: suspended(),
         };
         Self {
             suspended,
             last: Mutex::new(last),
-            freezes: Sender::new(0),
+            pauses: Sender::new(0),
         }
     }
 
     /// How often this process was absent so far; notices an absence that has just ended.
     pub(crate) fn count(&self) -> u64 {
-        self.look(MonoTime::now());
-        *self.freezes.borrow()
+        self.check(MonoTime::now());
+        *self.pauses.borrow()
     }
 
     /// Told of each absence.
     pub(crate) fn changes(&self) -> Receiver<u64> {
-        self.freezes.subscribe()
+        self.pauses.subscribe()
     }
 
-    fn look(&self, now: MonoTime) {
+    fn check(&self, now: MonoTime) {
         let suspended = (self.suspended)();
-        let absent = {
+        let pause = {
             let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
             let gap = now.since(last.at);
             let extra = suspended.saturating_sub(last.suspended);
-            *last = LastLook { at: now, suspended };
+            *last = LastCheck { at: now, suspended };
             gap + extra
         };
-        if absent >= SHORTEST {
-            log::warn!(gap_ms = absent.as_millis() as u64; "this process was paused; what it knew is read again");
+        if pause >= MIN_PAUSE {
+            log::warn!(gap_ms = pause.as_millis() as u64; "this process was paused; what it knew is read again");
             metrics::counter!("tc_pauses_total").increment(1);
-            self.freezes.send_modify(|count| *count += 1);
+            self.pauses.send_modify(|count| *count += 1);
         }
     }
 
     /// Looks until the process ends; `woke` is called after each absence.
-    pub(crate) async fn keep_looking(&self, woke: impl Fn()) {
+    pub(crate) async fn run(&self, on_pause: impl Fn()) {
         let mut known = 0;
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             let count = self.count();
             if count > known {
                 known = count;
-                woke();
+                on_pause();
             }
         }
     }
@@ -124,10 +124,10 @@
     }
 
     pub(crate) fn left(&self) -> Duration {
-        let slept = (self.suspended)().saturating_sub(self.suspended_at_start);
+        let suspended = (self.suspended)().saturating_sub(self.suspended_at_start);
         let left = self
             .until
             .saturating_duration_since(tokio::time::Instant::now());
-        left.saturating_sub(slept)
+        left.saturating_sub(suspended)
     }
 }
--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -9,32 +9,32 @@
 use crate::{
     engines::EngineHomes,
     homes::{BatchHomes, GivenUp},
-    world::{WorldCell, tell_world},
+    world::{WorldCell, relay_world},
 };
 
 /// What this instance does for others.
 pub(crate) fn mesh_handlers(
-    beat: Duration,
+    heartbeat_interval: Duration,
     homes: &Arc<BatchHomes>,
     engines: &Arc<EngineHomes>,
     world: &Arc<WorldCell>,
 ) -> Arc<MeshHandlers> {
-    let choosers = Arc::clone(engines);
-    let told = Arc::clone(engines);
-    let makers = Arc::clone(homes);
-    let freers = Arc::clone(homes);
-    let standing = Arc::clone(homes);
+    let engines_for_choice = Arc::clone(engines);
+    let engines_for_news = Arc::clone(engines);
+    let homes_for_pieces = Arc::clone(homes);
+    let homes_for_freeing = Arc::clone(homes);
+    let homes_for_outlooks = Arc::clone(homes);
     let world = Arc::clone(world);
     Arc::new(MeshHandlers {
         make_pieces: Box::new(move |ask| {
-            let homes = Arc::clone(&makers);
+            let homes = Arc::clone(&homes_for_pieces);
             async move { homes.make_pieces(ask).await }.boxed()
         }),
-        outlook: Box::new(move |service| standing.outlook(service)),
-        free_results: Box::new(move |results| freers.free_results(&results)),
-        choose_engine: Box::new(move |ask| choosers.choose(ask)),
-        tell_runs: Box::new(move |service, news| told.note(service, news)),
-        world: Box::new(move |have| tell_world(&world, have, beat)),
+        outlook: Box::new(move |service| homes_for_outlooks.outlook(service)),
+        free_results: Box::new(move |results| homes_for_freeing.free_results(&results)),
+        choose_engine: Box::new(move |ask| engines_for_choice.choose(ask)),
+        tell_runs: Box::new(move |service, news| engines_for_news.note(service, news)),
+        world: Box::new(move |have| relay_world(&world, have, heartbeat_interval)),
     })
 }
 
--- a/crates/tc-gateway/src/homes/calls.rs
+++ b/crates/tc-gateway/src/homes/calls.rs
@@ -75,7 +75,7 @@
 pub(super) fn free_at_makers(cx: &Arc<HomeContext>, handles: &[ResultHandle]) {
     let world = cx.world.load();
     let is_evacuated = |handle: &ResultHandle| {
-        let maker = world.upstreams.maker_of(handle);
+        let maker = world.upstreams.upstream_of_result(handle);
         maker.is_some_and(|maker| maker.evacuated)
     };
     let mut by_maker: HashMap<SocketAddr, Vec<ResultHandle>> = HashMap::new();
@@ -98,7 +98,7 @@
         let world = cx.world.load();
         let maker = handles
             .first()
-            .and_then(|handle| world.upstreams.maker_of(handle));
+            .and_then(|handle| world.upstreams.upstream_of_result(handle));
         maker.and_then(|maker| cx.backoffs.remaining(&maker.id))
     };
     while let Some(remaining) = remaining_backoff() {
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -165,7 +165,7 @@
         }
         let world = self.cx.world.load();
         for input in inputs {
-            let Some(maker) = world.upstreams.maker_of(input) else {
+            let Some(maker) = world.upstreams.upstream_of_result(input) else {
                 log::debug!(result = &*input.0; "the maker of a result is gone, and the result with it");
                 continue;
             };
--- a/crates/tc-gateway/src/join.rs
+++ b/crates/tc-gateway/src/join.rs
@@ -17,20 +17,20 @@
 
 /// Shortest and longest wait of an instance that knows no other before it looks again: those that start together find
 /// each other within moments, and one that is alone for good costs the store little.
-const LOOK_FOR_OTHERS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+const JOIN_WAITS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 /// Rounds in which only seeds are asked: where all start at once, seeds answer a moment later, and the store's list of a
 /// fleet that starts for the first time is empty.
-const ROUNDS_OF_SEEDS: u32 = 2;
+const SEED_ONLY_ROUNDS: u32 = 2;
 /// How often those that watch the store look whether it lists instances that nobody here knows.
-const LOOK_FOR_STRANGERS: Duration = Duration::from_secs(3);
+const UNKNOWN_MEMBERS_INTERVAL: Duration = Duration::from_secs(3);
 /// Listed instances that are asked in one round: most live, and one that answers tells of all that it knows.
-const ASKED: usize = 5;
+const MAX_ADDRESSES_PER_ROUND: usize = 5;
 /// Longest wait for an instance that is asked while this one looks for others. A machine that has no power yet does not say so;
 /// without the limit all that start after a power loss would wait for the slowest seed's.
-const ANSWER_LIMIT: Duration = Duration::from_millis(300);
+const INTRODUCTION_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest time for which a process that starts waits to know the same members as others. Hundreds agree within a second;
 /// an instance among many that come and go is not to hold its callers for longer than they would wait.
-const SETTLE: Duration = Duration::from_millis(1_500);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Says when this instance knows the members well enough to place work by them.
 #[derive(Clone)]
@@ -38,22 +38,22 @@
 
 impl Settled {
     /// Not yet, but in a moment in any case.
-    pub(crate) fn soon() -> Self {
+    pub(crate) fn with_timeout() -> Self {
         let settled = Self(Arc::new(Sender::new(false)));
         let late = settled.clone();
         tokio::spawn(async move {
-            sleep(SETTLE).await;
-            late.now("the time for it is over");
+            sleep(SETTLE_TIMEOUT).await;
+            late.mark_settled("the time for it is over");
         });
         settled
     }
 
     /// Told when it is so.
-    pub(crate) fn watch(&self) -> Receiver<bool> {
+    pub(crate) fn subscribe(&self) -> Receiver<bool> {
         self.0.subscribe()
     }
 
-    fn now(&self, why: &'static str) {
+    fn mark_settled(&self, why: &'static str) {
         if !self.0.send_replace(true) {
             log::info!(why = why; "members are taken for known");
         }
@@ -62,7 +62,7 @@
 
 /// Finds other instances.
 #[derive(Clone)]
-pub(crate) struct Finder {
+pub(crate) struct Discovery {
     pub(crate) settings: GatewaySettings,
     pub(crate) edges: Edges,
     pub(crate) store: Store,
@@ -70,30 +70,30 @@
     pub(crate) settled: Settled,
 }
 
-impl Finder {
+impl Discovery {
     /// Finds a first other instance: by seeds, or else by what the store lists.
     ///
     /// Seeds may be stale or down; the list may be out of reach. Either is enough. Whoever is found tells of all others that
     /// it knows; [`keep_members_same`] and [`Finder::look_for_strangers`] get the rest.
     pub(crate) async fn join(self) {
-        let (mut wait, longest) = LOOK_FOR_OTHERS;
+        let (mut wait, max_wait) = JOIN_WAITS;
         let mut round = 0;
         loop {
             self.ask_seeds().await;
-            let only_seeds = round < ROUNDS_OF_SEEDS && !self.settings.seeds.is_empty();
-            if self.knows_nobody() && !only_seeds {
+            let only_seeds = round < SEED_ONLY_ROUNDS && !self.settings.seeds.is_empty();
+            if self.knows_no_others() && !only_seeds {
                 self.ask_listed().await;
             }
-            if !self.knows_nobody() {
+            if !self.knows_no_others() {
                 return;
             }
             sleep(wait.mul_f64(0.5 + rand::random::<f64>())).await;
-            wait = (wait * 2).min(longest);
+            wait = (wait * 2).min(max_wait);
             round += 1;
         }
     }
 
-    fn knows_nobody(&self) -> bool {
+    fn knows_no_others(&self) -> bool {
         self.mesh.other_addresses().is_empty()
     }
 
@@ -118,13 +118,18 @@
     }
 
     async fn ask_listed(&self) {
-        match self.strangers(Freshness::Current).await {
-            Some(strangers) if strangers.is_empty() => self.settled.now("no other is listed"),
-            strangers => self.introduce_to_first(strangers.unwrap_or_default()).await,
+        match self.unknown_members(Freshness::Current).await {
+            Some(unknown_members) if unknown_members.is_empty() => {
+                self.settled.mark_settled("no other is listed")
+            }
+            unknown_members => {
+                self.introduce_to_any(unknown_members.unwrap_or_default())
+                    .await
+            }
         }
     }
 
-    async fn introduce_to_first(&self, addresses: Vec<SocketAddr>) {
+    async fn introduce_to_any(&self, addresses: Vec<SocketAddr>) {
         for address in addresses {
             if self.introduce(address).await {
                 return;
@@ -134,12 +139,12 @@
 
     /// Whether the instance at the address answered.
     async fn introduce(&self, address: SocketAddr) -> bool {
-        answered(self.mesh.introduce_at(address)).await
+        answers_in_time(self.mesh.introduce_at(address)).await
     }
 
     /// Whether the instance at the address answered.
     async fn announce(&self, address: SocketAddr) -> bool {
-        answered(self.mesh.announce_at(address)).await
+        answers_in_time(self.mesh.announce_at(address)).await
     }
 
     /// While this instance is one of those that watch the store: lists itself there, and looks now and then whether the store
@@ -149,8 +154,8 @@
     /// own, seen as calls that are half full and upstreams that are busy with another's. Comparing lists within a group
     /// never shows it. Each group has some that watch the store, and one introduction joins two groups. Only these list
     /// themselves: a newcomer needs one that answers, and a list of hundreds is read page by page.
-    pub(crate) async fn look_for_strangers(self) {
-        let mut settled = self.settled.watch();
+    pub(crate) async fn join_unknown_members(self) {
+        let mut settled = self.settled.subscribe();
         // Fails only when the process ends.
         let _ = settled.wait_for(|settled| *settled).await;
         let mut registered = false;
@@ -159,10 +164,11 @@
                 if !registered {
                     registered = self.register().await;
                 }
-                let strangers = self.strangers(Freshness::SecondsOld).await;
-                self.introduce_to_first(strangers.unwrap_or_default()).await;
+                let unknown_members = self.unknown_members(Freshness::SecondsOld).await;
+                self.introduce_to_any(unknown_members.unwrap_or_default())
+                    .await;
             }
-            sleep(LOOK_FOR_STRANGERS.mul_f64(0.5 + rand::random::<f64>())).await;
+            sleep(UNKNOWN_MEMBERS_INTERVAL.mul_f64(0.5 + rand::random::<f64>())).await;
         }
     }
 
@@ -173,17 +179,17 @@
     }
 
     /// Some addresses by chance that the store lists and nobody here knows; `None` when the store cannot be read.
-    async fn strangers(&self, freshness: Freshness) -> Option<Vec<SocketAddr>> {
-        let mut listed = self.listed(freshness).await?;
+    async fn unknown_members(&self, freshness: Freshness) -> Option<Vec<SocketAddr>> {
+        let mut listed = self.listed_addresses(freshness).await?;
         let members = self.mesh.members();
         let known: HashSet<SocketAddr> = members.iter().map(|m| m.fleet_address).collect();
         listed.retain(|address| !known.contains(address));
         listed.shuffle(&mut rand::rng());
-        listed.truncate(ASKED);
+        listed.truncate(MAX_ADDRESSES_PER_ROUND);
         Some(listed)
     }
 
-    async fn listed(&self, freshness: Freshness) -> Option<Vec<SocketAddr>> {
+    async fn listed_addresses(&self, freshness: Freshness) -> Option<Vec<SocketAddr>> {
         let kind = self.edges.kinds.members;
         let dialect = &self.edges.store;
         let listed = self
@@ -213,8 +219,8 @@
     }
 }
 
-async fn answered(call: impl Future<Output = Result<(), MeshError>>) -> bool {
-    match timeout(ANSWER_LIMIT, call).await {
+async fn answers_in_time(call: impl Future<Output = Result<(), MeshError>>) -> bool {
+    match timeout(INTRODUCTION_TIMEOUT, call).await {
         Ok(Ok(())) => true,
         Ok(Err(error)) => {
             log::debug!(error = error.to_string().as_str(); "an instance that may know others does not answer");
@@ -230,11 +236,11 @@
 /// Compares the list of members with those of others, often while they differ; runs until it is dropped.
 ///
 /// They are settled once another instance was found to know the same members.
-pub(crate) async fn keep_members_same(mesh: Mesh, settled: Settled) {
+pub(crate) async fn sync_members(mesh: Mesh, settled: Settled) {
     let mut sync = ViewSync::new(MonoTime::now(), rand::random());
     loop {
         sleep(sync.next_comparison().since(MonoTime::now())).await;
-        let outcome = match some_member(&mesh) {
+        let outcome = match pick_member(&mesh) {
             None => ComparisonOutcome::NoAnswer,
             Some(other) => mesh.compare_members(&other).await.unwrap_or_else(|error| {
                 log::debug!(error = error.to_string().as_str(); "an instance did not tell its members");
@@ -244,19 +250,19 @@
         };
         sync.record(MonoTime::now(), outcome, rand::random());
         if sync.is_settled() {
-            settled.now("others know the same");
+            settled.mark_settled("others know the same");
         }
     }
 }
 
 /// Each second time one of the few that watch the store, as far as is known here: all instances soon agree on these, so
 /// what one has told them the others hear from them next.
-fn some_member(mesh: &Mesh) -> Option<Member> {
+fn pick_member(mesh: &Mesh) -> Option<Member> {
     let members = mesh.members();
     let me = &mesh.me().id;
     let is_other = |m: &&Member| m.state == MemberState::Alive && m.id != *me;
-    let few = store_watchers(&members).into_iter().filter(is_other);
-    let few = few.choose(&mut rand::rng()).filter(|_| rand::random());
+    let watcher = store_watchers(&members).into_iter().filter(is_other);
+    let watcher = watcher.choose(&mut rand::rng()).filter(|_| rand::random());
     let any = || members.iter().filter(is_other).choose(&mut rand::rng());
-    few.or_else(any).cloned()
+    watcher.or_else(any).cloned()
 }
--- a/crates/tc-gateway/src/listeners.rs
+++ b/crates/tc-gateway/src/listeners.rs
@@ -18,9 +18,9 @@
     pub(crate) async fn bind(settings: &GatewaySettings) -> Result<Self, GatewayError> {
         Ok(Self {
             callers: bind(settings.listen).await?,
-            ready: bind_some(settings.ready_listen).await?,
-            directory: bind_some(settings.directory_listen).await?,
-            metrics: bind_some(settings.metrics_listen).await?,
+            ready: bind_optional(settings.ready_listen).await?,
+            directory: bind_optional(settings.directory_listen).await?,
+            metrics: bind_optional(settings.metrics_listen).await?,
         })
     }
 }
@@ -30,7 +30,7 @@
     bound.map_err(|source| GatewayError::Listen { address, source })
 }
 
-async fn bind_some(address: Option<SocketAddr>) -> Result<Option<TcpListener>, GatewayError> {
+async fn bind_optional(address: Option<SocketAddr>) -> Result<Option<TcpListener>, GatewayError> {
     match address {
         Some(address) => bind(address).await.map(Some),
         None => Ok(None),
@@ -38,6 +38,6 @@
 }
 
 /// Moves a listener to the runtime that is entered.
-pub(crate) fn on_traffic(listener: TcpListener) -> Result<TcpListener, GatewayError> {
+pub(crate) fn move_to_current_runtime(listener: TcpListener) -> Result<TcpListener, GatewayError> {
     Ok(TcpListener::from_std(listener.into_std()?)?)
 }
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -159,7 +159,7 @@
         if time_left < LEAST_TIME {
             return Err(SendFailure::NoTime);
         }
-        cx.world.read_anew().await;
+        cx.world.wait_until_fresh().await;
         let mut target = self.choose(cx, req, with.results).await?;
         let upstream = Arc::clone(&target.upstream);
         let remaining = with.limit.map_or(time_left, |limit| limit.min(time_left));
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -269,7 +269,10 @@
     let world = cx.world.load();
     let mut bytes: HashMap<FailureDomain, u64> = HashMap::new();
     for (stage, (_, results)) in req.route.stages.iter().zip(&held.by_stage) {
-        for maker in results.iter().filter_map(|r| world.upstreams.maker_of(r)) {
+        for maker in results
+            .iter()
+            .filter_map(|r| world.upstreams.upstream_of_result(r))
+        {
             *bytes.entry(maker.failure_domain.clone()).or_default() += stage.result_bytes;
         }
     }
@@ -283,7 +286,10 @@
 ) -> Option<FailureDomain> {
     let world = cx.world.load();
     let mut counts: HashMap<&FailureDomain, usize> = HashMap::new();
-    for maker in results.iter().filter_map(|r| world.upstreams.maker_of(r)) {
+    for maker in results
+        .iter()
+        .filter_map(|r| world.upstreams.upstream_of_result(r))
+    {
         *counts.entry(&maker.failure_domain).or_default() += 1;
     }
     let most = counts.into_iter().max_by_key(|(_, count)| *count);
--- a/crates/tc-gateway/src/serve/accept.rs
+++ b/crates/tc-gateway/src/serve/accept.rs
@@ -21,13 +21,13 @@
 use crate::run::AnswerBody;
 
 /// Pause after an accept failed, for instance because no file descriptor was free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Idle time before the kernel probes a caller's silent connection, and the pause between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Unanswered probes after which the caller counts as gone.
-const PROBES: u32 = 3;
+const KEEPALIVE_RETRIES: u32 = 3;
 /// How long bytes to a caller may stay unacknowledged. A caller that is cut off would else hold its upstream's run.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(6);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Bounds on connections.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +39,7 @@
 }
 
 /// Least buffer the HTTP library takes.
-const LEAST_BUFFER: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 /// Connections being served.
 #[derive(Clone, Default)]
@@ -82,7 +82,7 @@
             }
             Err(error) => {
                 log::warn!(error = error.to_string().as_str(); "accepting a connection failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -109,7 +109,7 @@
         .timer(TokioTimer::new())
         // Counts while the connection is idle too, so it is the time of an idle connection, not of a slow header.
         .header_read_timeout(limits.idle)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(socket), service);
     let mut connection = pin!(connection);
     let ended = tokio::select! {
@@ -127,10 +127,10 @@
 fn prepare(socket: &TcpStream) -> std::io::Result<()> {
     socket.set_nodelay(true)?;
     let socket = SockRef::from(socket);
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
-    socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
+    socket.set_tcp_keepalive(&keepalive)?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/crates/tc-gateway/src/serve/callers.rs
+++ b/crates/tc-gateway/src/serve/callers.rs
@@ -28,16 +28,16 @@
     routing::target_of,
     run::{AnswerBody, Refusal, RoutedRequest, RunContext, StreamCut, own_answer, run},
     stop::StopState,
-    world::ConfigInForce,
+    world::ActiveConfig,
 };
 
 /// How long a request waits for the first configuration and list of upstreams of a process that has just started. Hundreds
 /// that start at once after a power loss have them within a second, and half of the callers would come back only once.
-const FIRST_WORLD: Duration = Duration::from_millis(800);
+const INITIAL_STATE_WAIT: Duration = Duration::from_millis(800);
 /// When a caller is told to come back to an instance that has no configuration.
-const NO_CONFIG_RETRY: Duration = Duration::from_millis(300);
+const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// When a caller is told to come back, to another instance, from one that is stopping.
-const STOPPING_RETRY: Duration = Duration::from_millis(20);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Serves callers' requests.
 #[derive(Clone)]
@@ -67,7 +67,7 @@
 /// answer goes out with a length and not in chunks.
 struct CountedBody {
     body: AnswerBody,
-    _counted: InFlightRequest,
+    _in_flight: InFlightRequest,
 }
 
 impl Body for CountedBody {
@@ -94,7 +94,7 @@
     /// Answers one request.
     pub(crate) async fn answer(self, req: Request<Incoming>) -> Response<AnswerBody> {
         let arrived = Instant::now();
-        let counted = InFlightRequest::start(&self.connections.in_flight);
+        let in_flight_request = InFlightRequest::start(&self.connections.in_flight);
         let (parts, body) = req.into_parts();
         let (head, answered) = match (self.cx.edges.read_request)(&parts) {
             Ok(head) => {
@@ -126,7 +126,7 @@
         answer.map(|body| {
             CountedBody {
                 body,
-                _counted: counted,
+                _in_flight: in_flight_request,
             }
             .boxed_unsync()
         })
@@ -142,19 +142,19 @@
     ) -> Result<RoutedRequest, Refusal> {
         let config = self.config().await?;
         let route = find_route(&config, &parts)?;
-        let workspace = workspace_of(&config, &route, &head)?;
+        let workspace = find_workspace(&config, &route, &head)?;
         let service = target_of(&route, &head.request)
             .cloned()
             .ok_or_else(|| Refusal::not_run_now("the route names no service"))?;
         if !self.stop.may_start(route.kind.is_stream()) {
             return Err(Refusal::not_run(
                 "this instance is stopping",
-                STOPPING_RETRY,
+                STOPPING_RETRY_AFTER,
             ));
         }
         let suspended = self.cx.suspended;
-        let longest = head.remaining.unwrap_or(route.timeout).min(route.timeout);
-        let deadline = arrived + longest;
+        let time_limit = head.remaining.unwrap_or(route.timeout).min(route.timeout);
+        let deadline = arrived + time_limit;
         let allowed = TimeAllowed::until(deadline, suspended);
         let body = read_body(body, config.routing.limits.body_bytes, deadline).await?;
         Ok(RoutedRequest {
@@ -175,7 +175,7 @@
     fn log_refusal(&self, request: &str, refusal: &Refusal) {
         let world = self.cx.world.load();
         let config = world.config.as_ref();
-        let age = config.map(|config| MonoTime::now().since(config.read_at));
+        let age = config.map(|config| MonoTime::now().since(config.decoded_at));
         log::info!(
             request = request,
             status = refusal.status.as_u16(),
@@ -186,18 +186,21 @@
         );
     }
 
-    async fn config(&self) -> Result<Arc<ConfigInForce>, Refusal> {
+    async fn config(&self) -> Result<Arc<ActiveConfig>, Refusal> {
         if !self.cx.world.load().is_known() {
-            crate::world::first_world(&self.cx.world, FIRST_WORLD).await;
+            crate::world::wait_until_known(&self.cx.world, INITIAL_STATE_WAIT).await;
         }
         let world = self.cx.world.load();
         world.config.clone().ok_or_else(|| {
-            Refusal::not_run("this instance has no configuration yet", NO_CONFIG_RETRY)
+            Refusal::not_run(
+                "this instance has no configuration yet",
+                NO_CONFIG_RETRY_AFTER,
+            )
         })
     }
 }
 
-fn find_route(config: &ConfigInForce, parts: &Parts) -> Result<Arc<Route>, Refusal> {
+fn find_route(config: &ActiveConfig, parts: &Parts) -> Result<Arc<Route>, Refusal> {
     let host = parts
         .headers
         .get(header::HOST)
@@ -209,8 +212,8 @@
         .ok_or_else(|| Refusal::plain(StatusCode::NOT_FOUND, "no route takes this host and path"))
 }
 
-fn workspace_of(
-    config: &ConfigInForce,
+fn find_workspace(
+    config: &ActiveConfig,
     route: &Route,
     head: &CallHead,
 ) -> Result<Option<Arc<RoutedWorkspace>>, Refusal> {
@@ -225,8 +228,8 @@
     Ok(known.cloned())
 }
 
-async fn read_body(body: Incoming, largest: usize, deadline: Instant) -> Result<Bytes, Refusal> {
-    match timeout_at(deadline, Limited::new(body, largest).collect()).await {
+async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Refusal> {
+    match timeout_at(deadline, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let reason = "the body is larger than the configuration allows";
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -17,7 +17,7 @@
 /// caller that has its address finds out at its next request, so a short time costs little and mends much.
 const MAX_AGE: Duration = Duration::from_secs(2);
 /// Most addresses in one answer.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// Renders the metrics of this process.
 pub type MetricsRenderer = Arc<dyn Fn() -> String + Send + Sync>;
@@ -67,7 +67,7 @@
     edges: &Edges,
     uri: &Uri,
     members: &[Member],
-    longest: Duration,
+    max_age: Duration,
 ) -> Response<AnswerBody> {
     let Some(question) = (edges.read_directory)(uri) else {
         return text(StatusCode::NOT_FOUND, Bytes::new());
@@ -76,7 +76,7 @@
     if addresses.is_empty() {
         return text(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
-    let seconds = MAX_AGE.min(longest).as_secs().max(1) as u32;
+    let seconds = MAX_AGE.min(max_age).as_secs().max(1) as u32;
     let mut answer = text(
         StatusCode::OK,
         (edges.directory_answer)(&addresses, seconds),
@@ -98,7 +98,7 @@
     });
     usable
         .iter()
-        .take(MOST_ADDRESSES)
+        .take(MAX_ADDRESSES)
         .map(|member| member.caller_address)
         .collect()
 }
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -19,16 +19,16 @@
     cold::ColdSends,
     edges::Edges,
     engines::{EngineHomes, NewsSender},
-    freeze::FreezeWatch,
+    freeze::PauseMonitor,
     handlers::{free_results, mesh_handlers},
     homes::{BatchHomes, Freer, HomeContext, ask_other_homes},
-    join::{Finder, Settled, keep_members_same},
+    join::{Discovery, Settled, sync_members},
     limits::LimitedSends,
-    listeners::{Listeners, on_traffic},
+    listeners::{Listeners, move_to_current_runtime},
     run::{AnswerBody, RunContext, SharedOutlooks, SharedPromptTimes},
     serve::{CallerService, ConnectionLimits, Connections, InfoService, MetricsRenderer, accept},
     settings::GatewaySettings,
-    stop::{Asked, Signals, StopState, stop},
+    stop::{SignalAction, Signals, StopState, stop},
     unknown_headers::UnknownHeaders,
     world::{
         StoreRole, WatchContext, WorldCell, WorldPart, follow_source, watch_config,
@@ -41,9 +41,9 @@
 /// Longest time to connect to an upstream: two lost opening packets would take longer, and another upstream is near.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Largest answer of an upstream.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// How often upstreams that are gone are forgotten.
-const FORGET_EVERY: Duration = Duration::from_secs(10);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Why the gateway could not run.
 #[derive(Debug, Error, Diagnostic)]
@@ -94,48 +94,48 @@
             calls_per_s: settings.store_calls_per_s,
             timeout: STORE_TIMEOUT,
         });
-        let freezes = Arc::new(FreezeWatch::new(settings.suspended));
-        let world = Arc::new(WorldCell::new(edges, Arc::clone(&freezes)));
-        let settled = Settled::soon();
+        let pause_monitor = Arc::new(PauseMonitor::new(settings.suspended));
+        let world = Arc::new(WorldCell::new(edges, Arc::clone(&pause_monitor)));
+        let settled = Settled::with_timeout();
         let cx = start_context(&settings, edges, Arc::clone(&world), &traffic, &settled).await?;
-        let source_timing = SourceTiming::within(news_bound(&settings));
+        let source_timing = SourceTiming::within(propagation_limit(&settings));
         let role = StoreRole::new(source_timing);
         let watch = WatchContext {
             store: store.clone(),
             edges,
             cell: Arc::clone(&world),
             drain_time: settings.drain_time,
-            watches: role.watches(),
-            check_after: role.check_after(),
+            should_watch: role.should_watch(),
+            list_after: role.list_after(),
         };
         tokio::spawn(watch_config(watch.clone()));
         tokio::spawn(watch_upstreams(watch.clone()));
         if settings.evacuation_limit.is_some() {
             tokio::spawn(watch_evacuations(watch));
         } else {
-            world.leave_out(WorldPart::Evacuations);
+            world.disable_part(WorldPart::Evacuations);
         }
-        let followed = Arc::clone(&world);
+        let cell = Arc::clone(&world);
         tokio::spawn(follow_source(
             cx.mesh.clone(),
-            followed,
+            cell,
             source_timing,
             role,
-            settled.watch(),
+            settled.subscribe(),
         ));
-        let finder = Finder {
+        let discovery = Discovery {
             settings: settings.clone(),
             edges,
             store,
             mesh: cx.mesh.clone(),
             settled: settled.clone(),
         };
-        tokio::spawn(finder.clone().look_for_strangers());
-        tokio::spawn(finder.join());
-        tokio::spawn(keep_members_same(cx.mesh.clone(), settled));
-        tokio::spawn(follow_roles(cx.mesh.clone(), Arc::clone(&cx.homes)));
-        tokio::spawn(forget(Arc::clone(&cx)));
-        tokio::spawn(notice_absences(freezes, cx.mesh.clone()));
+        tokio::spawn(discovery.clone().join_unknown_members());
+        tokio::spawn(discovery.join());
+        tokio::spawn(sync_members(cx.mesh.clone(), settled));
+        tokio::spawn(hand_over_homes(cx.mesh.clone(), Arc::clone(&cx.homes)));
+        tokio::spawn(remove_unregistered(Arc::clone(&cx)));
+        tokio::spawn(watch_pauses(pause_monitor, cx.mesh.clone()));
         let gateway = Self {
             cx,
             stop: Arc::new(StopState::new(settings.grace)),
@@ -177,7 +177,7 @@
 ) -> Result<(), GatewayError> {
     let mut signals = Signals::new()?;
     let gateway = Gateway::start(settings, edges, traffic, metrics).await?;
-    while signals.next().await == Asked::Reload {
+    while signals.next().await == SignalAction::Reload {
         reload();
     }
     gateway.stop().await;
@@ -193,7 +193,7 @@
 ) -> Result<Arc<RunContext>, GatewayError> {
     let client = UpstreamClient::new(ClientSettings {
         connect_timeout: CONNECT_TIMEOUT,
-        max_response_bytes: MAX_ANSWER_BYTES,
+        max_response_bytes: MAX_RESPONSE_BYTES,
         ..ClientSettings::default()
     });
     let budgets = Arc::new(RepeatBudgets::new(settings.retry_budget));
@@ -223,11 +223,11 @@
     let limits = Arc::new(LimitedSends::new(limits));
     let engines = EngineHomes::new(Arc::clone(&world), Arc::clone(&cold), Arc::clone(&limits));
     let engines = Arc::new(engines);
-    let beat = SourceTiming::within(news_bound(settings)).heartbeat_interval;
-    let handlers = mesh_handlers(beat, &homes, &engines, &world);
+    let heartbeat_interval = SourceTiming::within(propagation_limit(settings)).heartbeat_interval;
+    let handlers = mesh_handlers(heartbeat_interval, &homes, &engines, &world);
     let mesh = Mesh::start(mesh_settings, handlers).await?;
-    let (run_news, told) = NewsSender::new();
-    traffic.spawn(told.pass_on(mesh.clone(), Arc::clone(&engines)));
+    let (run_news, news_receiver) = NewsSender::new();
+    traffic.spawn(news_receiver.pass_on(mesh.clone(), Arc::clone(&engines)));
     traffic.spawn(ask_other_homes(mesh.clone(), Arc::clone(&homes)));
     traffic.spawn(free_results(given_up, mesh.clone(), Arc::clone(&homes)));
     Ok(Arc::new(RunContext {
@@ -248,12 +248,12 @@
         prompt_times: SharedPromptTimes::default(),
         client,
         suspended: settings.suspended,
-        members_settled: settled.watch(),
+        members_settled: settled.subscribe(),
     }))
 }
 
 /// Bound within which whatever the store says must count on every instance.
-fn news_bound(settings: &GatewaySettings) -> Duration {
+fn propagation_limit(settings: &GatewaySettings) -> Duration {
     let evacuation_limit = settings.evacuation_limit.unwrap_or(settings.drain_time);
     let times = [
         settings.drain_time,
@@ -272,7 +272,7 @@
         metrics: MetricsRenderer,
     ) -> Result<(), GatewayError> {
         let _entered = traffic.enter();
-        self.start_callers(on_traffic(listeners.callers)?);
+        self.start_callers(move_to_current_runtime(listeners.callers)?);
         let info = InfoService {
             cx: Arc::clone(&self.cx),
             stop: Arc::clone(&self.stop),
@@ -281,14 +281,20 @@
         };
         if let Some(listener) = listeners.ready {
             let info = info.clone();
-            self.start_info(on_traffic(listener)?, move |req| info.ready(&req));
+            self.start_info(move_to_current_runtime(listener)?, move |req| {
+                info.ready(&req)
+            });
         }
         if let Some(listener) = listeners.directory {
             let info = info.clone();
-            self.start_info(on_traffic(listener)?, move |req| info.directory(&req));
+            self.start_info(move_to_current_runtime(listener)?, move |req| {
+                info.directory(&req)
+            });
         }
         if let Some(listener) = listeners.metrics {
-            self.start_info(on_traffic(listener)?, move |_req| info.metrics());
+            self.start_info(move_to_current_runtime(listener)?, move |_req| {
+                info.metrics()
+            });
         }
         Ok(())
     }
@@ -320,12 +326,12 @@
         let answer = move |req| std::future::ready(answer(req));
         let world = Arc::clone(&self.cx.world);
         let limits = move || connection_limits(&world);
-        let never = CancellationToken::new();
+        let never_cancelled = CancellationToken::new();
         tokio::spawn(accept(
             listener,
             Connections::default(),
             limits,
-            never,
+            never_cancelled,
             answer,
         ));
     }
@@ -345,7 +351,7 @@
 }
 
 /// Hands homes over when the members change.
-async fn follow_roles(mesh: Mesh, homes: Arc<BatchHomes>) {
+async fn hand_over_homes(mesh: Mesh, homes: Arc<BatchHomes>) {
     let mut changes = mesh.changes();
     while changes.changed().await.is_ok() {
         homes.hand_over(|service| {
@@ -356,13 +362,13 @@
 }
 
 /// An instance that was absent may have been taken for dead, and may take others for what they no longer are.
-async fn notice_absences(freezes: Arc<FreezeWatch>, mesh: Mesh) {
-    freezes.keep_looking(|| mesh.woke()).await;
+async fn watch_pauses(pause_monitor: Arc<PauseMonitor>, mesh: Mesh) {
+    pause_monitor.run(|| mesh.woke()).await;
 }
 
-async fn forget(cx: Arc<RunContext>) {
+async fn remove_unregistered(cx: Arc<RunContext>) {
     loop {
-        sleep(FORGET_EVERY).await;
+        sleep(CLEANUP_INTERVAL).await;
         let world = cx.world.load();
         cx.book.retain(|id| world.upstreams.contains(id));
         cx.cold.retain(|id| world.upstreams.contains(id));
--- a/crates/tc-gateway/src/stop.rs
+++ b/crates/tc-gateway/src/stop.rs
@@ -20,16 +20,16 @@
 
 /// Part of the grace during which streams are still started: callers renew their lists of addresses within it, and a
 /// stream takes seconds.
-const STREAMS_PART: f64 = 0.3;
+const STREAM_START_FRACTION: f64 = 0.3;
 /// Part of the grace during which other requests are still started.
-const REQUESTS_PART: f64 = 0.75;
+const REQUEST_START_FRACTION: f64 = 0.75;
 /// Part of the grace after which idle connections are closed: by then callers' lists are over, also of those that
 /// keep them three times as long.
-const CLOSE_PART: f64 = 0.78;
+const CLOSE_FRACTION: f64 = 0.78;
 /// Kept free before the end of the grace for what the process itself does last.
-const LAST_MOMENT: Duration = Duration::from_millis(250);
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(250);
 /// How often the end of the last request is looked for.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Whether, and since when, this process is stopping.
 pub(crate) struct StopState {
@@ -51,12 +51,12 @@
 
     /// Whether a request that comes now may be started: one that is started too late would be cut off.
     pub(crate) fn may_start(&self, is_stream: bool) -> bool {
-        let part = if is_stream {
-            STREAMS_PART
+        let fraction = if is_stream {
+            STREAM_START_FRACTION
         } else {
-            REQUESTS_PART
+            REQUEST_START_FRACTION
         };
-        let latest = self.grace.mul_f64(part);
+        let latest = self.grace.mul_f64(fraction);
         self.since
             .get()
             .is_none_or(|since| since.elapsed() <= latest)
@@ -76,7 +76,7 @@
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Asked {
+pub(crate) enum SignalAction {
     Stop,
     Reload,
 }
@@ -90,11 +90,11 @@
         })
     }
 
-    pub(crate) async fn next(&mut self) -> Asked {
+    pub(crate) async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Asked::Stop,
-            _ = self.interrupt.recv() => Asked::Stop,
-            _ = self.hangup.recv() => Asked::Reload,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.hangup.recv() => SignalAction::Reload,
         }
     }
 }
@@ -109,16 +109,16 @@
     let since = state.begin();
     log::info!(grace_ms = state.grace.as_millis() as u64, in_flight = connections.in_flight(); "stopping: no longer in the directory");
     mesh.leave();
-    sleep_until((since + state.grace.mul_f64(CLOSE_PART)).into()).await;
+    sleep_until((since + state.grace.mul_f64(CLOSE_FRACTION)).into()).await;
     stop_accepting.cancel();
     connections.close.cancel();
-    let end = since + state.grace.saturating_sub(LAST_MOMENT);
+    let end = since + state.grace.saturating_sub(SHUTDOWN_RESERVE);
     while connections.in_flight() > 0 && Instant::now() < end {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    let cut = connections.in_flight();
-    if cut > 0 {
-        log::warn!(requests = cut; "stopped with requests unfinished: the grace is over");
+    let unfinished = connections.in_flight();
+    if unfinished > 0 {
+        log::warn!(requests = unfinished; "stopped with requests unfinished: the grace is over");
     }
     log::info!(took_ms = since.elapsed().as_millis() as u64; "stopped");
 }
--- a/crates/tc-gateway/src/world/config.rs
+++ b/crates/tc-gateway/src/world/config.rs
@@ -11,7 +11,7 @@
 use crate::{edges::Edges, routing::RouteTable};
 
 /// A valid configuration, ready to be used.
-pub(crate) struct ConfigInForce {
+pub(crate) struct ActiveConfig {
     pub(crate) routing: RoutingConfig,
     pub(crate) routes: RouteTable,
     /// As it lies in the store, to be handed on.
@@ -19,12 +19,12 @@
     /// The store's revision of its object.
     pub(crate) revision: u64,
     /// When this instance decoded the configuration.
-    pub(crate) read_at: MonoTime,
+    pub(crate) decoded_at: MonoTime,
 }
 
-impl ConfigInForce {
+impl ActiveConfig {
     /// Decodes and checks a configuration; the error says what is wrong with it.
-    pub(crate) fn read(edges: &Edges, raw: &Arc<Value>, revision: u64) -> Result<Self, String> {
+    pub(crate) fn decode(edges: &Edges, raw: &Arc<Value>, revision: u64) -> Result<Self, String> {
         let routing = (edges.read_config)(raw)?;
         let routes = RouteTable::new(&routing).map_err(|error| error.to_string())?;
         Ok(Self {
@@ -32,7 +32,7 @@
             routes,
             raw: Arc::clone(raw),
             revision,
-            read_at: MonoTime::now(),
+            decoded_at: MonoTime::now(),
         })
     }
 
--- a/crates/tc-gateway/src/world/evacuated.rs
+++ b/crates/tc-gateway/src/world/evacuated.rs
@@ -9,7 +9,7 @@
 
 use super::{
     WorldPart,
-    kind_watch::{Seen, WATCH_WAIT},
+    kind_watch::{KindUpdate, WATCH_WAIT},
     watch::{GatedWatch, WatchContext},
 };
 
@@ -19,22 +19,22 @@
 pub(crate) async fn watch_evacuations(cx: WatchContext) {
     let kind = cx.edges.kinds.evacuations;
     let part = WorldPart::Evacuations;
-    let followed = cx.followed(part, kind, Purpose::Registry, "evacuated failure domains");
-    let mut watch = GatedWatch::new(&cx, followed);
-    while let Some(seen) = watch.next(WATCH_WAIT).await {
-        let (revision, reading, is_list) = match seen {
-            Seen::All(page, reading) => (page.at, reading, true),
-            Seen::Changes(page, reading) => (page.at, reading, false),
-            Seen::Failed => continue,
+    let target = cx.target(part, kind, Purpose::Registry, "evacuated failure domains");
+    let mut watch = GatedWatch::new(&cx, target);
+    while let Some(update) = watch.next(WATCH_WAIT).await {
+        let (revision, store_read, is_list) = match update {
+            KindUpdate::List(page, store_read) => (page.at, store_read, true),
+            KindUpdate::Changes(page, store_read) => (page.at, store_read, false),
+            KindUpdate::Failed => continue,
         };
         let names = watch.names().iter();
         cx.cell.apply_evacuated(&EvacuatedDomains {
             revision,
             domains: names.map(|name| (**name).into()).collect(),
         });
-        cx.cell.confirm(part, &reading);
+        cx.cell.confirm(part, &store_read);
         if is_list {
-            cx.cell.note_read(part, reading.absences);
+            cx.cell.record_full_read(part, store_read.pauses);
         }
     }
 }
--- a/crates/tc-gateway/src/world/follow.rs
+++ b/crates/tc-gateway/src/world/follow.rs
@@ -11,41 +11,41 @@
     time::{sleep, timeout},
 };
 
-use super::{Reading, WorldCell, WorldPart};
+use super::{StoreRead, WorldCell, WorldPart};
 
 /// Whether this instance watches the store, as the rest of the process reads it.
 pub(crate) struct StoreRole {
-    watches: Sender<bool>,
-    check_after: Sender<Duration>,
+    should_watch: Sender<bool>,
+    list_after: Sender<Duration>,
 }
 
 impl StoreRole {
     /// A role that is not decided yet.
     pub(crate) fn new(timing: SourceTiming) -> Self {
         Self {
-            watches: Sender::new(false),
-            check_after: Sender::new(timing.watch_after),
+            should_watch: Sender::new(false),
+            list_after: Sender::new(timing.watch_after),
         }
     }
 
     /// Told when it changes.
-    pub(crate) fn watches(&self) -> Receiver<bool> {
-        self.watches.subscribe()
+    pub(crate) fn should_watch(&self) -> Receiver<bool> {
+        self.should_watch.subscribe()
     }
 
     /// See [`StoreSource::list_after`].
-    pub(crate) fn check_after(&self) -> Receiver<Duration> {
-        self.check_after.subscribe()
+    pub(crate) fn list_after(&self) -> Receiver<Duration> {
+        self.list_after.subscribe()
     }
 }
 
-type News = BoxStream<'static, Result<WorldNews, MeshError>>;
+type NewsStream = BoxStream<'static, Result<WorldNews, MeshError>>;
 
 /// Another instance's news, as they come.
-struct Following {
-    from: InstanceId,
-    news: News,
-    reading: Reading,
+struct SourceStream {
+    id: InstanceId,
+    news: NewsStream,
+    store_read: StoreRead,
 }
 
 struct Follower {
@@ -54,7 +54,7 @@
     timing: SourceTiming,
     source: StoreSource,
     role: StoreRole,
-    following: Option<Following>,
+    stream: Option<SourceStream>,
     is_settled: bool,
 }
 
@@ -67,8 +67,8 @@
     mut settled: Receiver<bool>,
 ) {
     let mut members = mesh.changes();
-    let freezes = cell.freezes();
-    let mut absences = freezes.changes();
+    let pause_monitor = cell.pause_monitor();
+    let mut pauses = pause_monitor.changes();
     let me = mesh.me().id.clone();
     let mut follower = Follower {
         source: StoreSource::new(me, timing, MonoTime::now()),
@@ -76,72 +76,72 @@
         cell,
         timing,
         role,
-        following: None,
+        stream: None,
         is_settled: false,
     };
-    follower.take_members();
+    follower.update_members();
     loop {
-        follower.look().await;
-        let look_again = follower.source.next_check_in(MonoTime::now());
-        let news = next_news(&mut follower.following, look_again);
+        follower.update_source().await;
+        let wait = follower.source.next_check_in(MonoTime::now());
+        let news = next_event(&mut follower.stream, wait);
         tokio::select! {
-            heard = news => follower.take(heard),
-            _ = members.changed() => follower.take_members(),
-            Ok(_) = settled.wait_for(|settled| *settled), if !follower.is_settled => follower.settled(),
-            _ = absences.changed() => follower.resumed(),
+            event = news => follower.handle(event),
+            _ = members.changed() => follower.update_members(),
+            Ok(_) = settled.wait_for(|settled| *settled), if !follower.is_settled => follower.mark_settled(),
+            _ = pauses.changed() => follower.resumed(),
         }
     }
 }
 
 /// What came of waiting for news.
-enum Heard {
+enum SourceEvent {
     /// Nothing yet.
-    Nothing,
+    Timeout,
     News(WorldNews),
     /// Why none will come any more.
-    Broke(String),
+    Ended(String),
 }
 
-async fn next_news(following: &mut Option<Following>, wait: Duration) -> Heard {
-    let Some(following) = following else {
+async fn next_event(stream: &mut Option<SourceStream>, wait: Duration) -> SourceEvent {
+    let Some(stream) = stream else {
         sleep(wait).await;
-        return Heard::Nothing;
+        return SourceEvent::Timeout;
     };
-    match timeout(wait, following.news.next()).await {
-        Ok(Some(Ok(news))) => Heard::News(news),
-        Ok(Some(Err(error))) => Heard::Broke(error.to_string()),
-        Ok(None) => Heard::Broke("its news ended".to_owned()),
-        Err(_) => Heard::Nothing,
+    match timeout(wait, stream.news.next()).await {
+        Ok(Some(Ok(news))) => SourceEvent::News(news),
+        Ok(Some(Err(error))) => SourceEvent::Ended(error.to_string()),
+        Ok(None) => SourceEvent::Ended("its news ended".to_owned()),
+        Err(_) => SourceEvent::Timeout,
     }
 }
 
 impl Follower {
-    fn take_members(&mut self) {
+    fn update_members(&mut self) {
         let members = self.mesh.members();
         self.source.update_members(&members);
     }
 
-    fn settled(&mut self) {
+    fn mark_settled(&mut self) {
         self.is_settled = true;
         self.source.mark_settled();
     }
 
     /// Drops the stream and all confirmations after an absence, because their age is unknown.
     fn resumed(&mut self) {
-        self.following = None;
+        self.stream = None;
         self.source.resumed(MonoTime::now());
         self.cell.reset_confirmations();
     }
 
     /// Begins to follow whoever is to be followed now, and says whether this instance watches.
-    async fn look(&mut self) {
+    async fn update_source(&mut self) {
         self.update_role();
         let source = self.source.source(MonoTime::now());
-        let followed = self.following.as_ref().map(|f| &f.from);
-        if source.as_ref() != followed {
-            self.following = None;
+        let current = self.stream.as_ref().map(|stream| &stream.id);
+        if source.as_ref() != current {
+            self.stream = None;
             if let Some(source) = source {
-                self.begin(source).await;
+                self.follow(source).await;
                 self.update_role();
             }
         }
@@ -152,78 +152,80 @@
         let now = MonoTime::now();
         let age = now.since(self.cell.confirmed());
         metrics::gauge!("tc_store_confirmed_age_ms").set(age.as_secs_f64() * 1_000.0);
-        self.role.check_after.send_replace(self.source.list_after());
-        let watches = self.source.should_watch(now);
-        let changed = self.role.watches.send_if_modified(|known| {
-            let changed = *known != watches;
-            *known = watches;
+        self.role.list_after.send_replace(self.source.list_after());
+        let should_watch = self.source.should_watch(now);
+        let changed = self.role.should_watch.send_if_modified(|known| {
+            let changed = *known != should_watch;
+            *known = should_watch;
             changed
         });
         if changed {
-            log::info!(watches = watches, confirmed_age_ms = age.as_millis() as u64; "whether this instance watches the store has changed");
-            metrics::gauge!("tc_store_watcher").set(f64::from(u8::from(watches)));
+            log::info!(watches = should_watch, confirmed_age_ms = age.as_millis() as u64; "whether this instance watches the store has changed");
+            metrics::gauge!("tc_store_watcher").set(f64::from(u8::from(should_watch)));
         }
     }
 
-    async fn begin(&mut self, source: InstanceId) {
+    async fn follow(&mut self, source: InstanceId) {
         let members = self.mesh.members();
         let Some(member) = members.iter().find(|member| member.id == source) else {
             return;
         };
-        let reading = Reading::start(&self.cell.freezes());
+        let store_read = StoreRead::start(&self.cell.pause_monitor());
         let have = self.cell.have();
         let limit = self.timing.heartbeat_interval;
-        let begun = timeout(limit, self.mesh.follow_world(member, have)).await;
-        match begun {
+        let opened = timeout(limit, self.mesh.follow_world(member, have)).await;
+        match opened {
             Ok(Ok(news)) => {
                 log::info!(from = source.as_str(), config = have.config_version, upstreams = have.upstreams_revision; "another instance is followed for news of the store");
-                self.following = Some(Following {
-                    from: source,
+                self.stream = Some(SourceStream {
+                    id: source,
                     news,
-                    reading,
+                    store_read,
                 });
             }
-            Ok(Err(error)) => self.broke(&source, &error.to_string()),
-            Err(_) => self.broke(&source, "no answer in time"),
+            Ok(Err(error)) => self.source_failed(&source, &error.to_string()),
+            Err(_) => self.source_failed(&source, "no answer in time"),
         }
     }
 
-    fn take(&mut self, heard: Heard) {
-        let Some(following) = &self.following else {
+    fn handle(&mut self, event: SourceEvent) {
+        let Some(stream) = &self.stream else {
             return;
         };
-        let from = following.from.clone();
-        let reading = following.reading;
-        match heard {
-            Heard::Nothing => {}
-            Heard::News(news) => self.take_news(&from, &reading, &news),
-            Heard::Broke(problem) => self.broke(&from, &problem),
+        let from = stream.id.clone();
+        let store_read = stream.store_read;
+        match event {
+            SourceEvent::Timeout => {}
+            SourceEvent::News(news) => self.apply_news(&from, &store_read, &news),
+            SourceEvent::Ended(problem) => self.source_failed(&from, &problem),
         }
     }
 
-    fn take_news(&mut self, from: &InstanceId, reading: &Reading, news: &WorldNews) {
+    fn apply_news(&mut self, from: &InstanceId, store_read: &StoreRead, news: &WorldNews) {
         let now = MonoTime::now();
         let confirmed = news.confirmed_ms.map_or_else(MonoTime::default, |ms| {
-            reading.started_at.offset_by_millis(ms).min(now)
+            store_read.started_at.offset_by_millis(ms).min(now)
         });
         self.source.note_confirmation(now, from, confirmed);
         if !self.cell.apply_news(news) {
             log::info!(from = from.as_str(); "news of the store do not fit what is known here; the source is asked anew");
-            self.following = None;
+            self.stream = None;
             return;
         }
-        self.cell.confirm_all(reading, confirmed);
+        self.cell.confirm_all(store_read, confirmed);
         if now.since(confirmed) < self.timing.stale_after {
-            self.cell.note_read(WorldPart::Config, reading.absences);
-            self.cell.note_read(WorldPart::Upstreams, reading.absences);
             self.cell
-                .note_read(WorldPart::Evacuations, reading.absences);
+                .record_full_read(WorldPart::Config, store_read.pauses);
+            self.cell
+                .record_full_read(WorldPart::Upstreams, store_read.pauses);
+            self.cell
+                .record_full_read(WorldPart::Evacuations, store_read.pauses);
         }
     }
 
-    fn broke(&mut self, from: &InstanceId, problem: &str) {
+    fn source_failed(&mut self, from: &InstanceId, problem: &str) {
         log::info!(from = from.as_str(), problem = problem; "an instance that is followed for news of the store does not tell any");
-        self.following = None;
+        self.stream = None;
         self.source.source_failed(MonoTime::now(), from);
         self.mesh.doubt(from);
     }
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -7,9 +7,9 @@
 mod evacuated;
 mod follow;
 mod kind_watch;
-mod reading;
+mod relay;
 mod removals;
-mod tell;
+mod store_read;
 mod upstreams;
 mod watch;
 
@@ -28,21 +28,21 @@
 use tc_protocol::{FailureDomain, MonoTime, ServiceName, UpstreamId};
 use tokio::sync::watch::{Receiver, Sender};
 
-use crate::{edges::Edges, freeze::FreezeWatch};
+use crate::{edges::Edges, freeze::PauseMonitor};
 
-pub(crate) use config::ConfigInForce;
+pub(crate) use config::ActiveConfig;
 pub(crate) use evacuated::watch_evacuations;
 pub(crate) use follow::{StoreRole, follow_source};
-pub(crate) use reading::Reading;
-pub(crate) use tell::tell_world;
+pub(crate) use relay::relay_world;
+pub(crate) use store_read::StoreRead;
 pub use upstreams::{ApplyOutcome, UpstreamTable};
-pub(crate) use watch::{WatchContext, first_world, watch_config, watch_upstreams};
+pub(crate) use watch::{WatchContext, wait_until_known, watch_config, watch_upstreams};
 
 /// What requests read; never changes once published.
 #[derive(Clone, Default)]
 pub(crate) struct World {
     /// `None` until one is known.
-    pub(crate) config: Option<Arc<ConfigInForce>>,
+    pub(crate) config: Option<Arc<ActiveConfig>>,
     /// Those in evacuated failure domains are marked.
     pub(crate) upstreams: Arc<UpstreamTable>,
     pub(crate) evacuated: Arc<EvacuatedDomains>,
@@ -62,7 +62,7 @@
 
 /// Longest wait for a fresh reading after an absence. The store answers in milliseconds; without it, upstreams are told
 /// whom a request is meant for and say so when it is not for them.
-const FRESH_WAIT: Duration = Duration::from_millis(300);
+const MAX_FRESH_WAIT: Duration = Duration::from_millis(300);
 
 /// What is read from the store by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,56 +73,56 @@
 }
 
 /// How many parts there are.
-const PARTS: usize = 3;
+const PART_COUNT: usize = 3;
 
 /// Holds the newest world, and decides what is newer.
 pub(crate) struct WorldCell {
     edges: Edges,
     published: ArcSwap<World>,
     /// Taken by writers only.
-    writing: Mutex<()>,
+    write_lock: Mutex<()>,
     changes: Sender<u64>,
-    freezes: Arc<FreezeWatch>,
+    pause_monitor: Arc<PauseMonitor>,
     /// Absences of this process before the last whole reading of each part.
-    read_after: [AtomicU64; PARTS],
+    pauses_at_full_read: [AtomicU64; PART_COUNT],
     /// Time as of which each part is confirmed, that is, includes every change that the store had accepted by then. In
     /// microseconds of [`MonoTime`]; 0 for a part without a confirmation, `u64::MAX` for one that is left out.
-    confirmed: [AtomicU64; PARTS],
+    confirmed: [AtomicU64; PART_COUNT],
     /// Sends the time as of which all parts are confirmed, when it changes.
     confirmations: Sender<MonoTime>,
     /// The last absence after which no reading came in time, so that requests no longer wait for one.
-    gave_up_after: AtomicU64,
+    gave_up_at: AtomicU64,
 }
 
 impl WorldCell {
-    pub(crate) fn new(edges: Edges, freezes: Arc<FreezeWatch>) -> Self {
+    pub(crate) fn new(edges: Edges, pause_monitor: Arc<PauseMonitor>) -> Self {
         Self {
             edges,
             published: ArcSwap::default(),
-            writing: Mutex::default(),
+            write_lock: Mutex::default(),
             changes: Sender::new(0),
-            freezes,
-            read_after: Default::default(),
+            pause_monitor,
+            pauses_at_full_read: Default::default(),
             confirmed: Default::default(),
             confirmations: Sender::new(MonoTime::default()),
-            gave_up_after: AtomicU64::new(0),
+            gave_up_at: AtomicU64::new(0),
         }
     }
 
-    pub(crate) fn freezes(&self) -> Arc<FreezeWatch> {
-        Arc::clone(&self.freezes)
+    pub(crate) fn pause_monitor(&self) -> Arc<PauseMonitor> {
+        Arc::clone(&self.pause_monitor)
     }
 
     /// A part that there is none of on this deployment: nothing waits for it.
-    pub(crate) fn leave_out(&self, part: WorldPart) {
-        self.read_after[part as usize].store(u64::MAX, Ordering::Release);
+    pub(crate) fn disable_part(&self, part: WorldPart) {
+        self.pauses_at_full_read[part as usize].store(u64::MAX, Ordering::Release);
         self.confirmed[part as usize].store(u64::MAX, Ordering::Release);
     }
 
     /// A part was read whole, after this many absences of this process.
-    pub(crate) fn note_read(&self, part: WorldPart, absences: u64) {
+    pub(crate) fn record_full_read(&self, part: WorldPart, pauses: u64) {
         // A part that was left out stays read for good.
-        self.read_after[part as usize].fetch_max(absences, Ordering::AcqRel);
+        self.pauses_at_full_read[part as usize].fetch_max(pauses, Ordering::AcqRel);
         self.changes.send_modify(|count| *count += 1);
     }
 
@@ -130,34 +130,34 @@
     ///
     /// What was known before the absence may send a request to an upstream that has left since, or to another process
     /// at its address.
-    pub(crate) async fn read_anew(&self) {
-        let absences = self.freezes.count();
-        if self.is_read_after(absences) {
+    pub(crate) async fn wait_until_fresh(&self) {
+        let pauses = self.pause_monitor.count();
+        if self.is_read_since(pauses) {
             return;
         }
         let mut changes = self.changes();
         let fresh = async {
-            while !self.is_read_after(absences) {
+            while !self.is_read_since(pauses) {
                 if changes.changed().await.is_err() {
                     return;
                 }
             }
         };
-        if tokio::time::timeout(FRESH_WAIT, fresh).await.is_err() {
+        if tokio::time::timeout(MAX_FRESH_WAIT, fresh).await.is_err() {
             log::warn!(
                 "the store was not read anew after an absence; requests go on by what was known before"
             );
-            self.gave_up_after.fetch_max(absences, Ordering::Release);
+            self.gave_up_at.fetch_max(pauses, Ordering::Release);
         }
     }
 
-    fn is_read_after(&self, absences: u64) -> bool {
+    fn is_read_since(&self, pauses: u64) -> bool {
         let read = self
-            .read_after
+            .pauses_at_full_read
             .iter()
             .map(|read| read.load(Ordering::Acquire));
-        let gave_up = self.gave_up_after.load(Ordering::Acquire);
-        read.min().unwrap_or_default().max(gave_up) >= absences
+        let gave_up = self.gave_up_at.load(Ordering::Acquire);
+        read.min().unwrap_or_default().max(gave_up) >= pauses
     }
 
     /// The world as of now; never waits.
@@ -180,23 +180,23 @@
     }
 
     /// Confirms a part as of the start of a reading whose result has been applied.
-    pub(crate) fn confirm(&self, part: WorldPart, reading: &Reading) {
-        self.confirm_as_of(&[part], reading, reading.started_at);
+    pub(crate) fn confirm(&self, part: WorldPart, store_read: &StoreRead) {
+        self.confirm_as_of(&[part], store_read, store_read.started_at);
     }
 
     /// Confirms all parts as of a time reported by another instance.
-    pub(crate) fn confirm_all(&self, reading: &Reading, as_of: MonoTime) {
+    pub(crate) fn confirm_all(&self, store_read: &StoreRead, as_of: MonoTime) {
         let all = [
             WorldPart::Config,
             WorldPart::Upstreams,
             WorldPart::Evacuations,
         ];
-        self.confirm_as_of(&all, reading, as_of);
+        self.confirm_as_of(&all, store_read, as_of);
     }
 
-    fn confirm_as_of(&self, parts: &[WorldPart], reading: &Reading, as_of: MonoTime) {
+    fn confirm_as_of(&self, parts: &[WorldPart], store_read: &StoreRead, as_of: MonoTime) {
         // The clock may not have counted an absence since the start, which would make the confirmation look too recent.
-        if self.freezes.count() != reading.absences {
+        if self.pause_monitor.count() != store_read.pauses {
             return;
         }
         for part in parts {
@@ -244,7 +244,7 @@
         let Some(upstreams) = &news.upstreams else {
             return true;
         };
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         match world.upstreams.with_news(&self.edges, upstreams) {
             ApplyOutcome::Updated(next) => self.publish_upstreams(&world, next),
@@ -258,9 +258,9 @@
     ///
     /// A lower version never goes in force within a process's life: a read may be stale, and a peer may lag.
     pub(crate) fn apply_config(&self, raw: &Arc<Value>, revision: u64) {
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
-        let config = match ConfigInForce::read(&self.edges, raw, revision) {
+        let config = match ActiveConfig::decode(&self.edges, raw, revision) {
             Ok(config) => config,
             Err(problem) => {
                 log::error!(revision = revision, problem = problem.as_str(); "configuration rejected; the last valid one stays in force");
@@ -283,7 +283,7 @@
 
     /// Puts in force which failure domains are evacuated, unless it is older than what is known.
     pub(crate) fn apply_evacuated(&self, evacuated: &EvacuatedDomains) {
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         let known = &world.evacuated;
         if evacuated.revision < known.revision {
@@ -313,14 +313,14 @@
             self.published.store(Arc::new(next));
             return;
         }
-        log::info!(domains = names_of(evacuated).as_str(), before = names_of(known).as_str(), revision = evacuated.revision; "evacuated failure domains changed");
+        log::info!(domains = domain_names(evacuated).as_str(), before = domain_names(known).as_str(), revision = evacuated.revision; "evacuated failure domains changed");
         metrics::gauge!("tc_evacuated_domains").set(evacuated.domains.len() as f64);
         self.publish(next);
     }
 
     /// Takes up changes of registered upstreams.
     pub(crate) fn apply_upstream_events(&self, events: &[ObjectEvent], at: u64) {
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         let upstreams = world.upstreams.with_events(&self.edges, events, at);
         self.publish_upstreams(&world, upstreams);
@@ -328,12 +328,12 @@
 
     /// Takes up the whole list of registered upstreams as of a revision.
     pub(crate) fn replace_upstreams(&self, objects: &[WorldObject], at: u64) {
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         if at < world.upstreams.revision() {
             return;
         }
-        let upstreams = world.upstreams.replaced(&self.edges, objects, at);
+        let upstreams = world.upstreams.with_list(&self.edges, objects, at);
         self.publish_upstreams(&world, upstreams);
     }
 
@@ -343,7 +343,7 @@
         if self.load().upstreams.has_announced_leaving(id) {
             return;
         }
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         if world.upstreams.has_announced_leaving(id) {
             return;
@@ -379,12 +379,14 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    fn write(&self) -> MutexGuard<'_, ()> {
-        self.writing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_writes(&self) -> MutexGuard<'_, ()> {
+        self.write_lock
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn names_of(evacuated: &EvacuatedDomains) -> String {
+fn domain_names(evacuated: &EvacuatedDomains) -> String {
     let names: Vec<&str> = evacuated
         .domains
         .iter()
--- a/crates/tc-gateway/src/world/tell.rs
+++ b/crates/tc-gateway/src/world/relay.rs
@@ -10,52 +10,52 @@
 use super::{World, WorldCell};
 
 /// What one other instance was told so far.
-struct Told {
+struct Relay {
     cell: Arc<WorldCell>,
     /// Receipt of the call; confirmations are sent relative to it.
     received_at: MonoTime,
     changes: Receiver<u64>,
     confirmations: Receiver<MonoTime>,
-    beat: Duration,
-    last: Last,
+    heartbeat_interval: Duration,
+    baseline: Baseline,
 }
 
-enum Last {
+enum Baseline {
     /// Nothing yet; it has this.
-    Has(WorldHave),
-    World(Arc<World>),
+    Reported(WorldHave),
+    Sent(Arc<World>),
 }
 
 /// Sends at once what the other lacks, then each change and each newer confirmation. Without either, sends a message every
 /// `beat`, so that silence shows that this instance or the connection to it is lost.
-pub(crate) fn tell_world(
+pub(crate) fn relay_world(
     cell: &Arc<WorldCell>,
     have: WorldHave,
-    beat: Duration,
+    heartbeat_interval: Duration,
 ) -> BoxStream<'static, WorldNews> {
-    let told = Told {
+    let relay = Relay {
         cell: Arc::clone(cell),
         received_at: MonoTime::now(),
         changes: cell.changes(),
         confirmations: cell.confirmations(),
-        beat,
-        last: Last::Has(have),
+        heartbeat_interval,
+        baseline: Baseline::Reported(have),
     };
-    stream::unfold(told, |mut told| async move {
-        let news = told.next().await;
-        Some((news, told))
+    stream::unfold(relay, |mut relay| async move {
+        let news = relay.next().await;
+        Some((news, relay))
     })
     .boxed()
 }
 
-impl Told {
+impl Relay {
     async fn next(&mut self) -> WorldNews {
-        if matches!(self.last, Last::World(_)) {
+        if matches!(self.baseline, Baseline::Sent(_)) {
             // The worlds are compared whichever of these ends the wait.
             tokio::select! {
                 _ = self.changes.changed() => {}
                 _ = self.confirmations.changed() => {}
-                () = sleep(self.beat) => {}
+                () = sleep(self.heartbeat_interval) => {}
             }
         }
         self.changes.mark_unchanged();
@@ -64,19 +64,19 @@
         let confirmed = self.cell.confirmed();
         let world = self.cell.load();
         let news = self.news(&world, confirmed);
-        self.last = Last::World(world);
+        self.baseline = Baseline::Sent(world);
         news
     }
 
     fn news(&self, world: &Arc<World>, confirmed: MonoTime) -> WorldNews {
-        let (known_version, known_evacuated, upstreams) = match &self.last {
-            Last::Has(have) => {
+        let (known_version, known_evacuated, upstreams) = match &self.baseline {
+            Baseline::Reported(have) => {
                 let upstreams = &world.upstreams;
                 let is_known = upstreams.revision() > 0;
                 let news = is_known.then(|| upstreams.news_since(have.upstreams_revision));
                 (have.config_version, have.evacuated_revision, news)
             }
-            Last::World(last) => {
+            Baseline::Sent(last) => {
                 let same = Arc::ptr_eq(&last.upstreams, &world.upstreams);
                 let news = (!same).then(|| world.upstreams.news_after(&last.upstreams));
                 let known_evacuated = if last.evacuated.domains == world.evacuated.domains {
--- a/crates/tc-gateway/src/world/removals.rs
+++ b/crates/tc-gateway/src/world/removals.rs
@@ -10,9 +10,9 @@
 use tc_protocol::MonoTime;
 
 /// How long after the store's return an entry may still be on its way back.
-const RETURN_TIME: Duration = Duration::from_millis(2_200);
+const REREGISTRATION_TIME: Duration = Duration::from_millis(2_200);
 /// An outage from this length on can have let entries lapse: shorter than three heartbeats of any upstream.
-const LEAST_OUTAGE: Duration = Duration::from_secs(1);
+const MIN_OUTAGE: Duration = Duration::from_secs(1);
 
 /// Decides when removals count.
 #[derive(Debug, Default)]
@@ -24,41 +24,41 @@
 
 impl HeldRemovals {
     /// The store did not answer.
-    pub(super) fn failed(&mut self, now: MonoTime) {
+    pub(super) fn record_failure(&mut self, now: MonoTime) {
         self.failing_since.get_or_insert(now);
     }
 
     /// The store answered.
-    pub(super) fn answered(&mut self, now: MonoTime) {
+    pub(super) fn record_answer(&mut self, now: MonoTime) {
         let Some(since) = self.failing_since.take() else {
             return;
         };
-        if now.since(since) >= LEAST_OUTAGE {
-            self.held_until = now.after(RETURN_TIME);
+        if now.since(since) >= MIN_OUTAGE {
+            self.held_until = now.after(REREGISTRATION_TIME);
         }
     }
 
     /// The changes that count now; removals just after an outage are held.
-    pub(super) fn sift(&mut self, now: MonoTime, events: Vec<ObjectEvent>) -> Vec<ObjectEvent> {
-        let holds = now < self.held_until;
-        let mut counted = Vec::with_capacity(events.len());
+    pub(super) fn filter(&mut self, now: MonoTime, events: Vec<ObjectEvent>) -> Vec<ObjectEvent> {
+        let is_holding = now < self.held_until;
+        let mut passed = Vec::with_capacity(events.len());
         for event in events {
             match event {
                 ObjectEvent::Put(object) => {
                     self.held.remove(&object.name);
-                    counted.push(ObjectEvent::Put(object));
+                    passed.push(ObjectEvent::Put(object));
                 }
-                ObjectEvent::Removed { name, revision } if holds => {
+                ObjectEvent::Removed { name, revision } if is_holding => {
                     self.held.insert(name, revision);
                 }
-                removed @ ObjectEvent::Removed { .. } => counted.push(removed),
+                removed @ ObjectEvent::Removed { .. } => passed.push(removed),
             }
         }
-        counted
+        passed
     }
 
     /// Removals whose entries did not come back.
-    pub(super) fn due(&mut self, now: MonoTime) -> Vec<ObjectEvent> {
+    pub(super) fn take_due(&mut self, now: MonoTime) -> Vec<ObjectEvent> {
         if now < self.held_until {
             return Vec::new();
         }
@@ -69,7 +69,7 @@
     }
 
     /// When [`HeldRemovals::due`] should be asked, if anything is held.
-    pub(super) fn next(&self) -> Option<MonoTime> {
+    pub(super) fn next_due(&self) -> Option<MonoTime> {
         (!self.held.is_empty()).then_some(self.held_until)
     }
 }
--- a/crates/tc-gateway/src/world/reading.rs
+++ b/crates/tc-gateway/src/world/store_read.rs
@@ -2,21 +2,21 @@
 
 use tc_protocol::MonoTime;
 
-use crate::freeze::FreezeWatch;
+use crate::freeze::PauseMonitor;
 
 /// Start of a call whose answer includes every change that the store had accepted by then.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reading {
+pub(crate) struct StoreRead {
     pub(crate) started_at: MonoTime,
     /// Number of absences of this process before the start.
-    pub(crate) absences: u64,
+    pub(crate) pauses: u64,
 }
 
-impl Reading {
-    pub(crate) fn start(freezes: &FreezeWatch) -> Self {
+impl StoreRead {
+    pub(crate) fn start(pause_monitor: &PauseMonitor) -> Self {
         Self {
             started_at: MonoTime::now(),
-            absences: freezes.count(),
+            pauses: pause_monitor.count(),
         }
     }
 }
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -49,7 +49,7 @@
     entries: BTreeMap<Arc<str>, Entry>,
     by_service: HashMap<ServiceName, Vec<Arc<RegisteredUpstream>>>,
     by_address: HashMap<SocketAddr, Arc<RegisteredUpstream>>,
-    lives: HashSet<UpstreamId>,
+    ids: HashSet<UpstreamId>,
     marks: Arc<UpstreamMarks>,
 }
 
@@ -79,14 +79,17 @@
     }
 
     /// Who keeps a result, if it is registered.
-    pub(crate) fn maker_of(&self, result: &ResultHandle) -> Option<&Arc<RegisteredUpstream>> {
+    pub(crate) fn upstream_of_result(
+        &self,
+        result: &ResultHandle,
+    ) -> Option<&Arc<RegisteredUpstream>> {
         let address: SocketAddr = result.upstream_address()?.parse().ok()?;
         self.by_address.get(&address)
     }
 
     /// Whether this life of a process is registered.
     pub(crate) fn contains(&self, id: &UpstreamId) -> bool {
-        self.lives.contains(id)
+        self.ids.contains(id)
     }
 
     /// Returns true if this upstream process has announced that it is leaving.
@@ -189,8 +192,8 @@
             }
             Gone::Named { names, .. } => names.clone(),
             Gone::AllBut(names) => {
-                let left: HashSet<&Arc<str>> = names.iter().collect();
-                let gone = self.entries.keys().filter(|name| !left.contains(name));
+                let remaining: HashSet<&Arc<str>> = names.iter().collect();
+                let gone = self.entries.keys().filter(|name| !remaining.contains(name));
                 gone.cloned().collect()
             }
         };
@@ -219,7 +222,7 @@
                     // Read once only: how long it stays cold counts from when it was first heard.
                     let known = entries.get(&object.name).map(|e| e.revision);
                     if known.is_none_or(|known| object.revision > known) {
-                        let entry = read(edges, &object.name, object.revision, &object.value);
+                        let entry = decode(edges, &object.name, object.revision, &object.value);
                         entries.insert(Arc::clone(&object.name), entry);
                     }
                 }
@@ -262,7 +265,7 @@
     }
 
     /// The table of a whole list.
-    pub(crate) fn replaced(&self, edges: &Edges, objects: &[WorldObject], at: u64) -> Self {
+    pub(crate) fn with_list(&self, edges: &Edges, objects: &[WorldObject], at: u64) -> Self {
         let entries = objects
             .iter()
             .map(|object| {
@@ -270,7 +273,7 @@
                 let entry = known
                     .filter(|entry| entry.revision == object.revision)
                     .cloned()
-                    .unwrap_or_else(|| read(edges, &object.name, object.revision, &object.value));
+                    .unwrap_or_else(|| decode(edges, &object.name, object.revision, &object.value));
                 (Arc::clone(&object.name), entry)
             })
             .collect();
@@ -284,10 +287,10 @@
     ) -> Self {
         let mut by_service: HashMap<ServiceName, Vec<Arc<RegisteredUpstream>>> = HashMap::new();
         let mut by_address = HashMap::new();
-        let mut lives = HashSet::new();
+        let mut ids = HashSet::new();
         for registered in entries.values().filter_map(|e| e.upstream.as_ref()) {
-            let upstream = marked(registered, &marks);
-            lives.insert(upstream.id.clone());
+            let upstream = with_marks(registered, &marks);
+            ids.insert(upstream.id.clone());
             by_address.insert(upstream.address, Arc::clone(&upstream));
             by_service
                 .entry(upstream.service.clone())
@@ -299,13 +302,16 @@
             entries,
             by_service,
             by_address,
-            lives,
+            ids,
             marks,
         }
     }
 }
 
-fn marked(registered: &Arc<RegisteredUpstream>, marks: &UpstreamMarks) -> Arc<RegisteredUpstream> {
+fn with_marks(
+    registered: &Arc<RegisteredUpstream>,
+    marks: &UpstreamMarks,
+) -> Arc<RegisteredUpstream> {
     let evacuated = marks.evacuated.contains(&registered.failure_domain);
     let leaving = marks.leaving.contains_key(&registered.id);
     if !evacuated && !leaving {
@@ -318,7 +324,7 @@
     })
 }
 
-fn read(edges: &Edges, name: &str, revision: u64, raw: &Arc<Value>) -> Entry {
+fn decode(edges: &Edges, name: &str, revision: u64, raw: &Arc<Value>) -> Entry {
     let upstream = match (edges.read_upstream)(name, raw, MonoTime::now()) {
         Ok(upstream) => Some(Arc::new(upstream)),
         Err(problem) => {
--- a/crates/tc-gateway/src/world/watch.rs
+++ b/crates/tc-gateway/src/world/watch.rs
@@ -9,7 +9,7 @@
 
 use super::{
     WorldCell, WorldPart,
-    kind_watch::{Followed, KindWatch, Seen, WATCH_WAIT},
+    kind_watch::{KindUpdate, KindWatch, WATCH_WAIT, WatchTarget},
     removals::HeldRemovals,
 };
 use crate::edges::Edges;
@@ -19,7 +19,7 @@
 /// Upstreams start and leave many at a time, and each watch that returns is a priced call on every instance: with a
 /// pause one call brings what came in it. An upstream that leaves gets work for so much longer; the rest of its time is
 /// left for a slow store, the way to the upstream and a wait there.
-const GATHER_PART: f64 = 0.25;
+const BATCH_FRACTION: f64 = 0.25;
 
 /// What both watches need.
 #[derive(Clone)]
@@ -30,28 +30,28 @@
     /// How long an upstream serves on after it said that it leaves.
     pub(crate) drain_time: Duration,
     /// Whether this instance watches at all; the others hear from those that do.
-    pub(crate) watches: Receiver<bool>,
+    pub(crate) should_watch: Receiver<bool>,
     /// Age of a part's confirmation from which this instance lists it while it watches.
-    pub(crate) check_after: Receiver<Duration>,
+    pub(crate) list_after: Receiver<Duration>,
 }
 
 impl WatchContext {
-    pub(super) fn followed(
+    pub(super) fn target(
         &self,
         part: WorldPart,
         kind: &'static str,
         purpose: Purpose,
-        what: &'static str,
-    ) -> Followed {
-        Followed {
+        description: &'static str,
+    ) -> WatchTarget {
+        WatchTarget {
             store: self.store.clone(),
             dialect: self.edges.store,
             kind,
             purpose,
-            what,
+            description,
             cell: Arc::clone(&self.cell),
             part,
-            check_after: self.check_after.clone(),
+            list_after: self.list_after.clone(),
         }
     }
 }
@@ -59,14 +59,14 @@
 /// A watch that stands still while this instance is not one of those that watch.
 pub(super) struct GatedWatch {
     watch: KindWatch,
-    watches: Receiver<bool>,
+    should_watch: Receiver<bool>,
 }
 
 impl GatedWatch {
-    pub(super) fn new(cx: &WatchContext, followed: Followed) -> Self {
+    pub(super) fn new(cx: &WatchContext, target: WatchTarget) -> Self {
         Self {
-            watch: KindWatch::new(followed),
-            watches: cx.watches.clone(),
+            watch: KindWatch::new(target),
+            should_watch: cx.should_watch.clone(),
         }
     }
 
@@ -81,16 +81,16 @@
     }
 
     /// What the store says next; `None` when the process ends.
-    pub(super) async fn next(&mut self, wait: Duration) -> Option<Seen> {
+    pub(super) async fn next(&mut self, wait: Duration) -> Option<KindUpdate> {
         loop {
-            if !*self.watches.borrow_and_update() {
-                self.watch.begin_anew();
-                self.watches.changed().await.ok()?;
+            if !*self.should_watch.borrow_and_update() {
+                self.watch.restart();
+                self.should_watch.changed().await.ok()?;
                 continue;
             }
             tokio::select! {
-                seen = self.watch.next(wait) => return Some(seen),
-                changed = self.watches.changed() => changed.ok()?,
+                update = self.watch.next(wait) => return Some(update),
+                changed = self.should_watch.changed() => changed.ok()?,
             }
         }
     }
@@ -100,30 +100,30 @@
 pub(crate) async fn watch_config(cx: WatchContext) {
     let kinds = cx.edges.kinds;
     let part = WorldPart::Config;
-    let followed = cx.followed(part, kinds.config, Purpose::Config, "configuration");
-    let mut watch = GatedWatch::new(&cx, followed);
+    let target = cx.target(part, kinds.config, Purpose::Config, "configuration");
+    let mut watch = GatedWatch::new(&cx, target);
     let cell = cx.cell;
     let apply = |object: &StoredObject| {
         if *object.name == *kinds.config_name {
             cell.apply_config(&object.value, object.revision);
         }
     };
-    while let Some(seen) = watch.next(WATCH_WAIT).await {
-        match seen {
-            Seen::All(page, reading) => {
+    while let Some(update) = watch.next(WATCH_WAIT).await {
+        match update {
+            KindUpdate::List(page, store_read) => {
                 page.items.iter().for_each(apply);
-                cell.confirm(part, &reading);
-                cell.note_read(part, reading.absences);
+                cell.confirm(part, &store_read);
+                cell.record_full_read(part, store_read.pauses);
             }
-            Seen::Changes(page, reading) => {
+            KindUpdate::Changes(page, store_read) => {
                 for event in &page.events {
                     if let ObjectEvent::Put(object) = event {
                         apply(object);
                     }
                 }
-                cell.confirm(part, &reading);
+                cell.confirm(part, &store_read);
             }
-            Seen::Failed => {}
+            KindUpdate::Failed => {}
         }
     }
 }
@@ -132,54 +132,55 @@
 pub(crate) async fn watch_upstreams(cx: WatchContext) {
     let kind = cx.edges.kinds.upstreams;
     let part = WorldPart::Upstreams;
-    let followed = cx.followed(part, kind, Purpose::Registry, "list of upstreams");
-    let mut watch = GatedWatch::new(&cx, followed);
-    let gather = cx.drain_time.mul_f64(GATHER_PART);
-    let mut upstreams = UpstreamKeeper {
+    let target = cx.target(part, kind, Purpose::Registry, "list of upstreams");
+    let mut watch = GatedWatch::new(&cx, target);
+    let batch_time = cx.drain_time.mul_f64(BATCH_FRACTION);
+    let mut upstreams = UpstreamUpdater {
         cell: cx.cell,
         removals: HeldRemovals::default(),
     };
-    while let Some(seen) = watch.next(upstreams.wait()).await {
-        if upstreams.take(seen) {
-            watch.pause(gather).await;
+    while let Some(update) = watch.next(upstreams.wait()).await {
+        if upstreams.handle(update) {
+            watch.pause(batch_time).await;
         }
         upstreams.apply_due();
     }
 }
 
-struct UpstreamKeeper {
+struct UpstreamUpdater {
     cell: Arc<WorldCell>,
     removals: HeldRemovals,
 }
 
-impl UpstreamKeeper {
+impl UpstreamUpdater {
     /// Applies what the store said; returns whether a watch brought changes.
-    fn take(&mut self, seen: Seen) -> bool {
+    fn handle(&mut self, update: KindUpdate) -> bool {
         let now = MonoTime::now();
-        match seen {
-            Seen::All(page, reading) => {
-                self.removals.answered(now);
-                self.take_list(page);
-                self.cell.confirm(WorldPart::Upstreams, &reading);
-                self.cell.note_read(WorldPart::Upstreams, reading.absences);
+        match update {
+            KindUpdate::List(page, store_read) => {
+                self.removals.record_answer(now);
+                self.apply_list(page);
+                self.cell.confirm(WorldPart::Upstreams, &store_read);
+                self.cell
+                    .record_full_read(WorldPart::Upstreams, store_read.pauses);
                 false
             }
-            Seen::Changes(page, reading) => {
-                self.removals.answered(now);
+            KindUpdate::Changes(page, store_read) => {
+                self.removals.record_answer(now);
                 let any = !page.events.is_empty();
-                self.take_events(page.events, page.at);
-                self.cell.confirm(WorldPart::Upstreams, &reading);
+                self.apply_events(page.events, page.at);
+                self.cell.confirm(WorldPart::Upstreams, &store_read);
                 any
             }
-            Seen::Failed => {
-                self.removals.failed(now);
+            KindUpdate::Failed => {
+                self.removals.record_failure(now);
                 false
             }
         }
     }
 
     /// Turns a list into changes, so that removals just after an outage are held as the watch's are.
-    fn take_list(&mut self, page: ListPage) {
+    fn apply_list(&mut self, page: ListPage) {
         let world = self.cell.load();
         if world.upstreams.len() == 0 {
             let objects: Vec<WorldObject> = page
@@ -205,26 +206,26 @@
             })
             .collect();
         let present = page.items.into_iter().map(ObjectEvent::Put);
-        self.take_events(present.chain(gone).collect(), page.at);
+        self.apply_events(present.chain(gone).collect(), page.at);
     }
 
     /// Shorter while removals are held, so that they count in time.
     fn wait(&self) -> Duration {
         let now = MonoTime::now();
-        self.removals.next().map_or(WATCH_WAIT, |due| {
+        self.removals.next_due().map_or(WATCH_WAIT, |due| {
             due.since(now).max(Duration::from_millis(1))
         })
     }
 
-    fn take_events(&mut self, events: Vec<ObjectEvent>, at: u64) {
-        let events = self.removals.sift(MonoTime::now(), events);
+    fn apply_events(&mut self, events: Vec<ObjectEvent>, at: u64) {
+        let events = self.removals.filter(MonoTime::now(), events);
         if !events.is_empty() {
             self.cell.apply_upstream_events(&events, at);
         }
     }
 
     fn apply_due(&mut self) {
-        let due = self.removals.due(MonoTime::now());
+        let due = self.removals.take_due(MonoTime::now());
         if !due.is_empty() {
             let at = self.cell.load().upstreams.revision();
             self.cell.apply_upstream_events(&due, at);
@@ -233,7 +234,7 @@
 }
 
 /// Waits until the world is known, at most so long.
-pub(crate) async fn first_world(cell: &WorldCell, longest: Duration) {
+pub(crate) async fn wait_until_known(cell: &WorldCell, limit: Duration) {
     let mut changes = cell.changes();
     let known = async {
         while !cell.load().is_known() {
@@ -243,5 +244,5 @@
         }
     };
     // Without it in time the caller goes on and refuses requests until one is known.
-    let _ = timeout(longest, known).await;
+    let _ = timeout(limit, known).await;
 }
