--- a/crates/tc-gateway/src/events.rs
+++ b/crates/tc-gateway/src/events.rs
@@ -1,20 +1,21 @@
-//! Splits an event stream into whole events, so that a broken one is never passed on.
+//! Splits an event stream into complete events, so that a truncated event is never forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event taken, in bytes. Events hold a few tokens of text; one without an end would fill the memory.
+/// Maximum size of an event in bytes. Events hold a few tokens of text, and an event without an end
+/// would otherwise exhaust the memory.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event with its blank line.
+/// One complete event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as sent.
+    /// The event as received.
     pub bytes: Bytes,
-    /// Its number, if it has one.
+    /// Value of the event's `id` field, if it has a numeric one.
     pub id: Option<u64>,
 }
 
-/// Takes bytes as they come and gives whole events.
+/// Buffers received bytes and returns complete events.
 ///
 /// ```
 /// use tc_gateway::EventSplitter;
@@ -29,21 +30,22 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Where the search for the end of the next event goes on.
+    /// Index in `buffer` at which the search for the end of the next event continues.
     search_from: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes; false when an event grows larger than any may be.
+    /// Appends received bytes. Returns false if the buffered data exceeds the maximum size of an
+    /// event.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
         self.buffer.len() <= MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn take_event(&mut self) -> Option<Event> {
         let Some(end) = end_of_event(&self.buffer, self.search_from) else {
-            // A blank line may be cut anywhere: look again at the last three bytes.
+            // The blank line may be split anywhere, so the last three bytes are searched again.
             self.search_from = self.buffer.len().saturating_sub(3);
             return None;
         };
@@ -53,14 +55,14 @@
         Some(Event { bytes, id })
     }
 
-    /// Whether a part of an event is left.
+    /// Returns true if the buffer contains an incomplete event.
     #[must_use]
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
-/// Index behind the first blank line from `from` on.
+/// Returns the index after the first blank line that ends after `from`.
 fn end_of_event(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = bytes[at..].iter().position(|b| *b == b'\n') {
--- a/crates/tc-gateway/src/freeze.rs
+++ b/crates/tc-gateway/src/freeze.rs
@@ -1,8 +1,10 @@
-//! Notices that this process did not run for a while: stopped, starved, or its machine suspended.
+//! Detects pauses of this process: it was stopped or starved of CPU time, or its machine was
+//! suspended.
 //!
-//! What it knew before may be wrong by then: upstreams have left, others have their addresses, callers have given up.
-//! The steady clock shows a stop as a gap between two looks, but leaves out the time of a suspended machine, so the two
-//! clocks are compared as well.
+//! State from before a pause may be outdated: upstreams have left, other processes have their
+//! addresses, and callers have given up. A pause shows as a gap between two checks of the monotonic
+//! clock. That clock does not count the time for which the machine is suspended, so the boot-time
+//! clock is compared with it.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -16,18 +18,22 @@
     time::sleep,
 };
 
-/// Time a machine has been suspended so far, of which only the difference between two readings counts.
+/// Returns the total time for which the machine has been suspended. Only the difference between two
+/// calls is meaningful.
 pub type SuspendedTime = fn() -> Duration;
 
-/// Shortest absence that counts. Upstreams are given work for seconds after they said that they leave, and a busy
-/// process on an eighth of a core is late by up to a few hundred milliseconds.
+/// Minimum length of a pause. Upstreams still serve requests for seconds after they have announced
+/// that they are leaving, and a busy process on an eighth of a core is delayed by up to a few
+/// hundred milliseconds.
 const MIN_PAUSE: Duration = Duration::from_millis(800);
-/// How often it is looked when no request does; well inside the shortest absence.
+/// Interval of the checks that are made without requests, well below the minimum pause.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The system's own account of suspended time: what the boot-time clock counts and the steady clock does not.
+/// Returns the suspended time as measured by the system: the difference between the boot-time clock
+/// and the monotonic clock.
 ///
-/// Zero where the clocks cannot be read; then only gaps in the steady clock are noticed.
+/// Returns zero if the clocks cannot be read. In that case only gaps in the monotonic clock are
+/// detected.
 #[must_use]
 pub fn suspended_time() -> Duration {
     let read = |clock| clock_gettime(clock).map(Duration::from).ok();
@@ -44,7 +50,7 @@
     suspended: Duration,
 }
 
-/// Counts the times that this process was absent.
+/// Counts the pauses of this process.
 pub(crate) struct PauseMonitor {
     suspended: SuspendedTime,
     last: Mutex<LastCheck>,
@@ -64,13 +70,13 @@
         }
     }
 
-    /// How often this process was absent so far; notices an absence that has just ended.
+    /// Returns the number of pauses so far, including one that has just ended.
     pub(crate) fn count(&self) -> u64 {
         self.check(MonoTime::now());
         *self.pauses.borrow()
     }
 
-    /// Told of each absence.
+    /// Returns a receiver that is notified of each pause.
     pub(crate) fn changes(&self) -> Receiver<u64> {
         self.pauses.subscribe()
     }
@@ -85,13 +91,13 @@
             gap + extra
         };
         if pause >= MIN_PAUSE {
-            log::warn!(gap_ms = pause.as_millis() as u64; "this process was paused; what it knew is read again");
+            log::warn!(gap_ms = pause.as_millis() as u64; "this process was paused; reading its state again");
             metrics::counter!("tc_pauses_total").increment(1);
             self.pauses.send_modify(|count| *count += 1);
         }
     }
 
-    /// Looks until the process ends; `woke` is called after each absence.
+    /// Checks for pauses until the future is dropped, and calls `on_pause` after each one.
     pub(crate) async fn run(&self, on_pause: impl Fn()) {
         let mut known = 0;
         loop {
@@ -105,7 +111,7 @@
     }
 }
 
-/// Time that may still be spent on something, counted also while the machine was suspended.
+/// Time limit that includes time for which the machine was suspended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimeAllowed {
     until: tokio::time::Instant,
@@ -114,7 +120,8 @@
 }
 
 impl TimeAllowed {
-    /// Ends at `until` of the steady clock, or as much earlier as the machine will have been suspended by then.
+    /// Ends at `until` on the monotonic clock, earlier by the time for which the machine is
+    /// suspended meanwhile.
     pub(crate) fn until(until: tokio::time::Instant, suspended: SuspendedTime) -> Self {
         Self {
             until,
--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -1,4 +1,4 @@
-//! What other instances may ask of this one, and how results go back to those who count their room.
+//! Handlers of calls from other instances, and the release of results that are no longer needed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
     world::{WorldCell, relay_world},
 };
 
-/// What this instance does for others.
+/// Returns the handlers of calls from other instances.
 pub(crate) fn mesh_handlers(
     heartbeat_interval: Duration,
     homes: &Arc<BatchHomes>,
@@ -38,7 +38,8 @@
     })
 }
 
-/// Results go back through the home of their service; without it, straight to their makers.
+/// Releases results through the home of their service or, without another home, directly at the
+/// upstreams that hold them.
 pub(crate) async fn free_results(given_up: GivenUp, mesh: Mesh, homes: Arc<BatchHomes>) {
     let free = move |service: ServiceName, results: Vec<ResultHandle>| {
         let (mesh, homes) = (mesh.clone(), Arc::clone(&homes));
@@ -50,7 +51,7 @@
                 return;
             };
             if let Err(error) = mesh.free_results(&home, &results).await {
-                log::debug!(error = error.to_string().as_str(); "the home of results cannot be told");
+                log::debug!(error = error.to_string().as_str(); "the home of the results could not be told to free them");
                 homes.free_results(&results);
             }
         }
--- a/crates/tc-gateway/src/join.rs
+++ b/crates/tc-gateway/src/join.rs
@@ -1,4 +1,4 @@
-//! How an instance that has just started and the others find each other.
+//! Discovery between instances: how a newly started instance and the others find each other.
 
 use std::{collections::HashSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,52 +15,57 @@
 
 use crate::{edges::Edges, settings::GatewaySettings};
 
-/// Shortest and longest wait of an instance that knows no other before it looks again: those that start together find
-/// each other within moments, and one that is alone for good costs the store little.
+/// Minimum and maximum delay before an instance that knows no others tries again. Instances that
+/// start together find each other quickly, and an instance that remains alone makes few store
+/// calls.
 const JOIN_WAITS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
-/// Rounds in which only seeds are asked: where all start at once, seeds answer a moment later, and the store's list of a
-/// fleet that starts for the first time is empty.
+/// Number of rounds in which only seeds are asked. When all instances start together, the seeds
+/// answer a moment later, and in a fleet that starts for the first time the list in the store is
+/// empty.
 const SEED_ONLY_ROUNDS: u32 = 2;
-/// How often those that watch the store look whether it lists instances that nobody here knows.
+/// Interval at which watchers check whether the store lists unknown instances.
 const UNKNOWN_MEMBERS_INTERVAL: Duration = Duration::from_secs(3);
-/// Listed instances that are asked in one round: most live, and one that answers tells of all that it knows.
+/// Maximum number of listed instances that are asked in one round. Most of them are alive, and one
+/// that answers reports all members that it knows.
 const MAX_ADDRESSES_PER_ROUND: usize = 5;
-/// Longest wait for an instance that is asked while this one looks for others. A machine that has no power yet does not say so;
-/// without the limit all that start after a power loss would wait for the slowest seed's.
+/// Timeout of calls to instances during discovery. A machine without power does not refuse
+/// connections. Without this limit, all instances that start after a power loss would wait for the
+/// slowest seed.
 const INTRODUCTION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time for which a process that starts waits to know the same members as others. Hundreds agree within a second;
-/// an instance among many that come and go is not to hold its callers for longer than they would wait.
+/// Maximum time for which a starting process waits for its list of members to match the others'.
+/// Hundreds of instances agree within a second. In a fleet where many instances come and go,
+/// callers must not be delayed for longer than they would wait.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Says when this instance knows the members well enough to place work by them.
+/// Signals that this instance knows enough members to place work by them.
 #[derive(Clone)]
 pub(crate) struct Settled(Arc<Sender<bool>>);
 
 impl Settled {
-    /// Not yet, but in a moment in any case.
+    /// Creates an unset signal that is set after [`SETTLE_TIMEOUT`] at the latest.
     pub(crate) fn with_timeout() -> Self {
         let settled = Self(Arc::new(Sender::new(false)));
         let late = settled.clone();
         tokio::spawn(async move {
             sleep(SETTLE_TIMEOUT).await;
-            late.mark_settled("the time for it is over");
+            late.mark_settled("timeout");
         });
         settled
     }
 
-    /// Told when it is so.
+    /// Returns a receiver of whether the members are settled.
     pub(crate) fn subscribe(&self) -> Receiver<bool> {
         self.0.subscribe()
     }
 
     fn mark_settled(&self, why: &'static str) {
         if !self.0.send_replace(true) {
-            log::info!(why = why; "members are taken for known");
+            log::info!(why = why; "members are settled");
         }
     }
 }
 
-/// Finds other instances.
+/// Discovers other instances.
 #[derive(Clone)]
 pub(crate) struct Discovery {
     pub(crate) settings: GatewaySettings,
@@ -71,10 +76,11 @@
 }
 
 impl Discovery {
-    /// Finds a first other instance: by seeds, or else by what the store lists.
+    /// Finds a first other instance through the seeds or, failing that, the list in the store.
     ///
-    /// Seeds may be stale or down; the list may be out of reach. Either is enough. Whoever is found tells of all others that
-    /// it knows; [`keep_members_same`] and [`Finder::look_for_strangers`] get the rest.
+    /// Seeds may be outdated or down, and the store may be unreachable; either is enough. The
+    /// instance found reports all members that it knows. [`sync_members`] and
+    /// [`Discovery::join_unknown_members`] find the rest.
     pub(crate) async fn join(self) {
         let (mut wait, max_wait) = JOIN_WAITS;
         let mut round = 0;
@@ -97,10 +103,11 @@
         self.mesh.other_addresses().is_empty()
     }
 
-    /// Gets the list of members from one seed, and makes this instance known to the others.
+    /// Gets the list of members from one seed, and announces this instance to the others.
     ///
-    /// Two seeds that started at the same time know nothing of each other, and whoever was introduced by one of them alone
-    /// would be on an island. Lists are asked of one only: hundreds of 30 KB each take a seed's slow link for seconds.
+    /// Two seeds that started at the same time do not know each other, and an instance introduced
+    /// by only one of them would be isolated from the other's members. The list is requested from
+    /// one seed only: hundreds of lists of 30 KB each would occupy a seed's slow link for seconds.
     async fn ask_seeds(&self) {
         let me = self.settings.me.fleet_address;
         let mut seeds = self.settings.seeds.clone();
@@ -119,13 +126,8 @@
 
     async fn ask_listed(&self) {
         match self.unknown_members(Freshness::Current).await {
-            Some(unknown_members) if unknown_members.is_empty() => {
-                self.settled.mark_settled("no other is listed")
-            }
-            unknown_members => {
-                self.introduce_to_any(unknown_members.unwrap_or_default())
-                    .await
-            }
+            Some(unknown) if unknown.is_empty() => self.settled.mark_settled("no other is listed"),
+            unknown => self.introduce_to_any(unknown.unwrap_or_default()).await,
         }
     }
 
@@ -137,23 +139,24 @@
         }
     }
 
-    /// Whether the instance at the address answered.
+    /// Returns true if the instance at the address answered.
     async fn introduce(&self, address: SocketAddr) -> bool {
         answers_in_time(self.mesh.introduce_at(address)).await
     }
 
-    /// Whether the instance at the address answered.
+    /// Returns true if the instance at the address answered.
     async fn announce(&self, address: SocketAddr) -> bool {
         answers_in_time(self.mesh.announce_at(address)).await
     }
 
-    /// While this instance is one of those that watch the store: lists itself there, and looks now and then whether the store
-    /// lists instances that nobody here knows. Runs until it is dropped.
+    /// Registers this instance in the store while it is one of the watchers, and periodically looks
+    /// for listed instances that no member knows. Runs until the future is dropped.
     ///
-    /// Instances that start together may end in groups that know nothing of each other: each group then has homes of its
-    /// own, seen as calls that are half full and upstreams that are busy with another's. Comparing lists within a group
-    /// never shows it. Each group has some that watch the store, and one introduction joins two groups. Only these list
-    /// themselves: a newcomer needs one that answers, and a list of hundreds is read page by page.
+    /// Instances that start together may form groups that do not know each other. Each group then
+    /// has its own homes, so batches are half full and upstreams are busy with the calls of another
+    /// group. Comparing lists within a group never reveals this. Each group has some watchers, and
+    /// one introduction joins two groups. Only watchers register themselves: a new instance needs
+    /// only one that answers, and a list of hundreds is read page by page.
     pub(crate) async fn join_unknown_members(self) {
         let mut settled = self.settled.subscribe();
         // Fails only when the process ends.
@@ -164,9 +167,8 @@
                 if !registered {
                     registered = self.register().await;
                 }
-                let unknown_members = self.unknown_members(Freshness::SecondsOld).await;
-                self.introduce_to_any(unknown_members.unwrap_or_default())
-                    .await;
+                let unknown = self.unknown_members(Freshness::SecondsOld).await;
+                self.introduce_to_any(unknown.unwrap_or_default()).await;
             }
             sleep(UNKNOWN_MEMBERS_INTERVAL.mul_f64(0.5 + rand::random::<f64>())).await;
         }
@@ -178,7 +180,8 @@
         watchers.iter().any(|w| w.id == self.mesh.me().id)
     }
 
-    /// Some addresses by chance that the store lists and nobody here knows; `None` when the store cannot be read.
+    /// Returns a random selection of addresses that the store lists but this instance does not
+    /// know, or `None` if the store cannot be read.
     async fn unknown_members(&self, freshness: Freshness) -> Option<Vec<SocketAddr>> {
         let mut listed = self.listed_addresses(freshness).await?;
         let members = self.mesh.members();
@@ -196,7 +199,7 @@
             .store
             .list_kind(Purpose::Members, dialect, kind, freshness);
         let page = listed.await.inspect_err(|error| {
-            log::warn!(error = error.to_string().as_str(); "other instances cannot be read from the store");
+            log::warn!(error = error.to_string().as_str(); "listing other instances in the store failed");
         });
         let items = page.ok()?.items;
         let address = |object: &StoredObject| object.value.get("fleet")?.as_str()?.parse().ok();
@@ -213,7 +216,7 @@
             .store
             .put_kind(Purpose::Members, dialect, kind, name, &value);
         let put = put.await.inspect_err(|error| {
-            log::warn!(error = error.to_string().as_str(); "this instance could not be written to the store; tried again");
+            log::warn!(error = error.to_string().as_str(); "registering this instance in the store failed; retrying");
         });
         put.is_ok()
     }
@@ -223,19 +226,20 @@
     match timeout(INTRODUCTION_TIMEOUT, call).await {
         Ok(Ok(())) => true,
         Ok(Err(error)) => {
-            log::debug!(error = error.to_string().as_str(); "an instance that may know others does not answer");
+            log::debug!(error = error.to_string().as_str(); "an instance asked during discovery does not answer");
             false
         }
         Err(_) => {
-            log::debug!("an instance that may know others does not answer in time");
+            log::debug!("an instance asked during discovery does not answer in time");
             false
         }
     }
 }
 
-/// Compares the list of members with those of others, often while they differ; runs until it is dropped.
+/// Compares the list of members with those of other instances, at short intervals while they
+/// differ. Runs until the future is dropped.
 ///
-/// They are settled once another instance was found to know the same members.
+/// The members are settled once [`ViewSync`] has found others with the same list.
 pub(crate) async fn sync_members(mesh: Mesh, settled: Settled) {
     let mut sync = ViewSync::new(MonoTime::now(), rand::random());
     loop {
@@ -243,20 +247,21 @@
         let outcome = match pick_member(&mesh) {
             None => ComparisonOutcome::NoAnswer,
             Some(other) => mesh.compare_members(&other).await.unwrap_or_else(|error| {
-                log::debug!(error = error.to_string().as_str(); "an instance did not tell its members");
+                log::debug!(error = error.to_string().as_str(); "comparing members with another instance failed");
                 mesh.doubt(&other.id);
                 ComparisonOutcome::NoAnswer
             }),
         };
         sync.record(MonoTime::now(), outcome, rand::random());
         if sync.is_settled() {
-            settled.mark_settled("others know the same");
+            settled.mark_settled("other instances know the same members");
         }
     }
 }
 
-/// Each second time one of the few that watch the store, as far as is known here: all instances soon agree on these, so
-/// what one has told them the others hear from them next.
+/// Returns a random instance to compare members with. Half of the time it is one of the presumed
+/// watchers of the store. All instances soon agree on these, so what one instance tells them
+/// reaches the others at their next comparison.
 fn pick_member(mesh: &Mesh) -> Option<Member> {
     let members = mesh.members();
     let me = &mesh.me().id;
--- a/crates/tc-gateway/src/lib.rs
+++ b/crates/tc-gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! Routed requests: a caller's request is passed on to an upstream of its route's service, after the stages that the
-//! route names, and the upstream's answer comes back as it is.
+//! Routing of requests: forwards a caller's request to an upstream of its route's service, after
+//! the stages that the route defines, and returns the upstream's response unchanged.
 //!
-//! The rules, limits, retries and recovery live here. How headers, configuration and the store spell things is told
-//! by [`Edges`], plain functions that the crate speaking to the outside provides.
+//! This crate contains the rules, limits, retries and recovery. The formats of headers,
+//! configuration and store objects are defined by [`Edges`], a set of functions provided by the
+//! crate that handles external interfaces.
 
 mod backoffs;
 mod budgets;
--- a/crates/tc-gateway/src/listeners.rs
+++ b/crates/tc-gateway/src/listeners.rs
@@ -6,7 +6,7 @@
 
 use crate::{settings::GatewaySettings, start::GatewayError};
 
-/// The sockets of one instance.
+/// The listening sockets of one instance.
 pub(crate) struct Listeners {
     pub(crate) callers: TcpListener,
     pub(crate) ready: Option<TcpListener>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Moves a listener to the runtime that is entered.
-pub(crate) fn move_to_current_runtime(listener: TcpListener) -> Result<TcpListener, GatewayError> {
+/// Registers a listener with the runtime whose context is entered.
+pub(crate) fn into_runtime(listener: TcpListener) -> Result<TcpListener, GatewayError> {
     Ok(TcpListener::from_std(listener.into_std()?)?)
 }
--- a/crates/tc-gateway/src/serve/accept.rs
+++ b/crates/tc-gateway/src/serve/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and serving HTTP/1.1 on them until they end or the process stops.
+//! Accepts connections and serves HTTP/1.1 on them until they end or the process stops.
 
 use std::{
     convert::Infallible,
@@ -20,34 +20,36 @@
 
 use crate::run::AnswerBody;
 
-/// Pause after an accept failed, for instance because no file descriptor was free.
+/// Delay after a failed accept, for instance when no file descriptor was free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Idle time before the kernel probes a caller's silent connection, and the pause between probes.
+/// Idle time before the kernel probes a caller's connection, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Unanswered probes after which the caller counts as gone.
+/// Number of unanswered probes after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 3;
-/// How long bytes to a caller may stay unacknowledged. A caller that is cut off would else hold its upstream's run.
+/// Maximum time for which data sent to a caller may stay unacknowledged. Without this limit, a
+/// caller that was disconnected would keep its request running at the upstream.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Bounds on connections.
+/// Limits on connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// How long a connection may wait for the next whole header.
+    /// Maximum wait for the next complete request header.
     pub(crate) idle: Duration,
-    /// Largest header in bytes.
+    /// Maximum header size in bytes.
     pub(crate) header_bytes: usize,
 }
 
-/// Least buffer the HTTP library takes.
+/// Minimum buffer size that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Connections being served.
+/// Open connections and requests in flight.
 #[derive(Clone, Default)]
 pub(crate) struct Connections {
     pub(crate) tasks: TaskTracker,
-    /// Cancelled to close each connection after the answer in progress, and idle ones at once.
+    /// Cancelled to close idle connections at once and each other one after the response in
+    /// progress.
     pub(crate) close: CancellationToken,
-    /// Requests read and not answered whole.
+    /// Number of requests received whose responses have not been sent completely.
     pub(crate) in_flight: Arc<AtomicUsize>,
 }
 
@@ -57,7 +59,7 @@
     }
 }
 
-/// Accepts connections until `stop` is cancelled; each is served by `answer`.
+/// Accepts connections until `stop` is cancelled, and answers their requests with `answer`.
 pub(crate) async fn accept<F, Fut>(
     listener: TcpListener,
     connections: Connections,
@@ -107,7 +109,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // Counts while the connection is idle too, so it is the time of an idle connection, not of a slow header.
+        // This timeout also runs while the connection is idle, so it is an idle timeout rather than
+        // a limit on slow headers.
         .header_read_timeout(limits.idle)
         .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(socket), service);
@@ -120,7 +123,7 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!(error = error.to_string().as_str(); "a caller's connection ended");
+        log::debug!(error = error.to_string().as_str(); "a caller's connection failed");
     }
 }
 
--- a/crates/tc-gateway/src/serve/callers.rs
+++ b/crates/tc-gateway/src/serve/callers.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its header to its run.
+//! Admission of callers' requests: from the header to the start of the run.
 
 use std::{
     pin::Pin,
@@ -31,12 +31,13 @@
     world::ActiveConfig,
 };
 
-/// How long a request waits for the first configuration and list of upstreams of a process that has just started. Hundreds
-/// that start at once after a power loss have them within a second, and half of the callers would come back only once.
+/// Maximum wait of a request for the first configuration and list of upstreams after a process
+/// start. Hundreds of instances that start together after a power loss have them within a second,
+/// and half of the callers would retry only once.
 const INITIAL_STATE_WAIT: Duration = Duration::from_millis(800);
-/// When a caller is told to come back to an instance that has no configuration.
+/// Retry delay sent to callers when this instance has no configuration.
 const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// When a caller is told to come back, to another instance, from one that is stopping.
+/// Delay after which callers of a stopping instance should retry at another instance.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Serves callers' requests.
@@ -47,7 +48,7 @@
     pub(crate) stop: Arc<StopState>,
 }
 
-/// Counts a request until its answer has been sent or its caller has left.
+/// Counts a request as in flight until its response has been sent or its caller has disconnected.
 struct InFlightRequest(Arc<AtomicUsize>);
 
 impl InFlightRequest {
@@ -63,8 +64,8 @@
     }
 }
 
-/// An answer's body that counts its request as in flight until it has been sent. Its length stays known, so that a whole
-/// answer goes out with a length and not in chunks.
+/// A response body that counts its request as in flight until it has been sent. It preserves the
+/// size hint, so that a complete response is sent with a length instead of in chunks.
 struct CountedBody {
     body: AnswerBody,
     _in_flight: InFlightRequest,
@@ -106,7 +107,7 @@
                 (request, admitted)
             }
             Err(error) => {
-                log::info!(error = error.to_string().as_str(), path = parts.uri.path(); "a request's header cannot be used");
+                log::info!(error = error.to_string().as_str(), path = parts.uri.path(); "a request header cannot be decoded");
                 let reason = "a header of the request is missing or cannot be read";
                 (
                     Arc::default(),
@@ -119,7 +120,7 @@
             Err(refusal) => own_answer(&self.cx.edges, &head, &refusal),
         };
         if self.stop.is_stopping() {
-            // The caller opens its next connection elsewhere instead of meeting this one's end.
+            // Makes the caller open its next connection to another instance before this one closes.
             let close = HeaderValue::from_static("close");
             answer.headers_mut().insert(header::CONNECTION, close);
         }
@@ -170,8 +171,8 @@
         })
     }
 
-    /// Logs a request that `admit` refused, with the configuration version in force and the time since this instance decoded
-    /// it; both are zero without a configuration.
+    /// Logs a request that `admit` refused, with the version of the active configuration and the
+    /// time since this instance decoded it. Both are zero without a configuration.
     fn log_refusal(&self, request: &str, refusal: &Refusal) {
         let world = self.cx.world.load();
         let config = world.config.as_ref();
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -1,4 +1,4 @@
-//! Small questions: is this instance ready, which addresses are callers to use, what do its metrics say.
+//! Endpoints for readiness, the directory of instance addresses, and metrics.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,16 +13,17 @@
     stop::StopState,
 };
 
-/// How long callers are asked to keep addresses. An instance that dies is left out of answers within a second; a
-/// caller that has its address finds out at its next request, so a short time costs little and mends much.
+/// Maximum time for which callers are asked to cache addresses. A dead instance is left out of
+/// answers within a second, but a caller that has cached its address notices only at its next
+/// request. A short time costs little and limits such failures.
 const MAX_AGE: Duration = Duration::from_secs(2);
-/// Most addresses in one answer.
+/// Maximum number of addresses in one answer.
 const MAX_ADDRESSES: usize = 64;
 
-/// Renders the metrics of this process.
+/// Renders the metrics of this process as text.
 pub type MetricsRenderer = Arc<dyn Fn() -> String + Send + Sync>;
 
-/// Answers small questions.
+/// Serves readiness, the directory and metrics.
 #[derive(Clone)]
 pub(crate) struct InfoService {
     pub(crate) cx: Arc<RunContext>,
@@ -32,7 +33,7 @@
 }
 
 impl InfoService {
-    /// Answers whether this instance is ready.
+    /// Reports whether this instance is ready.
     pub(crate) fn ready(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
         if !(self.cx.edges.is_ready_question)(req.uri()) {
             return text(StatusCode::NOT_FOUND, Bytes::new());
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Answers which addresses callers are to use.
+    /// Reports the addresses that callers should use.
     pub(crate) fn directory(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
         directory(
             &self.cx.edges,
@@ -57,7 +58,7 @@
         )
     }
 
-    /// Answers with the metrics.
+    /// Returns the metrics.
     pub(crate) fn metrics(&self) -> Response<AnswerBody> {
         text(StatusCode::OK, Bytes::from((self.metrics)()))
     }
@@ -86,7 +87,8 @@
     answer
 }
 
-/// Addresses of instances that take new connections: those of the caller's region first.
+/// Returns the caller addresses of instances that accept new connections, with those in the
+/// caller's region first.
 fn addresses_for(members: &[Member], question: &DirectoryQuestion) -> Vec<SocketAddr> {
     let mut usable: Vec<&Member> = members
         .iter()
--- a/crates/tc-gateway/src/serve/mod.rs
+++ b/crates/tc-gateway/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Listening: callers' connections, and the small questions that other listeners answer.
+//! Serving of callers' requests and of the readiness, directory and metrics endpoints.
 
 mod accept;
 mod callers;
--- a/crates/tc-gateway/src/settings.rs
+++ b/crates/tc-gateway/src/settings.rs
@@ -7,64 +7,67 @@
 
 use crate::freeze::SuspendedTime;
 
-/// What [`crate::run`] needs to know.
+/// Settings for [`crate::run`].
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// This instance, with the addresses that others are told.
+    /// This instance, with the addresses that other instances use.
     pub me: Member,
-    /// Name of the machine; it stays the same over restarts, the instance's identifier does not.
+    /// Name of the machine. It stays the same across restarts, unlike the identifier of the
+    /// instance.
     pub node_name: String,
-    /// Where callers are asked to come to.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Where readiness is asked for.
+    /// Listen address for readiness checks.
     pub ready_listen: Option<SocketAddr>,
-    /// Where callers ask for addresses.
+    /// Listen address for the directory, where callers look up the addresses of instances.
     pub directory_listen: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// Listen address for metrics.
     pub metrics_listen: Option<SocketAddr>,
-    /// Fleet addresses of instances that may know others.
+    /// Fleet addresses of instances to ask for other members.
     pub seeds: Vec<SocketAddr>,
     /// Keys that authenticate instances to each other.
     pub keys: FleetKeys,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Calls to the store this instance may make a second.
+    /// Maximum rate of this instance's store calls, per second.
     pub store_calls_per_s: f64,
-    /// How often requests may be sent again, over all instances.
+    /// Limits on retries, across all instances.
     pub retry_budget: RetryBudgetSettings,
     /// Time between SIGTERM and the end of the process.
     pub grace: Duration,
-    /// How long an upstream serves on after it said that it leaves.
+    /// Time for which an upstream still serves requests after it has announced that it is leaving.
     pub drain_time: Duration,
-    /// Longest time from the store's acknowledgement of a configuration until every instance applies it.
+    /// Maximum time from the store's acknowledgement of a configuration until every instance
+    /// applies it.
     pub config_apply_limit: Duration,
-    /// How long after the store has acknowledged it an evacuation may take to count on every instance; `None` where
-    /// failure domains are not evacuated, so that nobody watches for it.
+    /// Maximum time from the store's acknowledgement of an evacuation until every instance applies
+    /// it, or `None` if failure domains are not evacuated and need not be watched.
     pub evacuation_limit: Option<Duration>,
-    /// How far beyond what they bear cold upstreams may be driven.
+    /// How far the load of cold upstreams may exceed their limit.
     pub cold: ColdAllowance,
-    /// Longest time callers keep a list of addresses.
+    /// Maximum time for which callers cache a list of addresses.
     pub address_max_age: Duration,
-    /// Tells how long the machine was suspended; [`crate::suspended_time`] but in tests.
+    /// Returns the time for which the machine was suspended; [`crate::suspended_time`] except in
+    /// tests.
     pub suspended: SuspendedTime,
 }
 
-/// How far beyond what it bears a cold upstream may be driven, by all instances together.
+/// How far the load of a cold upstream may exceed its limit, across all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdAllowance {
-    /// Multiple of the requests a second that it bears.
+    /// Factor applied to the limit in requests per second.
     pub excess: f64,
-    /// Requests a second besides.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
-/// The fleet's budget for sending requests again.
+/// Limits on retries, across all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Repeats a request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats in a window besides.
+    /// Additional retries within a window.
     pub extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Wires the parts of one gateway process together and runs them until it is told to stop.
+//! Creates the parts of a gateway process and runs them until the process is told to stop.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,7 +24,7 @@
     homes::{BatchHomes, Freer, HomeContext, ask_other_homes},
     join::{Discovery, Settled, sync_members},
     limits::LimitedSends,
-    listeners::{Listeners, move_to_current_runtime},
+    listeners::{Listeners, into_runtime},
     run::{AnswerBody, RunContext, SharedOutlooks, SharedPromptTimes},
     serve::{CallerService, ConnectionLimits, Connections, InfoService, MetricsRenderer, accept},
     settings::GatewaySettings,
@@ -36,19 +36,20 @@
     },
 };
 
-/// Longest time one call to the store may take; it answers in milliseconds when it is well.
+/// Timeout of store calls. The store normally answers within milliseconds.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time to connect to an upstream: two lost opening packets would take longer, and another upstream is near.
+/// Timeout for connecting to an upstream. Losing two SYN packets would take longer, and another
+/// upstream is usually available sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Largest answer of an upstream.
+/// Maximum size of an upstream's response.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// How often upstreams that are gone are forgotten.
+/// Interval at which the state of upstreams that are no longer registered is removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why the gateway could not run.
+/// Errors that prevent the gateway from running.
 #[derive(Debug, Error, Diagnostic)]
 pub enum GatewayError {
-    /// An address cannot be listened on.
+    /// The address cannot be listened on.
     #[error("cannot listen on {address}: {source}")]
     #[diagnostic(
         code(tc::gateway::listen),
@@ -57,20 +58,20 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The layer between instances did not start.
+    /// The communication layer between instances did not start.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Fleet(#[from] FleetError),
-    /// Signals or threads cannot be had.
+    /// Signal handlers or threads could not be set up.
     #[error("cannot start: {0}")]
     #[diagnostic(code(tc::gateway::start))]
     System(#[from] std::io::Error),
 }
 
-/// One gateway instance that is serving.
+/// A running gateway instance.
 pub struct Gateway {
     cx: Arc<RunContext>,
     stop: Arc<StopState>,
@@ -79,7 +80,8 @@
 }
 
 impl Gateway {
-    /// Starts an instance on the current runtime, which is the control thread's; requests run on `traffic`.
+    /// Starts an instance on the current runtime, which belongs to the control thread. Requests run
+    /// on `traffic`.
     ///
     /// `metrics` renders the metrics.
     pub async fn start(
@@ -143,17 +145,17 @@
             stop_accepting: CancellationToken::new(),
         };
         gateway.serve(&settings, &traffic, listeners, metrics)?;
-        log::info!(instance = settings.me.id.as_str(), listen = settings.listen.to_string().as_str(), domain = settings.me.failure_domain.as_str(); "started");
+        log::info!(instance = settings.me.id.as_str(), listen = settings.listen.to_string().as_str(), domain = settings.me.failure_domain.as_str(); "gateway started");
         Ok(gateway)
     }
 
-    /// Instances that are not thought to be dead, this one included.
+    /// Returns the number of instances not known to be dead, including this one.
     #[must_use]
     pub fn member_count(&self) -> usize {
         self.cx.instances()
     }
 
-    /// Stops it as planned: done when the process may end.
+    /// Stops gracefully. Returns when the process may exit.
     pub async fn stop(&self) {
         stop(
             &self.stop,
@@ -165,7 +167,7 @@
     }
 }
 
-/// Runs a gateway process until SIGTERM or SIGINT has ended it; `reload` is called at SIGHUP.
+/// Runs a gateway process until SIGTERM or SIGINT stops it. Calls `reload` on SIGHUP.
 ///
 /// For the other arguments see [`Gateway::start`].
 pub async fn run(
@@ -252,7 +254,7 @@
     }))
 }
 
-/// Bound within which whatever the store says must count on every instance.
+/// Returns the time within which every change in the store must take effect on all instances.
 fn propagation_limit(settings: &GatewaySettings) -> Duration {
     let evacuation_limit = settings.evacuation_limit.unwrap_or(settings.drain_time);
     let times = [
@@ -272,7 +274,7 @@
         metrics: MetricsRenderer,
     ) -> Result<(), GatewayError> {
         let _entered = traffic.enter();
-        self.start_callers(move_to_current_runtime(listeners.callers)?);
+        self.start_callers(into_runtime(listeners.callers)?);
         let info = InfoService {
             cx: Arc::clone(&self.cx),
             stop: Arc::clone(&self.stop),
@@ -281,20 +283,14 @@
         };
         if let Some(listener) = listeners.ready {
             let info = info.clone();
-            self.start_info(move_to_current_runtime(listener)?, move |req| {
-                info.ready(&req)
-            });
+            self.start_info(into_runtime(listener)?, move |req| info.ready(&req));
         }
         if let Some(listener) = listeners.directory {
             let info = info.clone();
-            self.start_info(move_to_current_runtime(listener)?, move |req| {
-                info.directory(&req)
-            });
+            self.start_info(into_runtime(listener)?, move |req| info.directory(&req));
         }
         if let Some(listener) = listeners.metrics {
-            self.start_info(move_to_current_runtime(listener)?, move |_req| {
-                info.metrics()
-            });
+            self.start_info(into_runtime(listener)?, move |_req| info.metrics());
         }
         Ok(())
     }
@@ -318,7 +314,7 @@
         ));
     }
 
-    /// Small questions are answered to the end of the process.
+    /// Serves an information endpoint until the process ends.
     fn start_info<F>(&self, listener: TcpListener, answer: F)
     where
         F: Fn(Request<Incoming>) -> Response<AnswerBody> + Clone + Send + 'static,
@@ -350,7 +346,7 @@
     }
 }
 
-/// Hands homes over when the members change.
+/// Hands over homes when the members change.
 async fn hand_over_homes(mesh: Mesh, homes: Arc<BatchHomes>) {
     let mut changes = mesh.changes();
     while changes.changed().await.is_ok() {
@@ -361,7 +357,8 @@
     }
 }
 
-/// An instance that was absent may have been taken for dead, and may take others for what they no longer are.
+/// Notifies the mesh of pauses: other instances may have declared this one dead, and its own view
+/// of them may be outdated.
 async fn watch_pauses(pause_monitor: Arc<PauseMonitor>, mesh: Mesh) {
     pause_monitor.run(|| mesh.woke()).await;
 }
--- a/crates/tc-gateway/src/stop.rs
+++ b/crates/tc-gateway/src/stop.rs
@@ -1,8 +1,9 @@
-//! A planned stop that cuts no request off.
+//! Graceful shutdown without interrupting requests.
 //!
-//! SIGTERM: not ready and out of the directory at once, answers close their connections. While callers may still have
-//! this instance's address, requests are taken that will end in time; then idle connections are closed, and the
-//! process ends when the last answer has been sent, or when its grace is over.
+//! On SIGTERM, the instance stops being ready and leaves the directory, and its responses close
+//! their connections. While callers may still have its address, it accepts requests that will end
+//! in time. Then it closes idle connections. The process exits when the last response has been sent
+//! or the grace period is over.
 
 use std::{
     sync::OnceLock,
@@ -18,20 +19,20 @@
 
 use crate::serve::Connections;
 
-/// Part of the grace during which streams are still started: callers renew their lists of addresses within it, and a
-/// stream takes seconds.
+/// Fraction of the grace period during which streams are still started. Callers refresh their
+/// address lists within this time, and a stream takes seconds.
 const STREAM_START_FRACTION: f64 = 0.3;
-/// Part of the grace during which other requests are still started.
+/// Fraction of the grace period during which other requests are still started.
 const REQUEST_START_FRACTION: f64 = 0.75;
-/// Part of the grace after which idle connections are closed: by then callers' lists are over, also of those that
-/// keep them three times as long.
+/// Fraction of the grace period after which idle connections are closed. By then the address lists
+/// of callers have expired, even for those that keep them three times as long as allowed.
 const CLOSE_FRACTION: f64 = 0.78;
-/// Kept free before the end of the grace for what the process itself does last.
+/// Time reserved at the end of the grace period for the final work of the process.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(250);
-/// How often the end of the last request is looked for.
+/// Interval at which shutdown checks whether the last request has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether, and since when, this process is stopping.
+/// Whether this process is stopping, and since when.
 pub(crate) struct StopState {
     since: OnceLock<Instant>,
     grace: Duration,
@@ -49,7 +50,8 @@
         self.since.get().is_some()
     }
 
-    /// Whether a request that comes now may be started: one that is started too late would be cut off.
+    /// Returns true if a new request may be started. One that is started too late would be
+    /// interrupted.
     pub(crate) fn may_start(&self, is_stream: bool) -> bool {
         let fraction = if is_stream {
             STREAM_START_FRACTION
@@ -67,14 +69,14 @@
     }
 }
 
-/// The signals this process acts on.
+/// The signals that this process handles.
 pub(crate) struct Signals {
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
 }
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SignalAction {
     Stop,
@@ -99,7 +101,7 @@
     }
 }
 
-/// Stops: done when the process may end.
+/// Stops the instance. Returns when the process may exit.
 pub(crate) async fn stop(
     state: &StopState,
     mesh: &Mesh,
@@ -107,7 +109,7 @@
     stop_accepting: &CancellationToken,
 ) {
     let since = state.begin();
-    log::info!(grace_ms = state.grace.as_millis() as u64, in_flight = connections.in_flight(); "stopping: no longer in the directory");
+    log::info!(grace_ms = state.grace.as_millis() as u64, in_flight = connections.in_flight(); "stopping; left the directory");
     mesh.leave();
     sleep_until((since + state.grace.mul_f64(CLOSE_FRACTION)).into()).await;
     stop_accepting.cancel();
@@ -118,7 +120,7 @@
     }
     let unfinished = connections.in_flight();
     if unfinished > 0 {
-        log::warn!(requests = unfinished; "stopped with requests unfinished: the grace is over");
+        log::warn!(requests = unfinished; "stopped with unfinished requests at the end of the grace period");
     }
     log::info!(took_ms = since.elapsed().as_millis() as u64; "stopped");
 }
--- a/crates/tc-gateway/src/world/config.rs
+++ b/crates/tc-gateway/src/world/config.rs
@@ -1,4 +1,4 @@
-//! A configuration in force.
+//! The active configuration.
 
 use std::sync::Arc;
 
@@ -10,20 +10,20 @@
 
 use crate::{edges::Edges, routing::RouteTable};
 
-/// A valid configuration, ready to be used.
+/// A validated configuration with its routing table.
 pub(crate) struct ActiveConfig {
     pub(crate) routing: RoutingConfig,
     pub(crate) routes: RouteTable,
-    /// As it lies in the store, to be handed on.
+    /// The stored value, relayed unchanged to other instances.
     pub(crate) raw: Arc<Value>,
-    /// The store's revision of its object.
+    /// Revision of the configuration object in the store.
     pub(crate) revision: u64,
-    /// When this instance decoded the configuration.
+    /// Time at which this instance decoded the configuration.
     pub(crate) decoded_at: MonoTime,
 }
 
 impl ActiveConfig {
-    /// Decodes and checks a configuration; the error says what is wrong with it.
+    /// Decodes and validates a configuration, or returns a description of what is invalid.
     pub(crate) fn decode(edges: &Edges, raw: &Arc<Value>, revision: u64) -> Result<Self, String> {
         let routing = (edges.read_config)(raw)?;
         let routes = RouteTable::new(&routing).map_err(|error| error.to_string())?;
--- a/crates/tc-gateway/src/world/evacuated.rs
+++ b/crates/tc-gateway/src/world/evacuated.rs
@@ -1,8 +1,8 @@
-//! The failure domains that operators have evacuated.
+//! Failure domains that operators have evacuated.
 //!
-//! An entry of the store named like a failure domain asks that nothing new be sent to the upstreams there for as long as the
-//! entry lies there. Only its name counts: what else is in it is for those who read it. A name that no upstream's domain
-//! bears changes nothing until one registers there.
+//! A store entry with the name of a failure domain excludes the upstreams of that domain from new
+//! requests for as long as the entry exists. Only the name matters; the content is informational. A
+//! name that matches no registered upstream's domain has no effect until one registers there.
 
 use tc_fleet::EvacuatedDomains;
 use tc_platform::Purpose;
@@ -13,9 +13,10 @@
     watch::{GatedWatch, WatchContext},
 };
 
-/// Keeps the evacuated failure domains up to date; runs until it is dropped.
+/// Keeps the evacuated failure domains up to date until the future is dropped.
 ///
-/// A change counts at once: there are few, and those that come together concern domains, not single upstreams.
+/// Changes are applied at once, without batching: they are rare, and simultaneous changes concern
+/// whole domains rather than single upstreams.
 pub(crate) async fn watch_evacuations(cx: WatchContext) {
     let kind = cx.edges.kinds.evacuations;
     let part = WorldPart::Evacuations;
--- a/crates/tc-gateway/src/world/follow.rs
+++ b/crates/tc-gateway/src/world/follow.rs
@@ -1,4 +1,4 @@
-//! Hearing of the store from another instance.
+//! Following another instance that relays the state of the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,14 +13,14 @@
 
 use super::{StoreRead, WorldCell, WorldPart};
 
-/// Whether this instance watches the store, as the rest of the process reads it.
+/// Publishes to other tasks whether this instance watches the store.
 pub(crate) struct StoreRole {
     should_watch: Sender<bool>,
     list_after: Sender<Duration>,
 }
 
 impl StoreRole {
-    /// A role that is not decided yet.
+    /// Creates a role that does not watch until decided otherwise.
     pub(crate) fn new(timing: SourceTiming) -> Self {
         Self {
             should_watch: Sender::new(false),
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Told when it changes.
+    /// Returns a receiver of whether this instance watches the store.
     pub(crate) fn should_watch(&self) -> Receiver<bool> {
         self.should_watch.subscribe()
     }
 
-    /// See [`StoreSource::list_after`].
+    /// Returns a receiver of [`StoreSource::list_after`].
     pub(crate) fn list_after(&self) -> Receiver<Duration> {
         self.list_after.subscribe()
     }
@@ -41,7 +41,7 @@
 
 type NewsStream = BoxStream<'static, Result<WorldNews, MeshError>>;
 
-/// Another instance's news, as they come.
+/// An open stream of news from another instance.
 struct SourceStream {
     id: InstanceId,
     news: NewsStream,
@@ -58,7 +58,8 @@
     is_settled: bool,
 }
 
-/// Follows one of the instances that watch the store, and decides whether this one watches it too; runs until it is dropped.
+/// Follows one of the instances that watch the store, and decides whether this instance watches it
+/// too. Runs until the future is dropped.
 pub(crate) async fn follow_source(
     mesh: Mesh,
     cell: Arc<WorldCell>,
@@ -93,12 +94,12 @@
     }
 }
 
-/// What came of waiting for news.
+/// Result of waiting for news.
 enum SourceEvent {
-    /// Nothing yet.
+    /// No news within the wait.
     Timeout,
     News(WorldNews),
-    /// Why none will come any more.
+    /// The stream has ended, for the given reason.
     Ended(String),
 }
 
@@ -126,14 +127,14 @@
         self.source.mark_settled();
     }
 
-    /// Drops the stream and all confirmations after an absence, because their age is unknown.
+    /// Drops the stream and all confirmations after a pause, because their age is unknown.
     fn resumed(&mut self) {
         self.stream = None;
         self.source.resumed(MonoTime::now());
         self.cell.reset_confirmations();
     }
 
-    /// Begins to follow whoever is to be followed now, and says whether this instance watches.
+    /// Publishes whether this instance watches, and switches to another source if necessary.
     async fn update_source(&mut self) {
         self.update_role();
         let source = self.source.source(MonoTime::now());
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Publishes whether this instance watches the store and from which age on it lists it.
+    /// Publishes whether this instance watches the store and the age at which it lists it.
     fn update_role(&self) {
         let now = MonoTime::now();
         let age = now.since(self.cell.confirmed());
@@ -160,7 +161,7 @@
             changed
         });
         if changed {
-            log::info!(watches = should_watch, confirmed_age_ms = age.as_millis() as u64; "whether this instance watches the store has changed");
+            log::info!(watches = should_watch, confirmed_age_ms = age.as_millis() as u64; "store watcher role changed");
             metrics::gauge!("tc_store_watcher").set(f64::from(u8::from(should_watch)));
         }
     }
@@ -176,7 +177,7 @@
         let opened = timeout(limit, self.mesh.follow_world(member, have)).await;
         match opened {
             Ok(Ok(news)) => {
-                log::info!(from = source.as_str(), config = have.config_version, upstreams = have.upstreams_revision; "another instance is followed for news of the store");
+                log::info!(from = source.as_str(), config = have.config_version, upstreams = have.upstreams_revision; "following another instance for store changes");
                 self.stream = Some(SourceStream {
                     id: source,
                     news,
@@ -208,7 +209,7 @@
         });
         self.source.note_confirmation(now, from, confirmed);
         if !self.cell.apply_news(news) {
-            log::info!(from = from.as_str(); "news of the store do not fit what is known here; the source is asked anew");
+            log::info!(from = from.as_str(); "relayed store changes do not apply to the local state; following the source again");
             self.stream = None;
             return;
         }
@@ -224,7 +225,7 @@
     }
 
     fn source_failed(&mut self, from: &InstanceId, problem: &str) {
-        log::info!(from = from.as_str(), problem = problem; "an instance that is followed for news of the store does not tell any");
+        log::info!(from = from.as_str(), problem = problem; "following an instance for store changes failed");
         self.stream = None;
         self.source.source_failed(MonoTime::now(), from);
         self.mesh.doubt(from);
--- a/crates/tc-gateway/src/world/kind_watch.rs
+++ b/crates/tc-gateway/src/world/kind_watch.rs
@@ -1,8 +1,9 @@
-//! Following the objects of one kind in the store: a list first, then one watch after the other.
+//! Follows the objects of one kind in the store: one list, then a sequence of watches.
 //!
-//! A watch that broke is never taken up where it ended: the store may have dropped the history since, and then holds
-//! the new watch until the next change, seen as an instance that keeps an old configuration for seconds. One list
-//! shows what was missed. The same goes for a process that was absent: its watch may have gone silent meanwhile.
+//! A watch that failed is not resumed from its last revision. If the store has dropped that part of
+//! its history, it does not answer the new watch until the next change, and the instance keeps an
+//! old configuration for seconds. A new list shows what was missed. The same applies after a pause
+//! of this process, during which the watch may have been cut off unnoticed.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -14,51 +15,52 @@
 
 use super::{StoreRead, WorldCell, WorldPart};
 
-/// How long a watch waits for a change. Each watch is one priced call; a connection that went silent is noticed by
-/// the kernel's probes, so a long wait costs nothing.
+/// Maximum duration of one watch without a change. Each watch is one charged store call. TCP
+/// keepalive detects dead connections, so a long wait costs nothing.
 pub(super) const WATCH_WAIT: Duration = Duration::from_secs(25);
-/// First wait after a failed call; doubles with each failure in a row.
+/// Delay after the first failed call, doubled with each consecutive failure.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait: the store's return is noticed within it.
+/// Maximum delay after a failed call, which bounds how late the return of the store is noticed.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// How long a watch may take to tell what a list shows already.
+/// Maximum time by which a watch may lag behind a list.
 const MAX_WATCH_LAG: Duration = Duration::from_millis(150);
 
-/// Pause before a list that checks a watch is retried after a failure.
+/// Delay after a failed list that was to check a watch.
 const LIST_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What the store said of a kind's objects, and when the call was started.
+/// An answer of the store about the objects of one kind, with the start of the call.
 pub(super) enum KindUpdate {
-    /// All of them.
+    /// All objects.
     List(ListPage, StoreRead),
-    /// What changed since it last said something; perhaps nothing.
+    /// Changes since the previous answer, possibly none.
     Changes(WatchPage, StoreRead),
-    /// It did not answer.
+    /// The call failed.
     Failed,
 }
 
-/// What is followed.
+/// The kind of objects to watch, and how.
 pub(super) struct WatchTarget {
     pub(super) store: Store,
     pub(super) dialect: KindDialect,
     pub(super) kind: &'static str,
     pub(super) purpose: Purpose,
-    /// Name of it in logs.
+    /// Description of the objects for log lines.
     pub(super) description: &'static str,
     pub(super) cell: Arc<WorldCell>,
     pub(super) part: WorldPart,
-    /// Age of the part's confirmation from which it is listed in addition to being watched.
+    /// Age of the part's confirmation at which it is listed in addition to being watched.
     ///
-    /// A store may stop answering watches while its connections stay open and other calls succeed, or stop answering
-    /// this instance while it answers others. Without a list, neither can be told from a store without changes.
+    /// A store may stop answering watches while its connections stay open and other calls succeed,
+    /// or stop answering this instance while it answers others. Without a list, neither can be told
+    /// from a store without changes.
     pub(super) list_after: Receiver<Duration>,
 }
 
-/// What a watch that was checked meanwhile brought.
+/// Result of a watch that was checked by lists.
 enum WatchOutcome {
     Answered(Watched, StoreRead),
-    /// A list shows more than the watch told.
+    /// A list shows changes that the watch did not report.
     Missed(ListPage, StoreRead),
 }
 
@@ -72,7 +74,8 @@
         Ok((listed?, store_read))
     }
 
-    /// Watches from a revision on, and lists whenever the part's confirmation reaches `check_after` meanwhile.
+    /// Watches for changes after revision `from`, and lists whenever the part's confirmation
+    /// reaches the age `list_after` meanwhile.
     async fn watch(
         &self,
         from: u64,
@@ -92,12 +95,12 @@
         if let Ok(answer) = timeout(MAX_WATCH_LAG, &mut watching).await {
             return answer.map(watched);
         }
-        log::warn!(what = self.description, watched_from = from, listed = page.at; "a watch of the store does not tell what a list shows; it is begun anew");
+        log::warn!(what = self.description, watched_from = from, listed = page.at; "a watch does not report a change that a list shows; restarting it");
         Ok(WatchOutcome::Missed(page, list_read))
     }
 
-    /// Lists whenever the part's confirmation reaches `check_after`, and returns the first list that shows a change after
-    /// revision `from`.
+    /// Lists whenever the part's confirmation reaches the age `list_after`, and returns the first
+    /// list that shows a change after revision `from`.
     async fn list_until_changed(
         &self,
         from: u64,
@@ -115,14 +118,14 @@
                     self.cell.confirm(self.part, &store_read);
                 }
                 Err(error) => {
-                    log::info!(what = self.description, watched_from = from, error = error.to_string().as_str(); "the store's watches could not be checked");
+                    log::info!(what = self.description, watched_from = from, error = error.to_string().as_str(); "listing the store to check a watch failed");
                     sleep(LIST_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Waits until the part's confirmation reaches the age `check_after`.
+    /// Waits until the part's confirmation reaches the age `list_after`.
     async fn wait_until_list_due(&self) {
         loop {
             let due = self
@@ -138,13 +141,13 @@
     }
 }
 
-/// See the module.
+/// Lists and watches one kind of objects, as described in the module documentation.
 pub(super) struct KindWatch {
     target: WatchTarget,
     pauses: Receiver<u64>,
-    /// Revision from which to watch; none before a list.
+    /// Revision from which to watch, or `None` if a list is needed first.
     from: Option<u64>,
-    /// Objects that there are, as far as the store told.
+    /// Names of the existing objects, as last reported by the store.
     names: BTreeSet<Arc<str>>,
     failures: u32,
     failing_since: Option<MonoTime>,
@@ -162,12 +165,12 @@
         }
     }
 
-    /// Begins anew with a list, as after a time in which nothing was watched.
+    /// Makes the next call a list, as required after a time without a watch.
     pub(super) fn restart(&mut self) {
         self.from = None;
     }
 
-    /// Names of the objects that there are, as of what the store said last.
+    /// Returns the names of the existing objects, as last reported by the store.
     pub(super) const fn names(&self) -> &BTreeSet<Arc<str>> {
         &self.names
     }
@@ -177,7 +180,8 @@
         let _ = timeout(time, self.target.wait_until_list_due()).await;
     }
 
-    /// What the store says next; waits up to `wait` for a change, or pauses after a failure.
+    /// Returns the next answer of the store. Waits up to `wait` for a change, and delays its return
+    /// after a failure.
     pub(super) async fn next(&mut self, wait: Duration) -> KindUpdate {
         loop {
             let update = match self.from {
@@ -216,7 +220,7 @@
         KindUpdate::List(page, store_read)
     }
 
-    /// `None` when everything must be listed again.
+    /// Watches once, and returns `None` if a new list is needed.
     async fn watch(&mut self, from: u64, wait: Duration) -> Result<Option<KindUpdate>, StoreError> {
         let watched = tokio::select! {
             watched = self.target.watch(from, wait, &self.names) => watched?,
@@ -243,12 +247,13 @@
         }
     }
 
-    /// Objects that another writer has put into the store and that cannot be read: the others hold.
+    /// Reports objects that another writer has stored in an unreadable form. The others remain
+    /// valid.
     fn note_unreadable(&self, problems: &[String]) {
         let Some(first) = problems.first() else {
             return;
         };
-        log::warn!(what = self.target.description, objects = problems.len(), problem = first.as_str(); "objects in the store cannot be read and are left out");
+        log::warn!(what = self.target.description, objects = problems.len(), problem = first.as_str(); "ignoring unreadable objects in the store");
         metrics::counter!("tc_registry_unreadable_total").increment(problems.len() as u64);
     }
 
@@ -260,11 +265,11 @@
         }
     }
 
-    /// Waits before the next call, jittered so that instances do not return to the store in step.
+    /// Waits before the next call, with jitter so that instances do not call the store in lockstep.
     async fn record_failure(&mut self, error: &StoreError) {
         if self.failing_since.is_none() {
             self.failing_since = Some(MonoTime::now());
-            log::warn!(what = self.target.description, error = error.to_string().as_str(); "the store does not answer; the last known state stays in force");
+            log::warn!(what = self.target.description, error = error.to_string().as_str(); "the store does not answer; keeping the last known state");
         }
         let wait = INITIAL_RETRY_DELAY * 2u32.pow(self.failures.min(8));
         self.failures += 1;
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -1,7 +1,9 @@
-//! What the store says, as this instance knows it: the configuration in force and the registered upstreams.
+//! This instance's copy of the store: the active configuration, the registered upstreams and the
+//! evacuated failure domains.
 //!
-//! A few instances watch the store and tell the others of each change ([`tell`]); the others follow one of them ([`follow`])
-//! and watch by themselves only when nobody tells them anything.
+//! A few instances watch the store and relay each change to the others ([`relay`]). The others
+//! follow one of them ([`follow`]) and watch the store themselves only while no source keeps them
+//! up to date.
 
 mod config;
 mod evacuated;
@@ -38,33 +40,35 @@
 pub use upstreams::{ApplyOutcome, UpstreamTable};
 pub(crate) use watch::{WatchContext, wait_until_known, watch_config, watch_upstreams};
 
-/// What requests read; never changes once published.
+/// An immutable snapshot of the store, read by requests.
 #[derive(Clone, Default)]
 pub(crate) struct World {
-    /// `None` until one is known.
+    /// `None` until a configuration is known.
     pub(crate) config: Option<Arc<ActiveConfig>>,
-    /// Those in evacuated failure domains are marked.
+    /// All registered upstreams, with those in evacuated failure domains marked.
     pub(crate) upstreams: Arc<UpstreamTable>,
     pub(crate) evacuated: Arc<EvacuatedDomains>,
 }
 
 impl World {
-    /// Version of the configuration; 0 for none.
+    /// Returns the version of the configuration, or 0 without one.
     fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.routing.version)
     }
 
-    /// Whether both the configuration and a list of upstreams are known: before that every request would be refused.
+    /// Returns true if both the configuration and a list of upstreams are known. Before that, every
+    /// request would be refused.
     pub(crate) fn is_known(&self) -> bool {
         self.config.is_some() && self.upstreams.revision() > 0
     }
 }
 
-/// Longest wait for a fresh reading after an absence. The store answers in milliseconds; without it, upstreams are told
-/// whom a request is meant for and say so when it is not for them.
+/// Maximum wait for a fresh read of the store after a pause. The store normally answers in
+/// milliseconds. Without a fresh read, requests may be sent to the wrong process; upstreams detect
+/// this, because each request names the upstream it is meant for.
 const MAX_FRESH_WAIT: Duration = Duration::from_millis(300);
 
-/// What is read from the store by itself.
+/// The parts of the store that are read independently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorldPart {
     Config,
@@ -72,25 +76,27 @@
     Evacuations,
 }
 
-/// How many parts there are.
+/// Number of variants of [`WorldPart`].
 const PART_COUNT: usize = 3;
 
-/// Holds the newest world, and decides what is newer.
+/// Publishes the newest snapshot, and decides which data is newer.
 pub(crate) struct WorldCell {
     edges: Edges,
     published: ArcSwap<World>,
-    /// Taken by writers only.
+    /// Locked by writers only.
     write_lock: Mutex<()>,
     changes: Sender<u64>,
     pause_monitor: Arc<PauseMonitor>,
-    /// Absences of this process before the last whole reading of each part.
+    /// For each part, the number of pauses of this process before its last full read.
     pauses_at_full_read: [AtomicU64; PART_COUNT],
-    /// Time as of which each part is confirmed, that is, includes every change that the store had accepted by then. In
-    /// microseconds of [`MonoTime`]; 0 for a part without a confirmation, `u64::MAX` for one that is left out.
+    /// Time as of which each part is confirmed, which means that it includes every change that the
+    /// store had accepted by then. In microseconds of [`MonoTime`]; 0 for a part without a
+    /// confirmation, `u64::MAX` for a disabled part.
     confirmed: [AtomicU64; PART_COUNT],
     /// Sends the time as of which all parts are confirmed, when it changes.
     confirmations: Sender<MonoTime>,
-    /// The last absence after which no reading came in time, so that requests no longer wait for one.
+    /// Number of the last pause after which no fresh read came in time, so that requests no longer
+    /// wait for one.
     gave_up_at: AtomicU64,
 }
 
@@ -113,23 +119,24 @@
         Arc::clone(&self.pause_monitor)
     }
 
-    /// A part that there is none of on this deployment: nothing waits for it.
+    /// Disables a part that this deployment does not use, so that nothing waits for it.
     pub(crate) fn disable_part(&self, part: WorldPart) {
         self.pauses_at_full_read[part as usize].store(u64::MAX, Ordering::Release);
         self.confirmed[part as usize].store(u64::MAX, Ordering::Release);
     }
 
-    /// A part was read whole, after this many absences of this process.
+    /// Records a full read of a part that started after the given number of pauses.
     pub(crate) fn record_full_read(&self, part: WorldPart, pauses: u64) {
-        // A part that was left out stays read for good.
+        // `fetch_max` keeps a disabled part at `u64::MAX`.
         self.pauses_at_full_read[part as usize].fetch_max(pauses, Ordering::AcqRel);
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Waits, after an absence of this process, until the store was read anew; not longer than it takes when it is well.
+    /// Waits after a pause of this process until the store has been read again, for at most
+    /// [`MAX_FRESH_WAIT`].
     ///
-    /// What was known before the absence may send a request to an upstream that has left since, or to another process
-    /// at its address.
+    /// According to state from before the pause, a request could go to an upstream that has left
+    /// since, or to another process at its address.
     pub(crate) async fn wait_until_fresh(&self) {
         let pauses = self.pause_monitor.count();
         if self.is_read_since(pauses) {
@@ -145,7 +152,7 @@
         };
         if tokio::time::timeout(MAX_FRESH_WAIT, fresh).await.is_err() {
             log::warn!(
-                "the store was not read anew after an absence; requests go on by what was known before"
+                "the store was not read in time after a pause; continuing with the earlier state"
             );
             self.gave_up_at.fetch_max(pauses, Ordering::Release);
         }
@@ -160,12 +167,12 @@
         read.min().unwrap_or_default().max(gave_up) >= pauses
     }
 
-    /// The world as of now; never waits.
+    /// Returns the current snapshot without blocking.
     pub(crate) fn load(&self) -> Arc<World> {
         self.published.load_full()
     }
 
-    /// Told at every change.
+    /// Returns a receiver that is notified of every change.
     pub(crate) fn changes(&self) -> Receiver<u64> {
         self.changes.subscribe()
     }
@@ -179,7 +186,7 @@
         }
     }
 
-    /// Confirms a part as of the start of a reading whose result has been applied.
+    /// Confirms a part as of the start of a read whose result has been applied.
     pub(crate) fn confirm(&self, part: WorldPart, store_read: &StoreRead) {
         self.confirm_as_of(&[part], store_read, store_read.started_at);
     }
@@ -195,7 +202,8 @@
     }
 
     fn confirm_as_of(&self, parts: &[WorldPart], store_read: &StoreRead, as_of: MonoTime) {
-        // The clock may not have counted an absence since the start, which would make the confirmation look too recent.
+        // The clock may not have counted a pause since the start, which would make the confirmation
+        // look too recent.
         if self.pause_monitor.count() != store_read.pauses {
             return;
         }
@@ -207,10 +215,10 @@
             .send_if_modified(|known| std::mem::replace(known, confirmed) != confirmed);
     }
 
-    /// Drops all confirmations, after an absence of this process.
+    /// Drops all confirmations, after a pause of this process.
     pub(crate) fn reset_confirmations(&self) {
         for part in &self.confirmed {
-            // A part that is left out stays confirmed.
+            // A disabled part stays confirmed.
             let _ = part.fetch_update(Ordering::AcqRel, Ordering::Acquire, |time| {
                 (time != u64::MAX).then_some(0)
             });
@@ -221,19 +229,20 @@
         MonoTime(self.confirmed[part as usize].load(Ordering::Acquire))
     }
 
-    /// Time as of which all parts are confirmed.
+    /// Returns the time as of which all parts are confirmed.
     pub(crate) fn confirmed(&self) -> MonoTime {
         let parts = self.confirmed.iter();
         let oldest = parts.map(|part| part.load(Ordering::Acquire)).min();
         MonoTime(oldest.unwrap_or_default())
     }
 
-    /// Receives the time as of which all parts are confirmed, when it changes.
+    /// Returns a receiver of the time as of which all parts are confirmed.
     pub(crate) fn confirmations(&self) -> Receiver<MonoTime> {
         self.confirmations.subscribe()
     }
 
-    /// Takes up what another instance tells of the store; `false` when it must be asked for what is lacking instead.
+    /// Applies news from another instance. Returns false if they do not fit the local state, so
+    /// that the other must be asked for the missing part instead.
     pub(crate) fn apply_news(&self, news: &WorldNews) -> bool {
         if let Some((raw, revision)) = &news.config {
             self.apply_config(raw, *revision);
@@ -254,9 +263,10 @@
         true
     }
 
-    /// Puts a configuration in force if it is valid and newer than the one that is.
+    /// Activates a configuration if it is valid and newer than the active one.
     ///
-    /// A lower version never goes in force within a process's life: a read may be stale, and a peer may lag.
+    /// The version never decreases within the life of a process, because a read may be stale and a
+    /// peer may lag behind.
     pub(crate) fn apply_config(&self, raw: &Arc<Value>, revision: u64) {
         let _guard = self.lock_writes();
         let world = self.load();
@@ -281,7 +291,7 @@
         });
     }
 
-    /// Puts in force which failure domains are evacuated, unless it is older than what is known.
+    /// Applies the set of evacuated failure domains, unless it is older than the known one.
     pub(crate) fn apply_evacuated(&self, evacuated: &EvacuatedDomains) {
         let _guard = self.lock_writes();
         let world = self.load();
@@ -318,7 +328,7 @@
         self.publish(next);
     }
 
-    /// Takes up changes of registered upstreams.
+    /// Applies changes of registered upstreams.
     pub(crate) fn apply_upstream_events(&self, events: &[ObjectEvent], at: u64) {
         let _guard = self.lock_writes();
         let world = self.load();
@@ -326,7 +336,7 @@
         self.publish_upstreams(&world, upstreams);
     }
 
-    /// Takes up the whole list of registered upstreams as of a revision.
+    /// Replaces the list of registered upstreams by the full list as of a revision.
     pub(crate) fn replace_upstreams(&self, objects: &[WorldObject], at: u64) {
         let _guard = self.lock_writes();
         let world = self.load();
@@ -337,9 +347,11 @@
         self.publish_upstreams(&world, upstreams);
     }
 
-    /// Excludes an upstream that has announced that it is leaving from new requests, whatever state the store shows.
+    /// Excludes an upstream that has announced that it is leaving from new requests, whatever state
+    /// the store shows.
     pub(crate) fn mark_leaving(&self, id: &UpstreamId) {
-        // Avoids the write lock for repeats: a leaving upstream announces it in every answer.
+        // Avoids the write lock for repeated announcements: a leaving upstream sends one in every
+        // answer.
         if self.load().upstreams.has_announced_leaving(id) {
             return;
         }
--- a/crates/tc-gateway/src/world/relay.rs
+++ b/crates/tc-gateway/src/world/relay.rs
@@ -1,4 +1,4 @@
-//! Telling other instances what the store says, as it changes.
+//! Relays the state of the store to other instances as it changes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
 
 use super::{World, WorldCell};
 
-/// What one other instance was told so far.
+/// State of the stream to one other instance.
 struct Relay {
     cell: Arc<WorldCell>,
     /// Receipt of the call; confirmations are sent relative to it.
@@ -21,13 +21,14 @@
 }
 
 enum Baseline {
-    /// Nothing yet; it has this.
+    /// Nothing was sent yet; the follower reported that it has this.
     Reported(WorldHave),
     Sent(Arc<World>),
 }
 
-/// Sends at once what the other lacks, then each change and each newer confirmation. Without either, sends a message every
-/// `beat`, so that silence shows that this instance or the connection to it is lost.
+/// Sends what the follower lacks at once, then each change and each newer confirmation. Without
+/// either, sends a message every `heartbeat_interval`, so that silence shows that this instance or
+/// the connection to it is lost.
 pub(crate) fn relay_world(
     cell: &Arc<WorldCell>,
     have: WorldHave,
@@ -51,7 +52,7 @@
 impl Relay {
     async fn next(&mut self) -> WorldNews {
         if matches!(self.baseline, Baseline::Sent(_)) {
-            // The worlds are compared whichever of these ends the wait.
+            // The snapshots are compared whichever of these ends the wait.
             tokio::select! {
                 _ = self.changes.changed() => {}
                 _ = self.confirmations.changed() => {}
@@ -60,7 +61,8 @@
         }
         self.changes.mark_unchanged();
         self.confirmations.mark_unchanged();
-        // Read before the world, so that the world is at least as new as the confirmation sent with it.
+        // Read before the snapshot, so that the snapshot is at least as new as the confirmation
+        // sent with it.
         let confirmed = self.cell.confirmed();
         let world = self.cell.load();
         let news = self.news(&world, confirmed);
--- a/crates/tc-gateway/src/world/removals.rs
+++ b/crates/tc-gateway/src/world/removals.rs
@@ -1,20 +1,21 @@
-//! Removals held back after an outage of the store.
+//! Delays removals of upstreams after an outage of the store.
 //!
-//! Upstreams that could not renew their entries during an outage lapse and are back a moment after it. Taking every
-//! removal at its word would leave services without upstreams just when the store returns, seen as a wave of
-//! refusals although every upstream is well.
+//! Entries of upstreams that could not renew them during an outage expire, and are registered again
+//! shortly after it. If every removal took effect at once, services would lose their upstreams just
+//! when the store returns, and refuse many requests although all upstreams are healthy.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use tc_platform::ObjectEvent;
 use tc_protocol::MonoTime;
 
-/// How long after the store's return an entry may still be on its way back.
+/// Time after the store's return within which an expired entry may be registered again.
 const REREGISTRATION_TIME: Duration = Duration::from_millis(2_200);
-/// An outage from this length on can have let entries lapse: shorter than three heartbeats of any upstream.
+/// Minimum duration of an outage in which entries can expire. It is shorter than three heartbeats
+/// of any upstream.
 const MIN_OUTAGE: Duration = Duration::from_secs(1);
 
-/// Decides when removals count.
+/// Holds removals back for a while after an outage.
 #[derive(Debug, Default)]
 pub(super) struct HeldRemovals {
     failing_since: Option<MonoTime>,
@@ -23,12 +24,12 @@
 }
 
 impl HeldRemovals {
-    /// The store did not answer.
+    /// Records that a call to the store failed.
     pub(super) fn record_failure(&mut self, now: MonoTime) {
         self.failing_since.get_or_insert(now);
     }
 
-    /// The store answered.
+    /// Records that the store answered.
     pub(super) fn record_answer(&mut self, now: MonoTime) {
         let Some(since) = self.failing_since.take() else {
             return;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The changes that count now; removals just after an outage are held.
+    /// Returns the changes to apply now, and holds back removals shortly after an outage.
     pub(super) fn filter(&mut self, now: MonoTime, events: Vec<ObjectEvent>) -> Vec<ObjectEvent> {
         let is_holding = now < self.held_until;
         let mut passed = Vec::with_capacity(events.len());
@@ -57,7 +58,7 @@
         passed
     }
 
-    /// Removals whose entries did not come back.
+    /// Returns the held removals whose time is over and whose entries were not registered again.
     pub(super) fn take_due(&mut self, now: MonoTime) -> Vec<ObjectEvent> {
         if now < self.held_until {
             return Vec::new();
@@ -68,7 +69,8 @@
             .collect()
     }
 
-    /// When [`HeldRemovals::due`] should be asked, if anything is held.
+    /// Returns when [`HeldRemovals::take_due`] should be called next, or `None` if no removal is
+    /// held.
     pub(super) fn next_due(&self) -> Option<MonoTime> {
         (!self.held.is_empty()).then_some(self.held_until)
     }
--- a/crates/tc-gateway/src/world/store_read.rs
+++ b/crates/tc-gateway/src/world/store_read.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StoreRead {
     pub(crate) started_at: MonoTime,
-    /// Number of absences of this process before the start.
+    /// Number of pauses of this process before the start.
     pub(crate) pauses: u64,
 }
 
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -1,4 +1,4 @@
-//! The registered upstreams, by service.
+//! The registered upstreams, indexed by service.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -20,17 +20,18 @@
 /// Minimum time for which the announcement of an unregistered upstream is kept.
 const LEAVING_RETENTION: Duration = Duration::from_mins(10);
 
-/// What came of another instance's news.
+/// Result of applying news from another instance.
 #[derive(Clone, Debug)]
 pub enum ApplyOutcome {
-    /// The list with them.
+    /// The table with the news applied.
     Updated(UpstreamTable),
-    /// They are older than what is known here.
+    /// The news are older than this table.
     Outdated,
-    /// They are differences from another list than this one: ask for what is lacking.
+    /// The news are relative to another table than this one: the missing part must be requested.
     ///
-    /// An instance that goes on with a source which is behind it would otherwise keep for ever what was both written and
-    /// removed between the source's list and its own, seen as calls to upstreams that are long gone.
+    /// Otherwise, an instance that continues with a source that is behind it would keep forever the
+    /// entries that were both written and removed between the source's table and its own, and send
+    /// calls to upstreams that are long gone.
     BaseMismatch,
 }
 
@@ -38,11 +39,11 @@
 struct Entry {
     revision: u64,
     raw: Arc<Value>,
-    /// `None` when the entry cannot be read; it is kept so that it is handed on as it is.
+    /// `None` if the entry cannot be decoded. It is kept so that it is relayed unchanged.
     upstream: Option<Arc<RegisteredUpstream>>,
 }
 
-/// A list of upstreams as of a revision of the store.
+/// The registered upstreams as of a revision of the store.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamTable {
     revision: u64,
@@ -56,14 +57,15 @@
 /// Restrictions on upstreams that come from other sources than their entries.
 #[derive(Clone, Debug, Default)]
 struct UpstreamMarks {
-    /// Where nothing new may be sent to any of them.
+    /// Failure domains whose upstreams receive no new requests.
     evacuated: BTreeSet<FailureDomain>,
-    /// Upstreams that have announced that they are leaving, with the time of the first announcement.
+    /// Upstreams that have announced that they are leaving, with the time of the first
+    /// announcement.
     leaving: HashMap<UpstreamId, MonoTime>,
 }
 
 impl UpstreamTable {
-    /// The store's revision that it shows.
+    /// Returns the revision of the store that this table reflects.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -73,12 +75,12 @@
         self.entries.len()
     }
 
-    /// Upstreams of a service, those that are leaving included, in order of identifier.
+    /// Returns the upstreams of a service, including leaving ones, ordered by identifier.
     pub(crate) fn of_service(&self, service: &str) -> &[Arc<RegisteredUpstream>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Who keeps a result, if it is registered.
+    /// Returns the registered upstream that holds a result.
     pub(crate) fn upstream_of_result(
         &self,
         result: &ResultHandle,
@@ -87,7 +89,8 @@
         self.by_address.get(&address)
     }
 
-    /// Whether this life of a process is registered.
+    /// Returns true if this upstream process is registered. A restarted process has another
+    /// identifier.
     pub(crate) fn contains(&self, id: &UpstreamId) -> bool {
         self.ids.contains(id)
     }
@@ -119,7 +122,7 @@
         Self::from_entries(self.entries.clone(), self.revision, Arc::new(marks))
     }
 
-    /// Names of all entries.
+    /// Returns the names of all entries.
     pub(crate) fn names(&self) -> impl Iterator<Item = &Arc<str>> {
         self.entries.keys()
     }
@@ -131,7 +134,8 @@
         upstreams(self) == upstreams(other)
     }
 
-    /// What a list of an earlier revision lacks; the names of all entries tell what is gone from it.
+    /// Returns the news for a table of an earlier revision: the changed entries and the names of
+    /// all entries, which show what is gone.
     #[must_use]
     pub fn news_since(&self, revision: u64) -> UpstreamNews {
         UpstreamNews {
@@ -141,7 +145,7 @@
         }
     }
 
-    /// How this list differs from an earlier one; `None` if it does not.
+    /// Returns the difference from an earlier table, or `None` if there is none.
     #[must_use]
     pub fn news_after(&self, earlier: &Self) -> Option<UpstreamNews> {
         let is_new = |name: &str, entry: &Entry| {
@@ -162,7 +166,7 @@
         })
     }
 
-    /// Entries as they lie in the store, to be handed on.
+    /// Returns the stored entries selected by a predicate, to be relayed unchanged.
     fn objects(&self, which: impl Fn(&str, &Entry) -> bool) -> Vec<WorldObject> {
         let entries = self.entries.iter();
         let chosen = entries.filter(|(name, entry)| which(name, entry));
@@ -175,7 +179,7 @@
             .collect()
     }
 
-    /// Takes up another instance's news.
+    /// Applies news from another instance.
     #[must_use]
     pub fn with_news(&self, edges: &Edges, news: &UpstreamNews) -> ApplyOutcome {
         if news.revision < self.revision {
@@ -212,14 +216,15 @@
         ApplyOutcome::Updated(self.with_events(edges, &events, news.revision))
     }
 
-    /// This table with changes taken up.
+    /// Returns this table with changes applied.
     #[must_use]
     pub fn with_events(&self, edges: &Edges, events: &[ObjectEvent], at: u64) -> Self {
         let mut entries = self.entries.clone();
         for event in events {
             match event {
                 ObjectEvent::Put(object) => {
-                    // Read once only: how long it stays cold counts from when it was first heard.
+                    // Decoded only once, because an upstream's cold time counts from its first
+                    // decoding.
                     let known = entries.get(&object.name).map(|e| e.revision);
                     if known.is_none_or(|known| object.revision > known) {
                         let entry = decode(edges, &object.name, object.revision, &object.value);
@@ -228,7 +233,7 @@
                 }
                 ObjectEvent::Removed { name, revision } => {
                     let known = entries.get(name).map_or(0, |e| e.revision);
-                    // A removal seen again after the entry came back must not take it away.
+                    // A repeated removal must not remove an entry that was registered again.
                     if *revision == 0 || *revision >= known {
                         entries.remove(name);
                     }
@@ -238,10 +243,11 @@
         Self::from_entries(entries, self.revision.max(at), Arc::clone(&self.marks))
     }
 
-    /// This table with other failure domains evacuated.
+    /// Returns this table with another set of evacuated failure domains.
     ///
-    /// Upstreams of a domain that is taken back may have lost what they had warmed up, and say so only with their next
-    /// heartbeat: until their own word comes they count as cold until `cold_until` tells, by their service.
+    /// Upstreams of a domain that is no longer evacuated may have lost their warm state, but report
+    /// that only with their next heartbeat. Until then they count as cold, up to the time that
+    /// `cold_until` returns for their service.
     #[must_use]
     pub fn with_evacuated(
         &self,
@@ -264,7 +270,7 @@
         Self::from_entries(entries, self.revision, Arc::new(marks))
     }
 
-    /// The table of a whole list.
+    /// Returns the table of a full list, reusing decoded entries with the same revision.
     pub(crate) fn with_list(&self, edges: &Edges, objects: &[WorldObject], at: u64) -> Self {
         let entries = objects
             .iter()
@@ -328,7 +334,7 @@
     let upstream = match (edges.read_upstream)(name, raw, MonoTime::now()) {
         Ok(upstream) => Some(Arc::new(upstream)),
         Err(problem) => {
-            log::warn!(upstream = name, revision = revision, problem = problem.as_str(); "a registered upstream cannot be read and is left out");
+            log::warn!(upstream = name, revision = revision, problem = problem.as_str(); "ignoring a registered upstream that cannot be decoded");
             metrics::counter!("tc_registry_unreadable_total").increment(1);
             None
         }
--- a/crates/tc-gateway/src/world/watch.rs
+++ b/crates/tc-gateway/src/world/watch.rs
@@ -1,4 +1,4 @@
-//! Watching the store for the configuration and the registered upstreams.
+//! Watches the store for the configuration and the registered upstreams.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -14,24 +14,26 @@
 };
 use crate::edges::Edges;
 
-/// Part of the time that a leaving upstream serves on for which changes are gathered before the next watch.
+/// Fraction of an upstream's drain time for which changes are batched before the next watch.
 ///
-/// Upstreams start and leave many at a time, and each watch that returns is a priced call on every instance: with a
-/// pause one call brings what came in it. An upstream that leaves gets work for so much longer; the rest of its time is
-/// left for a slow store, the way to the upstream and a wait there.
+/// Upstreams start and leave many at a time, and each watch that returns is a charged store call of
+/// every watching instance. With a pause, one call returns all changes made during it. A leaving
+/// upstream receives requests for that much longer. The rest of its drain time covers a slow store,
+/// the transfer of the request to the upstream and queueing there.
 const BATCH_FRACTION: f64 = 0.25;
 
-/// What both watches need.
+/// Parameters of the watches.
 #[derive(Clone)]
 pub(crate) struct WatchContext {
     pub(crate) store: Store,
     pub(crate) edges: Edges,
     pub(crate) cell: Arc<WorldCell>,
-    /// How long an upstream serves on after it said that it leaves.
+    /// Time for which an upstream still serves requests after it has announced that it is leaving.
     pub(crate) drain_time: Duration,
-    /// Whether this instance watches at all; the others hear from those that do.
+    /// Whether this instance watches the store. Other instances follow one that does.
     pub(crate) should_watch: Receiver<bool>,
-    /// Age of a part's confirmation from which this instance lists it while it watches.
+    /// Age of a part's confirmation at which this instance lists the part in addition to watching
+    /// it.
     pub(crate) list_after: Receiver<Duration>,
 }
 
@@ -56,7 +58,7 @@
     }
 }
 
-/// A watch that stands still while this instance is not one of those that watch.
+/// A watch that is suspended while this instance is not a watcher.
 pub(super) struct GatedWatch {
     watch: KindWatch,
     should_watch: Receiver<bool>,
@@ -80,7 +82,7 @@
         self.watch.names()
     }
 
-    /// What the store says next; `None` when the process ends.
+    /// Returns the next answer of the store, or `None` when the process ends.
     pub(super) async fn next(&mut self, wait: Duration) -> Option<KindUpdate> {
         loop {
             if !*self.should_watch.borrow_and_update() {
@@ -96,7 +98,7 @@
     }
 }
 
-/// Keeps the configuration up to date; runs until it is dropped.
+/// Keeps the configuration up to date until the future is dropped.
 pub(crate) async fn watch_config(cx: WatchContext) {
     let kinds = cx.edges.kinds;
     let part = WorldPart::Config;
@@ -128,7 +130,7 @@
     }
 }
 
-/// Keeps the list of upstreams up to date; runs until it is dropped.
+/// Keeps the list of upstreams up to date until the future is dropped.
 pub(crate) async fn watch_upstreams(cx: WatchContext) {
     let kind = cx.edges.kinds.upstreams;
     let part = WorldPart::Upstreams;
@@ -153,7 +155,7 @@
 }
 
 impl UpstreamUpdater {
-    /// Applies what the store said; returns whether a watch brought changes.
+    /// Applies an answer of the store. Returns true if a watch reported changes.
     fn handle(&mut self, update: KindUpdate) -> bool {
         let now = MonoTime::now();
         match update {
@@ -179,7 +181,8 @@
         }
     }
 
-    /// Turns a list into changes, so that removals just after an outage are held as the watch's are.
+    /// Converts a list into changes, so that removals shortly after an outage are held back like
+    /// those of a watch.
     fn apply_list(&mut self, page: ListPage) {
         let world = self.cell.load();
         if world.upstreams.len() == 0 {
@@ -209,7 +212,8 @@
         self.apply_events(present.chain(gone).collect(), page.at);
     }
 
-    /// Shorter while removals are held, so that they count in time.
+    /// Returns the duration of the next watch, which is shorter while removals are held so that
+    /// they are applied in time.
     fn wait(&self) -> Duration {
         let now = MonoTime::now();
         self.removals.next_due().map_or(WATCH_WAIT, |due| {
@@ -233,7 +237,7 @@
     }
 }
 
-/// Waits until the world is known, at most so long.
+/// Waits until the configuration and the upstreams are known, for at most `limit`.
 pub(crate) async fn wait_until_known(cell: &WorldCell, limit: Duration) {
     let mut changes = cell.changes();
     let known = async {
@@ -243,6 +247,6 @@
             }
         }
     };
-    // Without it in time the caller goes on and refuses requests until one is known.
+    // After a timeout, the caller refuses requests until they are known.
     let _ = timeout(limit, known).await;
 }
