--- a/crates/tc-gateway/src/events.rs
+++ b/crates/tc-gateway/src/events.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the index after the first blank line that ends after `from`.
+/// Returns the index after the first blank line at or after `from`.
 fn end_of_event(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = bytes[at..].iter().position(|b| *b == b'\n') {
--- a/crates/tc-gateway/src/join.rs
+++ b/crates/tc-gateway/src/join.rs
@@ -266,8 +266,8 @@
     let members = mesh.members();
     let me = &mesh.me().id;
     let is_other = |m: &&Member| m.state == MemberState::Alive && m.id != *me;
-    let watcher = store_watchers(&members).into_iter().filter(is_other);
-    let watcher = watcher.choose(&mut rand::rng()).filter(|_| rand::random());
+    let watchers = store_watchers(&members).into_iter().filter(is_other);
+    let watcher = watchers.choose(&mut rand::rng()).filter(|_| rand::random());
     let any = || members.iter().filter(is_other).choose(&mut rand::rng());
     watcher.or_else(any).cloned()
 }
--- a/crates/tc-gateway/src/serve/accept.rs
+++ b/crates/tc-gateway/src/serve/accept.rs
@@ -99,7 +99,7 @@
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = Response<AnswerBody>> + Send + 'static,
 {
-    if let Err(error) = prepare(&socket) {
+    if let Err(error) = set_socket_options(&socket) {
         log::debug!(error = error.to_string().as_str(); "a connection ended before it was served");
         return;
     }
@@ -127,7 +127,7 @@
     }
 }
 
-fn prepare(socket: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(socket: &TcpStream) -> std::io::Result<()> {
     socket.set_nodelay(true)?;
     let socket = SockRef::from(socket);
     let keepalive = TcpKeepalive::new()
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -36,12 +36,12 @@
     /// Reports whether this instance is ready.
     pub(crate) fn ready(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
         if !(self.cx.edges.is_ready_question)(req.uri()) {
-            return text(StatusCode::NOT_FOUND, Bytes::new());
+            return text_response(StatusCode::NOT_FOUND, Bytes::new());
         }
         if self.cx.world.load().is_known() && !self.stop.is_stopping() {
-            text(StatusCode::OK, Bytes::from_static(b"ready\n"))
+            text_response(StatusCode::OK, Bytes::from_static(b"ready\n"))
         } else {
-            text(
+            text_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 Bytes::from_static(b"not ready\n"),
             )
@@ -60,7 +60,7 @@
 
     /// Returns the metrics.
     pub(crate) fn metrics(&self) -> Response<AnswerBody> {
-        text(StatusCode::OK, Bytes::from((self.metrics)()))
+        text_response(StatusCode::OK, Bytes::from((self.metrics)()))
     }
 }
 
@@ -71,14 +71,14 @@
     max_age: Duration,
 ) -> Response<AnswerBody> {
     let Some(question) = (edges.read_directory)(uri) else {
-        return text(StatusCode::NOT_FOUND, Bytes::new());
+        return text_response(StatusCode::NOT_FOUND, Bytes::new());
     };
     let addresses = addresses_for(members, &question);
     if addresses.is_empty() {
-        return text(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
     let seconds = MAX_AGE.min(max_age).as_secs().max(1) as u32;
-    let mut answer = text(
+    let mut answer = text_response(
         StatusCode::OK,
         (edges.directory_answer)(&addresses, seconds),
     );
@@ -105,7 +105,7 @@
         .collect()
 }
 
-fn text(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut answer = Response::new(whole(body));
     *answer.status_mut() = status;
     answer
--- a/crates/tc-gateway/src/settings.rs
+++ b/crates/tc-gateway/src/settings.rs
@@ -7,7 +7,7 @@
 
 use crate::freeze::SuspendedTime;
 
-/// Settings for [`crate::run`].
+/// Settings for [`crate::run()`].
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
     /// This instance, with the addresses that other instances use.
--- a/crates/tc-gateway/src/world/follow.rs
+++ b/crates/tc-gateway/src/world/follow.rs
@@ -43,8 +43,10 @@
 
 /// An open stream of news from another instance.
 struct SourceStream {
+    /// The instance that is followed.
     id: InstanceId,
     news: NewsStream,
+    /// Start of the call; the times of confirmations are relative to it.
     store_read: StoreRead,
 }
 
@@ -111,7 +113,7 @@
     match timeout(wait, stream.news.next()).await {
         Ok(Some(Ok(news))) => SourceEvent::News(news),
         Ok(Some(Err(error))) => SourceEvent::Ended(error.to_string()),
-        Ok(None) => SourceEvent::Ended("its news ended".to_owned()),
+        Ok(None) => SourceEvent::Ended("the stream ended".to_owned()),
         Err(_) => SourceEvent::Timeout,
     }
 }
--- a/crates/tc-gateway/src/world/kind_watch.rs
+++ b/crates/tc-gateway/src/world/kind_watch.rs
@@ -86,14 +86,14 @@
         let watching = self
             .store
             .watch_kind(self.purpose, &self.dialect, self.kind, from, wait);
-        let watched = |watched: Watched| WatchOutcome::Answered(watched, store_read);
+        let answered = |watched: Watched| WatchOutcome::Answered(watched, store_read);
         tokio::pin!(watching);
         let (page, list_read) = tokio::select! {
-            answer = &mut watching => return answer.map(watched),
+            answer = &mut watching => return answer.map(answered),
             missed = self.list_until_changed(from, names) => missed,
         };
         if let Ok(answer) = timeout(MAX_WATCH_LAG, &mut watching).await {
-            return answer.map(watched);
+            return answer.map(answered);
         }
         log::warn!(what = self.description, watched_from = from, listed = page.at; "a watch does not report a change that a list shows; restarting it");
         Ok(WatchOutcome::Missed(page, list_read))
--- a/crates/tc-gateway/src/world/relay.rs
+++ b/crates/tc-gateway/src/world/relay.rs
@@ -20,6 +20,7 @@
     baseline: Baseline,
 }
 
+/// State that the next news are relative to.
 enum Baseline {
     /// Nothing was sent yet; the follower reported that it has this.
     Reported(WorldHave),
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -167,9 +167,9 @@
     }
 
     /// Returns the stored entries selected by a predicate, to be relayed unchanged.
-    fn objects(&self, which: impl Fn(&str, &Entry) -> bool) -> Vec<WorldObject> {
+    fn objects(&self, predicate: impl Fn(&str, &Entry) -> bool) -> Vec<WorldObject> {
         let entries = self.entries.iter();
-        let chosen = entries.filter(|(name, entry)| which(name, entry));
+        let chosen = entries.filter(|(name, entry)| predicate(name, entry));
         chosen
             .map(|(name, entry)| WorldObject {
                 name: Arc::clone(name),
