--- a/crates/tc-gateway/src/serve/callers.rs
+++ b/crates/tc-gateway/src/serve/callers.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its header to its run.
+//! Admission of callers' requests: from the header to the start of the run.
 
 use std::{
     pin::Pin,
@@ -28,16 +28,17 @@
     routing::target_of,
     run::{AnswerBody, Refusal, RoutedRequest, RunContext, StreamCut, own_answer, run},
     stop::StopState,
-    world::ConfigInForce,
+    world::ActiveConfig,
 };
 
-/// How long a request waits for the first configuration and list of upstreams of a process that has just started. Hundreds
-/// that start at once after a power loss have them within a second, and half of the callers would come back only once.
-const FIRST_WORLD: Duration = Duration::from_millis(800);
-/// When a caller is told to come back to an instance that has no configuration.
-const NO_CONFIG_RETRY: Duration = Duration::from_millis(300);
-/// When a caller is told to come back, to another instance, from one that is stopping.
-const STOPPING_RETRY: Duration = Duration::from_millis(20);
+/// Maximum wait of a request for the first configuration and list of upstreams after a process
+/// start. Hundreds of instances that start together after a power loss have them within a second,
+/// and half of the callers would retry only once.
+const INITIAL_STATE_WAIT: Duration = Duration::from_millis(800);
+/// Retry delay sent to callers when this instance has no configuration.
+const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Delay after which callers of a stopping instance should retry at another instance.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Serves callers' requests.
 #[derive(Clone)]
@@ -47,7 +48,7 @@
     pub(crate) stop: Arc<StopState>,
 }
 
-/// Counts a request until its answer has been sent or its caller has left.
+/// Counts a request as in flight until its response has been sent or its caller has disconnected.
 struct InFlightRequest(Arc<AtomicUsize>);
 
 impl InFlightRequest {
@@ -63,11 +64,11 @@
     }
 }
 
-/// An answer's body that counts its request as in flight until it has been sent. Its length stays known, so that a whole
-/// answer goes out with a length and not in chunks.
+/// A response body that counts its request as in flight until it has been sent. It preserves the
+/// size hint, so that a complete response is sent with a length instead of in chunks.
 struct CountedBody {
     body: AnswerBody,
-    _counted: InFlightRequest,
+    _in_flight: InFlightRequest,
 }
 
 impl Body for CountedBody {
@@ -94,7 +95,7 @@
     /// Answers one request.
     pub(crate) async fn answer(self, req: Request<Incoming>) -> Response<AnswerBody> {
         let arrived = Instant::now();
-        let counted = InFlightRequest::start(&self.connections.in_flight);
+        let in_flight_request = InFlightRequest::start(&self.connections.in_flight);
         let (parts, body) = req.into_parts();
         let (head, answered) = match (self.cx.edges.read_request)(&parts) {
             Ok(head) => {
@@ -106,7 +107,7 @@
                 (request, admitted)
             }
             Err(error) => {
-                log::info!(error = error.to_string().as_str(), path = parts.uri.path(); "a request's header cannot be used");
+                log::info!(error = error.to_string().as_str(), path = parts.uri.path(); "a request header cannot be decoded");
                 let reason = "a header of the request is missing or cannot be read";
                 (
                     Arc::default(),
@@ -119,14 +120,14 @@
             Err(refusal) => own_answer(&self.cx.edges, &head, &refusal),
         };
         if self.stop.is_stopping() {
-            // The caller opens its next connection elsewhere instead of meeting this one's end.
+            // Makes the caller open its next connection to another instance before this one closes.
             let close = HeaderValue::from_static("close");
             answer.headers_mut().insert(header::CONNECTION, close);
         }
         answer.map(|body| {
             CountedBody {
                 body,
-                _counted: counted,
+                _in_flight: in_flight_request,
             }
             .boxed_unsync()
         })
@@ -142,19 +143,19 @@
     ) -> Result<RoutedRequest, Refusal> {
         let config = self.config().await?;
         let route = find_route(&config, &parts)?;
-        let workspace = workspace_of(&config, &route, &head)?;
+        let workspace = find_workspace(&config, &route, &head)?;
         let service = target_of(&route, &head.request)
             .cloned()
             .ok_or_else(|| Refusal::not_run_now("the route names no service"))?;
         if !self.stop.may_start(route.kind.is_stream()) {
             return Err(Refusal::not_run(
                 "this instance is stopping",
-                STOPPING_RETRY,
+                STOPPING_RETRY_AFTER,
             ));
         }
         let suspended = self.cx.suspended;
-        let longest = head.remaining.unwrap_or(route.timeout).min(route.timeout);
-        let deadline = arrived + longest;
+        let time_limit = head.remaining.unwrap_or(route.timeout).min(route.timeout);
+        let deadline = arrived + time_limit;
         let allowed = TimeAllowed::until(deadline, suspended);
         let body = read_body(body, config.routing.limits.body_bytes, deadline).await?;
         Ok(RoutedRequest {
@@ -170,12 +171,12 @@
         })
     }
 
-    /// Logs a request that `admit` refused, with the configuration version in force and the time since this instance decoded
-    /// it; both are zero without a configuration.
+    /// Logs a request that `admit` refused, with the version of the active configuration and the
+    /// time since this instance decoded it. Both are zero without a configuration.
     fn log_refusal(&self, request: &str, refusal: &Refusal) {
         let world = self.cx.world.load();
         let config = world.config.as_ref();
-        let age = config.map(|config| MonoTime::now().since(config.read_at));
+        let age = config.map(|config| MonoTime::now().since(config.decoded_at));
         log::info!(
             request = request,
             status = refusal.status.as_u16(),
@@ -186,18 +187,21 @@
         );
     }
 
-    async fn config(&self) -> Result<Arc<ConfigInForce>, Refusal> {
+    async fn config(&self) -> Result<Arc<ActiveConfig>, Refusal> {
         if !self.cx.world.load().is_known() {
-            crate::world::first_world(&self.cx.world, FIRST_WORLD).await;
+            crate::world::wait_until_known(&self.cx.world, INITIAL_STATE_WAIT).await;
         }
         let world = self.cx.world.load();
         world.config.clone().ok_or_else(|| {
-            Refusal::not_run("this instance has no configuration yet", NO_CONFIG_RETRY)
+            Refusal::not_run(
+                "this instance has no configuration yet",
+                NO_CONFIG_RETRY_AFTER,
+            )
         })
     }
 }
 
-fn find_route(config: &ConfigInForce, parts: &Parts) -> Result<Arc<Route>, Refusal> {
+fn find_route(config: &ActiveConfig, parts: &Parts) -> Result<Arc<Route>, Refusal> {
     let host = parts
         .headers
         .get(header::HOST)
@@ -209,8 +213,8 @@
         .ok_or_else(|| Refusal::plain(StatusCode::NOT_FOUND, "no route takes this host and path"))
 }
 
-fn workspace_of(
-    config: &ConfigInForce,
+fn find_workspace(
+    config: &ActiveConfig,
     route: &Route,
     head: &CallHead,
 ) -> Result<Option<Arc<RoutedWorkspace>>, Refusal> {
@@ -225,8 +229,8 @@
     Ok(known.cloned())
 }
 
-async fn read_body(body: Incoming, largest: usize, deadline: Instant) -> Result<Bytes, Refusal> {
-    match timeout_at(deadline, Limited::new(body, largest).collect()).await {
+async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Refusal> {
+    match timeout_at(deadline, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let reason = "the body is larger than the configuration allows";
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -1,4 +1,4 @@
-//! Small questions: is this instance ready, which addresses are callers to use, what do its metrics say.
+//! Endpoints for readiness, the directory of instance addresses, and metrics.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,41 +13,42 @@
     stop::StopState,
 };
 
-/// How long callers are asked to keep addresses. An instance that dies is left out of answers within a second; a
-/// caller that has its address finds out at its next request, so a short time costs little and mends much.
+/// Maximum time for which callers are asked to cache addresses. A dead instance is left out of
+/// answers within a second, but a caller that has cached its address notices only at its next
+/// request. A short time costs little and limits such failures.
 const MAX_AGE: Duration = Duration::from_secs(2);
-/// Most addresses in one answer.
-const MOST_ADDRESSES: usize = 64;
+/// Maximum number of addresses in one answer.
+const MAX_ADDRESSES: usize = 64;
 
-/// Renders the metrics of this process.
-pub type MetricsText = Arc<dyn Fn() -> String + Send + Sync>;
+/// Renders the metrics of this process as text.
+pub type MetricsRenderer = Arc<dyn Fn() -> String + Send + Sync>;
 
-/// Answers small questions.
+/// Serves readiness, the directory and metrics.
 #[derive(Clone)]
 pub(crate) struct InfoService {
     pub(crate) cx: Arc<RunContext>,
     pub(crate) stop: Arc<StopState>,
     pub(crate) address_max_age: Duration,
-    pub(crate) metrics: MetricsText,
+    pub(crate) metrics: MetricsRenderer,
 }
 
 impl InfoService {
-    /// Answers whether this instance is ready.
+    /// Reports whether this instance is ready.
     pub(crate) fn ready(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
         if !(self.cx.edges.is_ready_question)(req.uri()) {
-            return text(StatusCode::NOT_FOUND, Bytes::new());
+            return text_response(StatusCode::NOT_FOUND, Bytes::new());
         }
         if self.cx.world.load().is_known() && !self.stop.is_stopping() {
-            text(StatusCode::OK, Bytes::from_static(b"ready\n"))
+            text_response(StatusCode::OK, Bytes::from_static(b"ready\n"))
         } else {
-            text(
+            text_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 Bytes::from_static(b"not ready\n"),
             )
         }
     }
 
-    /// Answers which addresses callers are to use.
+    /// Reports the addresses that callers should use.
     pub(crate) fn directory(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
         directory(
             &self.cx.edges,
@@ -57,9 +58,9 @@
         )
     }
 
-    /// Answers with the metrics.
+    /// Returns the metrics.
     pub(crate) fn metrics(&self) -> Response<AnswerBody> {
-        text(StatusCode::OK, Bytes::from((self.metrics)()))
+        text_response(StatusCode::OK, Bytes::from((self.metrics)()))
     }
 }
 
@@ -67,17 +68,17 @@
     edges: &Edges,
     uri: &Uri,
     members: &[Member],
-    longest: Duration,
+    max_age: Duration,
 ) -> Response<AnswerBody> {
     let Some(question) = (edges.read_directory)(uri) else {
-        return text(StatusCode::NOT_FOUND, Bytes::new());
+        return text_response(StatusCode::NOT_FOUND, Bytes::new());
     };
     let addresses = addresses_for(members, &question);
     if addresses.is_empty() {
-        return text(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
-    let seconds = MAX_AGE.min(longest).as_secs().max(1) as u32;
-    let mut answer = text(
+    let seconds = MAX_AGE.min(max_age).as_secs().max(1) as u32;
+    let mut answer = text_response(
         StatusCode::OK,
         (edges.directory_answer)(&addresses, seconds),
     );
@@ -86,7 +87,8 @@
     answer
 }
 
-/// Addresses of instances that take new connections: those of the caller's region first.
+/// Returns the caller addresses of instances that accept new connections, with those in the
+/// caller's region first.
 fn addresses_for(members: &[Member], question: &DirectoryQuestion) -> Vec<SocketAddr> {
     let mut usable: Vec<&Member> = members
         .iter()
@@ -98,12 +100,12 @@
     });
     usable
         .iter()
-        .take(MOST_ADDRESSES)
+        .take(MAX_ADDRESSES)
         .map(|member| member.caller_address)
         .collect()
 }
 
-fn text(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut answer = Response::new(whole(body));
     *answer.status_mut() = status;
     answer
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -1,15 +1,17 @@
-//! What the store says, as this instance knows it: the configuration in force and the registered upstreams.
+//! This instance's copy of the store: the active configuration, the registered upstreams and the
+//! evacuated failure domains.
 //!
-//! A few instances watch the store and tell the others of each change ([`tell`]); the others follow one of them ([`follow`])
-//! and watch by themselves only when nobody tells them anything.
+//! A few instances watch the store and relay each change to the others ([`relay`]). The others
+//! follow one of them ([`follow`]) and watch the store themselves only while no source keeps them
+//! up to date.
 
 mod config;
 mod evacuated;
 mod follow;
 mod kind_watch;
-mod reading;
+mod relay;
 mod removals;
-mod tell;
+mod store_read;
 mod upstreams;
 mod watch;
 
@@ -28,43 +30,45 @@
 use tc_protocol::{FailureDomain, MonoTime, ServiceName, UpstreamId};
 use tokio::sync::watch::{Receiver, Sender};
 
-use crate::{edges::Edges, freeze::FreezeWatch};
+use crate::{edges::Edges, freeze::PauseMonitor};
 
-pub(crate) use config::ConfigInForce;
+pub(crate) use config::ActiveConfig;
 pub(crate) use evacuated::watch_evacuations;
 pub(crate) use follow::{StoreRole, follow_source};
-pub(crate) use reading::Reading;
-pub(crate) use tell::tell_world;
-pub use upstreams::{TakenUp, UpstreamTable};
-pub(crate) use watch::{WatchContext, first_world, watch_config, watch_upstreams};
+pub(crate) use relay::relay_world;
+pub(crate) use store_read::StoreRead;
+pub use upstreams::{ApplyOutcome, UpstreamTable};
+pub(crate) use watch::{WatchContext, wait_until_known, watch_config, watch_upstreams};
 
-/// What requests read; never changes once published.
+/// An immutable snapshot of the store, read by requests.
 #[derive(Clone, Default)]
 pub(crate) struct World {
-    /// `None` until one is known.
-    pub(crate) config: Option<Arc<ConfigInForce>>,
-    /// Those in evacuated failure domains are marked.
+    /// `None` until a configuration is known.
+    pub(crate) config: Option<Arc<ActiveConfig>>,
+    /// All registered upstreams, with those in evacuated failure domains marked.
     pub(crate) upstreams: Arc<UpstreamTable>,
     pub(crate) evacuated: Arc<EvacuatedDomains>,
 }
 
 impl World {
-    /// Version of the configuration; 0 for none.
+    /// Returns the version of the configuration, or 0 without one.
     fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.routing.version)
     }
 
-    /// Whether both the configuration and a list of upstreams are known: before that every request would be refused.
+    /// Returns true if both the configuration and a list of upstreams are known. Before that, every
+    /// request would be refused.
     pub(crate) fn is_known(&self) -> bool {
         self.config.is_some() && self.upstreams.revision() > 0
     }
 }
 
-/// Longest wait for a fresh reading after an absence. The store answers in milliseconds; without it, upstreams are told
-/// whom a request is meant for and say so when it is not for them.
-const FRESH_WAIT: Duration = Duration::from_millis(300);
+/// Maximum wait for a fresh read of the store after a pause. The store normally answers in
+/// milliseconds. Without a fresh read, requests may be sent to the wrong process; upstreams detect
+/// this, because each request names the upstream it is meant for.
+const MAX_FRESH_WAIT: Duration = Duration::from_millis(300);
 
-/// What is read from the store by itself.
+/// The parts of the store that are read independently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorldPart {
     Config,
@@ -72,100 +76,103 @@
     Evacuations,
 }
 
-/// How many parts there are.
-const PARTS: usize = 3;
+/// Number of variants of [`WorldPart`].
+const PART_COUNT: usize = 3;
 
-/// Holds the newest world, and decides what is newer.
+/// Publishes the newest snapshot, and decides which data is newer.
 pub(crate) struct WorldCell {
     edges: Edges,
     published: ArcSwap<World>,
-    /// Taken by writers only.
-    writing: Mutex<()>,
+    /// Locked by writers only.
+    write_lock: Mutex<()>,
     changes: Sender<u64>,
-    freezes: Arc<FreezeWatch>,
-    /// Absences of this process before the last whole reading of each part.
-    read_after: [AtomicU64; PARTS],
-    /// Time as of which each part is confirmed, that is, includes every change that the store had accepted by then. In
-    /// microseconds of [`MonoTime`]; 0 for a part without a confirmation, `u64::MAX` for one that is left out.
-    confirmed: [AtomicU64; PARTS],
+    pause_monitor: Arc<PauseMonitor>,
+    /// For each part, the number of pauses of this process before its last full read.
+    pauses_at_full_read: [AtomicU64; PART_COUNT],
+    /// Time as of which each part is confirmed, which means that it includes every change that the
+    /// store had accepted by then. In microseconds of [`MonoTime`]; 0 for a part without a
+    /// confirmation, `u64::MAX` for a disabled part.
+    confirmed: [AtomicU64; PART_COUNT],
     /// Sends the time as of which all parts are confirmed, when it changes.
     confirmations: Sender<MonoTime>,
-    /// The last absence after which no reading came in time, so that requests no longer wait for one.
-    gave_up_after: AtomicU64,
+    /// Number of the last pause after which no fresh read came in time, so that requests no longer
+    /// wait for one.
+    gave_up_at: AtomicU64,
 }
 
 impl WorldCell {
-    pub(crate) fn new(edges: Edges, freezes: Arc<FreezeWatch>) -> Self {
+    pub(crate) fn new(edges: Edges, pause_monitor: Arc<PauseMonitor>) -> Self {
         Self {
             edges,
             published: ArcSwap::default(),
-            writing: Mutex::default(),
+            write_lock: Mutex::default(),
             changes: Sender::new(0),
-            freezes,
-            read_after: Default::default(),
+            pause_monitor,
+            pauses_at_full_read: Default::default(),
             confirmed: Default::default(),
             confirmations: Sender::new(MonoTime::default()),
-            gave_up_after: AtomicU64::new(0),
+            gave_up_at: AtomicU64::new(0),
         }
     }
 
-    pub(crate) fn freezes(&self) -> Arc<FreezeWatch> {
-        Arc::clone(&self.freezes)
+    pub(crate) fn pause_monitor(&self) -> Arc<PauseMonitor> {
+        Arc::clone(&self.pause_monitor)
     }
 
-    /// A part that there is none of on this deployment: nothing waits for it.
-    pub(crate) fn leave_out(&self, part: WorldPart) {
-        self.read_after[part as usize].store(u64::MAX, Ordering::Release);
+    /// Disables a part that this deployment does not use, so that nothing waits for it.
+    pub(crate) fn disable_part(&self, part: WorldPart) {
+        self.pauses_at_full_read[part as usize].store(u64::MAX, Ordering::Release);
         self.confirmed[part as usize].store(u64::MAX, Ordering::Release);
     }
 
-    /// A part was read whole, after this many absences of this process.
-    pub(crate) fn note_read(&self, part: WorldPart, absences: u64) {
-        // A part that was left out stays read for good.
-        self.read_after[part as usize].fetch_max(absences, Ordering::AcqRel);
+    /// Records a full read of a part that started after the given number of pauses.
+    pub(crate) fn record_full_read(&self, part: WorldPart, pauses: u64) {
+        // `fetch_max` keeps a disabled part at `u64::MAX`.
+        self.pauses_at_full_read[part as usize].fetch_max(pauses, Ordering::AcqRel);
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Waits, after an absence of this process, until the store was read anew; not longer than it takes when it is well.
+    /// Waits after a pause of this process until the store has been read again, for at most
+    /// [`MAX_FRESH_WAIT`].
     ///
-    /// What was known before the absence may send a request to an upstream that has left since, or to another process
-    /// at its address.
-    pub(crate) async fn read_anew(&self) {
-        let absences = self.freezes.count();
-        if self.is_read_after(absences) {
+    /// According to state from before the pause, a request could go to an upstream that has left
+    /// since, or to another process at its address.
+    pub(crate) async fn wait_until_fresh(&self) {
+        let pauses = self.pause_monitor.count();
+        if self.is_read_since(pauses) {
             return;
         }
         let mut changes = self.changes();
         let fresh = async {
-            while !self.is_read_after(absences) {
+            while !self.is_read_since(pauses) {
                 if changes.changed().await.is_err() {
                     return;
                 }
             }
         };
-        if tokio::time::timeout(FRESH_WAIT, fresh).await.is_err() {
+        if tokio::time::timeout(MAX_FRESH_WAIT, fresh).await.is_err() {
             log::warn!(
-                "the store was not read anew after an absence; requests go on by what was known before"
+                "the store was not read in time after a pause; continuing with the earlier state"
             );
-            self.gave_up_after.fetch_max(absences, Ordering::Release);
+            self.gave_up_at.fetch_max(pauses, Ordering::Release);
         }
     }
 
-    fn is_read_after(&self, absences: u64) -> bool {
+    fn is_read_since(&self, pauses: u64) -> bool {
         let read = self
-            .read_after
+            .pauses_at_full_read
             .iter()
             .map(|read| read.load(Ordering::Acquire));
-        let gave_up = self.gave_up_after.load(Ordering::Acquire);
-        read.min().unwrap_or_default().max(gave_up) >= absences
+        let gave_up = self.gave_up_at.load(Ordering::Acquire);
+        read.min().unwrap_or_default().max(gave_up) >= pauses
     }
 
-    /// The world as of now; never waits.
+    /// Returns the current snapshot without blocking.
     pub(crate) fn load(&self) -> Arc<World> {
         self.published.load_full()
     }
 
-    /// Told at every change.
+    /// Returns a receiver that is notified of every change.
     pub(crate) fn changes(&self) -> Receiver<u64> {
         self.changes.subscribe()
     }
@@ -179,24 +186,25 @@
         }
     }
 
-    /// Confirms a part as of the start of a reading whose result has been applied.
-    pub(crate) fn confirm(&self, part: WorldPart, reading: &Reading) {
-        self.confirm_as_of(&[part], reading, reading.started_at);
+    /// Confirms a part as of the start of a read whose result has been applied.
+    pub(crate) fn confirm(&self, part: WorldPart, store_read: &StoreRead) {
+        self.confirm_as_of(&[part], store_read, store_read.started_at);
     }
 
     /// Confirms all parts as of a time reported by another instance.
-    pub(crate) fn confirm_all(&self, reading: &Reading, as_of: MonoTime) {
+    pub(crate) fn confirm_all(&self, store_read: &StoreRead, as_of: MonoTime) {
         let all = [
             WorldPart::Config,
             WorldPart::Upstreams,
             WorldPart::Evacuations,
         ];
-        self.confirm_as_of(&all, reading, as_of);
+        self.confirm_as_of(&all, store_read, as_of);
     }
 
-    fn confirm_as_of(&self, parts: &[WorldPart], reading: &Reading, as_of: MonoTime) {
-        // The clock may not have counted an absence since the start, which would make the confirmation look too recent.
-        if self.freezes.count() != reading.absences {
+    fn confirm_as_of(&self, parts: &[WorldPart], store_read: &StoreRead, as_of: MonoTime) {
+        // The clock may not have counted a pause since the start, which would make the confirmation
+        // look too recent.
+        if self.pause_monitor.count() != store_read.pauses {
             return;
         }
         for part in parts {
@@ -207,10 +215,10 @@
             .send_if_modified(|known| std::mem::replace(known, confirmed) != confirmed);
     }
 
-    /// Drops all confirmations, after an absence of this process.
+    /// Drops all confirmations, after a pause of this process.
     pub(crate) fn reset_confirmations(&self) {
         for part in &self.confirmed {
-            // A part that is left out stays confirmed.
+            // A disabled part stays confirmed.
             let _ = part.fetch_update(Ordering::AcqRel, Ordering::Acquire, |time| {
                 (time != u64::MAX).then_some(0)
             });
@@ -221,19 +229,20 @@
         MonoTime(self.confirmed[part as usize].load(Ordering::Acquire))
     }
 
-    /// Time as of which all parts are confirmed.
+    /// Returns the time as of which all parts are confirmed.
     pub(crate) fn confirmed(&self) -> MonoTime {
         let parts = self.confirmed.iter();
         let oldest = parts.map(|part| part.load(Ordering::Acquire)).min();
         MonoTime(oldest.unwrap_or_default())
     }
 
-    /// Receives the time as of which all parts are confirmed, when it changes.
+    /// Returns a receiver of the time as of which all parts are confirmed.
     pub(crate) fn confirmations(&self) -> Receiver<MonoTime> {
         self.confirmations.subscribe()
     }
 
-    /// Takes up what another instance tells of the store; `false` when it must be asked for what is lacking instead.
+    /// Applies news from another instance. Returns false if they do not fit the local state, so
+    /// that the other must be asked for the missing part instead.
     pub(crate) fn apply_news(&self, news: &WorldNews) -> bool {
         if let Some((raw, revision)) = &news.config {
             self.apply_config(raw, *revision);
@@ -244,23 +253,24 @@
         let Some(upstreams) = &news.upstreams else {
             return true;
         };
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         match world.upstreams.with_news(&self.edges, upstreams) {
-            TakenUp::Newer(next) => self.publish_upstreams(&world, next),
-            TakenUp::Older => {}
-            TakenUp::Unfit => return false,
+            ApplyOutcome::Updated(next) => self.publish_upstreams(&world, next),
+            ApplyOutcome::Outdated => {}
+            ApplyOutcome::BaseMismatch => return false,
         }
         true
     }
 
-    /// Puts a configuration in force if it is valid and newer than the one that is.
+    /// Activates a configuration if it is valid and newer than the active one.
     ///
-    /// A lower version never goes in force within a process's life: a read may be stale, and a peer may lag.
+    /// The version never decreases within the life of a process, because a read may be stale and a
+    /// peer may lag behind.
     pub(crate) fn apply_config(&self, raw: &Arc<Value>, revision: u64) {
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
-        let config = match ConfigInForce::read(&self.edges, raw, revision) {
+        let config = match ActiveConfig::decode(&self.edges, raw, revision) {
             Ok(config) => config,
             Err(problem) => {
                 log::error!(revision = revision, problem = problem.as_str(); "configuration rejected; the last valid one stays in force");
@@ -281,9 +291,9 @@
         });
     }
 
-    /// Puts in force which failure domains are evacuated, unless it is older than what is known.
+    /// Applies the set of evacuated failure domains, unless it is older than the known one.
     pub(crate) fn apply_evacuated(&self, evacuated: &EvacuatedDomains) {
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         let known = &world.evacuated;
         if evacuated.revision < known.revision {
@@ -313,37 +323,39 @@
             self.published.store(Arc::new(next));
             return;
         }
-        log::info!(domains = names_of(evacuated).as_str(), before = names_of(known).as_str(), revision = evacuated.revision; "evacuated failure domains changed");
+        log::info!(domains = domain_names(evacuated).as_str(), before = domain_names(known).as_str(), revision = evacuated.revision; "evacuated failure domains changed");
         metrics::gauge!("tc_evacuated_domains").set(evacuated.domains.len() as f64);
         self.publish(next);
     }
 
-    /// Takes up changes of registered upstreams.
+    /// Applies changes of registered upstreams.
     pub(crate) fn apply_upstream_events(&self, events: &[ObjectEvent], at: u64) {
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         let upstreams = world.upstreams.with_events(&self.edges, events, at);
         self.publish_upstreams(&world, upstreams);
     }
 
-    /// Takes up the whole list of registered upstreams as of a revision.
+    /// Replaces the list of registered upstreams by the full list as of a revision.
     pub(crate) fn replace_upstreams(&self, objects: &[RegistryEntry], at: u64) {
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         if at < world.upstreams.revision() {
             return;
         }
-        let upstreams = world.upstreams.replaced(&self.edges, objects, at);
+        let upstreams = world.upstreams.with_list(&self.edges, objects, at);
         self.publish_upstreams(&world, upstreams);
     }
 
-    /// Excludes an upstream that has announced that it is leaving from new requests, whatever state the store shows.
+    /// Excludes an upstream that has announced that it is leaving from new requests, whatever state
+    /// the store shows.
     pub(crate) fn mark_leaving(&self, id: &UpstreamId) {
-        // Avoids the write lock for repeats: a leaving upstream announces it in every answer.
+        // Avoids the write lock for repeated announcements: a leaving upstream sends one in every
+        // answer.
         if self.load().upstreams.has_announced_leaving(id) {
             return;
         }
-        let _writing = self.write();
+        let _guard = self.lock_writes();
         let world = self.load();
         if world.upstreams.has_announced_leaving(id) {
             return;
@@ -379,12 +391,14 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    fn write(&self) -> MutexGuard<'_, ()> {
-        self.writing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_writes(&self) -> MutexGuard<'_, ()> {
+        self.write_lock
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn names_of(evacuated: &EvacuatedDomains) -> String {
+fn domain_names(evacuated: &EvacuatedDomains) -> String {
     let names: Vec<&str> = evacuated
         .domains
         .iter()
