--- a/crates/tc-fleet/src/entry/ask.rs
+++ b/crates/tc-fleet/src/entry/ask.rs
@@ -25,7 +25,7 @@
     target::Target,
 };
 use crate::{
-    AskPolicy, convert,
+    PermitPolicy, convert,
     generated::PermitAsk,
     homes::{HomeAnswer, HomeAsk, HomeVerdict, HomesMsg},
     node::NodeMsg,
@@ -52,7 +52,7 @@
 /// What an [`AskDesk`] is made of.
 pub(crate) struct DeskArgs {
     pub(crate) me: InstanceId,
-    pub(crate) policy: AskPolicy,
+    pub(crate) policy: PermitPolicy,
     pub(crate) view: Arc<ArcSwap<FleetView>>,
     pub(crate) summaries: Arc<SummaryTable>,
     pub(crate) peers: Arc<PeerPool>,
@@ -91,23 +91,26 @@
     }
 
     /// Gets a permit for some upstream of the service, or a refusal that means the call was not sent.
-    pub(crate) async fn ask(self: Arc<Self>, ask: PermitRequest) -> Result<Permit, PermitRefusal> {
-        if self.args.policy == AskPolicy::Baseline {
-            return self.round_robin.ask(&self.args.view.load(), &ask);
+    pub(crate) async fn request_permit(
+        self: Arc<Self>,
+        request: PermitRequest,
+    ) -> Result<Permit, PermitRefusal> {
+        if self.args.policy == PermitPolicy::Baseline {
+            return self.round_robin.ask(&self.args.view.load(), &request);
         }
         let started = MonoTime::now();
         let suspects = &self.args.suspects;
         let trial = suspects
-            .try_trial(ask.fingerprint, origin(&ask), ask.slack)
+            .try_trial(request.fingerprint, origin(&request), request.slack)
             .await?;
         let mut progress = Progress::default();
         loop {
-            let left = ask.slack.saturating_sub(MonoTime::now().since(started));
+            let left = request.slack.saturating_sub(MonoTime::now().since(started));
             // Without slack an ask may still be granted at once, but only where it is asked first.
             if left.is_zero() && progress.last.is_some() {
                 return Err(no_upstream(&progress));
             }
-            let Some(target) = self.target(&ask, &mut progress) else {
+            let Some(target) = self.target(&request, &mut progress) else {
                 // Redirected, but there is nowhere else: wait where it was asked first.
                 if progress.redirects < REDIRECTS && !progress.redirected.is_empty() {
                     progress.redirects = REDIRECTS;
@@ -122,10 +125,10 @@
             };
             let may_redirect = progress.redirects < REDIRECTS;
             let answer = self
-                .ask_home(&ask, &target, left, may_redirect, trial.is_some())
+                .ask_home(&request, &target, left, may_redirect, trial.is_some())
                 .await;
             match answer {
-                Some(Ok(grant)) => return Ok(self.permit(&ask, &target, grant, trial)),
+                Some(Ok(grant)) => return Ok(self.permit(&request, &target, grant, trial)),
                 Some(Err(verdict)) if is_moved(&verdict, &target) => {
                     progress.last.get_or_insert(TOO_LATE);
                     tokio::time::sleep(REHOME_WAIT.min(left)).await;
@@ -142,7 +145,7 @@
     /// `None`: the home cannot be reached.
     async fn ask_home(
         &self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         target: &Target,
         slack: Duration,
         may_redirect: bool,
@@ -157,12 +160,12 @@
         let deliver = move |answer: Option<HomeAnswer>| {
             let _ = on_answer.send(answer.map(|answer| guarded(answer, route)));
         };
-        let home_ask = self.home_ask(ask, number, slack, may_redirect, suspect);
+        let home_ask = self.home_ask(request, number, slack, may_redirect, suspect);
         let mut cancel = CancelGuard {
             route: Some(self.route(&id, &target.home)),
             number,
         };
-        self.send_ask(ask, target, home_ask, Box::new(deliver));
+        self.send_ask(request, target, home_ask, Box::new(deliver));
         let answer = answer.await.ok().flatten();
         cancel.route = None;
         answer
@@ -170,7 +173,7 @@
 
     fn home_ask(
         &self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         number: u64,
         slack: Duration,
         may_redirect: bool,
@@ -180,18 +183,18 @@
         let weight = view
             .config
             .workspaces
-            .get(&ask.workspace)
+            .get(&request.workspace)
             .map_or(1, |w| w.weight);
         HomeAsk {
             entry: self.args.me.clone(),
             ask: number,
-            workspace: ask.workspace.clone(),
+            workspace: request.workspace.clone(),
             weight,
-            priority: ask.priority,
+            priority: request.priority,
             slack,
-            run_for: ask.run_for,
-            estimate: ask.estimate,
-            fingerprint: ask.fingerprint,
+            run_for: request.run_for,
+            estimate: request.estimate,
+            fingerprint: request.fingerprint,
             may_redirect,
             suspect,
         }
@@ -199,7 +202,7 @@
 
     fn send_ask(
         &self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         target: &Target,
         home_ask: HomeAsk,
         deliver: Box<dyn FnOnce(Option<HomeAnswer>) + Send>,
@@ -221,7 +224,7 @@
             return;
         };
         let message = ToHome::Ask {
-            ask: ask_to_wire(ask, &upstream, &home_ask),
+            ask: ask_to_wire(request, &upstream, &home_ask),
             on_answer: deliver,
         };
         self.args.peers.get(member).send(message);
@@ -275,19 +278,19 @@
 
     fn permit(
         &self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         target: &Target,
         granted: Granted,
         trial: Option<TrialGuard>,
     ) -> Permit {
         let (permit, expires_in, waited) = granted.disarm();
         let id = target.state.upstream.id.clone();
-        let key = self.hold(ask, target, permit, expires_in);
+        let key = self.hold(request, target, permit, expires_in);
         let in_use = self.args.summaries.cell(&id).map(UseGuard::new);
         let give_back = self.give_back(key, &id, &target.home);
         let suspects = Arc::clone(&self.args.suspects);
-        let fingerprint = ask.fingerprint;
-        let origin = origin(ask);
+        let fingerprint = request.fingerprint;
+        let origin = origin(request);
         let called = self.called(target);
         let on_release = move |release: Release| {
             drop(in_use);
@@ -314,22 +317,22 @@
     /// Enters a granted permit into the table of those held here.
     fn hold(
         &self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         target: &Target,
         permit: PermitId,
         expires_in: Duration,
     ) -> HeldKey {
         self.args.held.insert(Held {
-            service: ask.service.clone(),
+            service: request.service.clone(),
             upstream: target.state.upstream.id.clone(),
             home: target.home.clone(),
             permit: HeldPermit {
                 permit,
                 entry: self.args.me.clone(),
-                workspace: ask.workspace.clone(),
+                workspace: request.workspace.clone(),
                 expires_in,
-                estimate: ask.estimate,
-                fingerprint: ask.fingerprint,
+                estimate: request.estimate,
+                fingerprint: request.fingerprint,
             },
             expires_at: MonoTime::now().after(expires_in),
         })
@@ -368,10 +371,10 @@
     matches!(verdict, HomeVerdict::Redirect { better: Some(better), .. } if better == upstream)
 }
 
-fn origin(ask: &PermitRequest) -> Origin {
+fn origin(request: &PermitRequest) -> Origin {
     Origin {
-        workspace: ask.workspace.clone(),
-        service: ask.service.clone(),
+        workspace: request.workspace.clone(),
+        service: request.service.clone(),
     }
 }
 
@@ -382,21 +385,21 @@
     })
 }
 
-fn ask_to_wire(ask: &PermitRequest, upstream: &UpstreamId, home_ask: &HomeAsk) -> PermitAsk {
+fn ask_to_wire(request: &PermitRequest, upstream: &UpstreamId, home_ask: &HomeAsk) -> PermitAsk {
     PermitAsk {
         ask: home_ask.ask,
         upstream: upstream.to_string(),
-        service: ask.service.to_string(),
-        workspace: ask.workspace.to_string(),
-        request: ask.request.to_string(),
-        attempt: ask.attempt.0,
-        priority: u32::from(ask.priority),
+        service: request.service.to_string(),
+        workspace: request.workspace.to_string(),
+        request: request.request.to_string(),
+        attempt: request.attempt.0,
+        priority: u32::from(request.priority),
         slack_ms: convert::millis(home_ask.slack),
         run_for_ms: convert::millis(home_ask.run_for),
-        estimate: Some(convert::cost_to_wire(&ask.estimate)),
-        fingerprint: ask.fingerprint.0,
-        has_prefix: ask.prefix.is_some(),
-        prefix: ask.prefix.unwrap_or_default(),
+        estimate: Some(convert::cost_to_wire(&request.estimate)),
+        fingerprint: request.fingerprint.0,
+        has_prefix: request.prefix.is_some(),
+        prefix: request.prefix.unwrap_or_default(),
         no_redirect: !home_ask.may_redirect,
         suspect: home_ask.suspect,
         weight: home_ask.weight,
--- a/crates/tc-fleet/src/entry/baseline.rs
+++ b/crates/tc-fleet/src/entry/baseline.rs
@@ -21,16 +21,16 @@
     pub(crate) fn ask(
         &self,
         view: &FleetView,
-        ask: &PermitRequest,
+        request: &PermitRequest,
     ) -> Result<Permit, PermitRefusal> {
         let upstreams = view
             .upstreams
-            .get(&ask.service)
+            .get(&request.service)
             .map(Vec::as_slice)
             .unwrap_or_default();
         let usable: Vec<_> = upstreams
             .iter()
-            .filter(|state| !state.leaving && !ask.excluded.contains(&state.upstream.id))
+            .filter(|state| !state.leaving && !request.excluded.contains(&state.upstream.id))
             .collect();
         if usable.is_empty() {
             return Err(PermitRefusal {
@@ -43,7 +43,7 @@
             permit: PermitId(0),
             upstream: upstream.id.clone(),
             address: upstream.address,
-            expires_in: ask.run_for,
+            expires_in: request.run_for,
             waited: Duration::ZERO,
         };
         Ok(Permit::new(grant, "round robin".to_owned(), |_| ()))
--- a/crates/tc-fleet/src/entry/target.rs
+++ b/crates/tc-fleet/src/entry/target.rs
@@ -15,9 +15,13 @@
 }
 
 impl AskDesk {
-    pub(super) fn target(&self, ask: &PermitRequest, progress: &mut Progress) -> Option<Target> {
+    pub(super) fn target(
+        &self,
+        request: &PermitRequest,
+        progress: &mut Progress,
+    ) -> Option<Target> {
         let view = self.args.view.load();
-        let upstreams = view.upstreams.get(&ask.service)?;
+        let upstreams = view.upstreams.get(&request.service)?;
         let now = MonoTime::now();
         let usable: Vec<UpstreamCandidate<'_>> = upstreams
             .iter()
@@ -29,13 +33,13 @@
             .iter()
             .position(|c| Some(&c.state.upstream.id) == preferred.as_ref());
         let choice = match index {
-            Some(index) if !ask.excluded.contains(&usable[index].state.upstream.id) => {
+            Some(index) if !request.excluded.contains(&usable[index].state.upstream.id) => {
                 UpstreamChoice {
                     index,
                     why: "redirected by a home",
                 }
             }
-            _ => choose_upstream(&usable, ask, &mut rand::rng())?,
+            _ => choose_upstream(&usable, request, &mut rand::rng())?,
         };
         let state = usable[choice.index].state.clone();
         let home = state.home.clone()?;
--- a/crates/tc-fleet/src/error.rs
+++ b/crates/tc-fleet/src/error.rs
@@ -21,14 +21,14 @@
         source: std::io::Error,
     },
     /// The shared key cannot be used.
-    #[error("the fleet key is shorter than {least} bytes")]
+    #[error("the fleet key is shorter than {min_bytes} bytes")]
     #[diagnostic(
         code(tc::fleet::key),
         help("set TANAGERCROFT_FLEET_KEY to the same random text on every instance")
     )]
     ShortKey {
         /// Least length in bytes.
-        least: usize,
+        min_bytes: usize,
     },
     /// The control thread's actors could not be started.
     #[error("cannot start control actors: {0}")]
--- a/crates/tc-fleet/src/fleet.rs
+++ b/crates/tc-fleet/src/fleet.rs
@@ -31,7 +31,7 @@
 };
 
 /// What this instance tells other instances of itself, as JSON texts.
-pub struct LocalReport {
+pub struct ReportHandlers {
     /// The explanation of a request kept here.
     pub explain: Box<dyn Fn(RequestId) -> BoxFuture<'static, Option<String>> + Send + Sync>,
     /// This instance's part of a fleet report.
@@ -59,7 +59,7 @@
         settings: FleetSettings,
         store: Store,
         upstream: UpstreamClient,
-        local: LocalReport,
+        local: ReportHandlers,
     ) -> Result<Self, FleetError> {
         let address = settings.fleet_listen;
         let listen = |source| FleetError::Listen { address, source };
@@ -97,8 +97,11 @@
 
     /// Gets a permit to call some upstream of the asked service.
     #[must_use]
-    pub fn ask(&self, ask: PermitRequest) -> BoxFuture<'static, Result<Permit, PermitRefusal>> {
-        Box::pin(Arc::clone(&self.inner.desk).ask(ask))
+    pub fn request_permit(
+        &self,
+        request: PermitRequest,
+    ) -> BoxFuture<'static, Result<Permit, PermitRefusal>> {
+        Box::pin(Arc::clone(&self.inner.desk).request_permit(request))
     }
 
     /// Counts one request against its workspace's limits; the error is when to ask again.
@@ -111,13 +114,13 @@
 
     /// Tells that an upstream died under an input; done once the fleet is warned.
     #[must_use]
-    pub fn crashed(&self, input: Fingerprint, upstream: UpstreamId) -> BoxFuture<'static, ()> {
-        Box::pin(Arc::clone(&self.inner.parts.suspects).died(input, upstream))
+    pub fn report_crash(&self, input: Fingerprint, upstream: UpstreamId) -> BoxFuture<'static, ()> {
+        Box::pin(Arc::clone(&self.inner.parts.suspects).report_crash(input, upstream))
     }
 
     /// Tells that an input ran to its end.
-    pub fn ran_whole(&self, input: Fingerprint) {
-        self.inner.parts.suspects.ran_whole(input);
+    pub fn report_completed(&self, input: Fingerprint) {
+        self.inner.parts.suspects.report_completed(input);
     }
 
     /// The addresses a workspace's callers should use.
@@ -153,7 +156,7 @@
     }
 
     /// Upstreams homed here and permits they have in flight.
-    pub async fn homes(&self) -> (usize, usize) {
+    pub async fn home_counts(&self) -> (usize, usize) {
         let (reply, answer) = oneshot::channel();
         let _ = self.inner.parts.homes.cast(HomesMsg::Count(reply));
         answer.await.unwrap_or_default()
@@ -188,7 +191,7 @@
     }
 
     /// Every other live instance's report as JSON, by instance; `None` for those that did not answer.
-    pub async fn reports(&self) -> Vec<(InstanceId, Option<String>)> {
+    pub async fn peer_reports(&self) -> Vec<(InstanceId, Option<String>)> {
         let view = self.view();
         let others = view.members.iter().filter(|member| member.id != view.me.id);
         let calls = others.map(|member| {
--- a/crates/tc-fleet/src/key.rs
+++ b/crates/tc-fleet/src/key.rs
@@ -46,17 +46,17 @@
             let key = key.as_ref().as_bytes();
             if key.len() < LEAST_KEY_BYTES {
                 return Err(FleetError::ShortKey {
-                    least: LEAST_KEY_BYTES,
+                    min_bytes: LEAST_KEY_BYTES,
                 });
             }
             let mac = HmacSha256::new_from_slice(key).map_err(|_| FleetError::ShortKey {
-                least: LEAST_KEY_BYTES,
+                min_bytes: LEAST_KEY_BYTES,
             })?;
             macs.push(mac);
         }
         if macs.is_empty() {
             return Err(FleetError::ShortKey {
-                least: LEAST_KEY_BYTES,
+                min_bytes: LEAST_KEY_BYTES,
             });
         }
         let tokens = macs.iter().map(token_of).collect();
--- a/crates/tc-fleet/src/lib.rs
+++ b/crates/tc-fleet/src/lib.rs
@@ -27,11 +27,11 @@
 mod suspects;
 
 pub use error::FleetError;
-pub use fleet::{Fleet, LocalReport};
+pub use fleet::{Fleet, ReportHandlers};
 pub use key::FleetKeys;
 pub use mesh::{
     ChooseEngine, EvacuatedDomains, Gone, Mesh, MeshError, MeshHandlers, MeshSettings,
     PiecesAnswer, SuspectRun, TellOutlook, TellRuns, UpstreamLimits, UpstreamNews, WorldHave,
     WorldNews, WorldObject,
 };
-pub use settings::{AskPolicy, FleetSettings};
+pub use settings::{FleetSettings, PermitPolicy};
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -285,12 +285,12 @@
             service: service.clone(),
         };
         suspects.note_origin(input, origin);
-        tokio::spawn(suspects.died(input, upstream));
+        tokio::spawn(suspects.report_crash(input, upstream));
     }
 
     /// A request ran to its end: it crashes nothing.
     pub fn ran_whole(&self, input: Fingerprint) {
-        self.inner.suspects.ran_whole(input);
+        self.inner.suspects.report_completed(input);
     }
 
     /// Follows what another instance hears from the store: at once what this one lacks, then each change.
--- a/crates/tc-fleet/src/settings.rs
+++ b/crates/tc-fleet/src/settings.rs
@@ -9,7 +9,7 @@
 
 /// How asks are decided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum AskPolicy {
+pub enum PermitPolicy {
     /// By the upstreams' homes.
     #[default]
     Home,
@@ -30,7 +30,7 @@
     /// Keys that authenticate instances to each other.
     pub keys: FleetKeys,
     /// How asks are decided.
-    pub policy: AskPolicy,
+    pub policy: PermitPolicy,
     /// Probe timings.
     pub membership: MembershipConfig,
     /// Runs the streams to other instances; the traffic threads' runtime.
--- a/crates/tc-fleet/src/suspects/table.rs
+++ b/crates/tc-fleet/src/suspects/table.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Remembers whose input it is, for [`Self::died`] and [`Self::ran_whole`].
+    /// Remembers whose input it is, for [`Self::report_crash`] and [`Self::report_completed`].
     pub(crate) fn note_origin(&self, fingerprint: Fingerprint, origin: Origin) {
         let mut origins = lock(&self.origins);
         if origins.len() >= MOST_ORIGINS {
@@ -148,7 +148,7 @@
         origins.insert(fingerprint, origin);
     }
 
-    /// Remembers what was called when a connection broke under an input, before [`Self::died`].
+    /// Remembers what was called when a connection broke under an input, before [`Self::report_crash`].
     pub(crate) fn note_called(&self, fingerprint: Fingerprint, called: CalledUpstream) {
         let mut remembered = lock(&self.called);
         if remembered.len() >= MOST_ORIGINS {
@@ -159,7 +159,11 @@
 
     /// An upstream died under this input. Returns once the instances have been warned, so that a resend does not outrun
     /// the warning.
-    pub(crate) async fn died(self: Arc<Self>, fingerprint: Fingerprint, upstream: UpstreamId) {
+    pub(crate) async fn report_crash(
+        self: Arc<Self>,
+        fingerprint: Fingerprint,
+        upstream: UpstreamId,
+    ) {
         let called = lock(&self.called).remove(&fingerprint);
         if let (Some(called), Some(confirmer)) = (called, &self.confirmer)
             && !confirmer.is_dead(&called).await
@@ -183,7 +187,7 @@
     }
 
     /// It ran to its end: no suspect any more.
-    pub(crate) fn ran_whole(self: &Arc<Self>, fingerprint: Fingerprint) {
+    pub(crate) fn report_completed(self: &Arc<Self>, fingerprint: Fingerprint) {
         if !self.reported.contains(MonoTime::now(), fingerprint) {
             return;
         }
--- a/crates/tc-fleet/src/suspects/trial.rs
+++ b/crates/tc-fleet/src/suspects/trial.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// The trial's call ended. A death is told by [`SuspectTable::died`] and a whole run by
-    /// [`SuspectTable::ran_whole`], which end the trial at its home too; telling here first would let the next
+    /// The trial's call ended. A death is told by [`SuspectTable::report_crash`] and a whole run by
+    /// [`SuspectTable::report_completed`], which end the trial at its home too; telling here first would let the next
     /// trial start before the home knows of either.
     pub(crate) fn end(mut self, outcome: Outcome) {
         self.ended = outcome == Outcome::Died;
--- a/crates/tc-fleet/tests/fleet/common.rs
+++ b/crates/tc-fleet/tests/fleet/common.rs
@@ -3,7 +3,7 @@
 use std::{fmt::Write as _, net::SocketAddr, sync::Arc, time::Duration};
 
 use serde_json::json;
-use tc_fleet::{AskPolicy, Fleet, FleetKeys, FleetSettings, LocalReport};
+use tc_fleet::{Fleet, FleetKeys, FleetSettings, PermitPolicy, ReportHandlers};
 use tc_platform::{Store, StoreSettings};
 use tc_protocol::{
     Attempt, Cost, Fingerprint, Incarnation, Member, MemberState, PermitRequest, RequestId,
@@ -65,12 +65,12 @@
             fleet_listen,
             seeds,
             keys: FleetKeys::new(&[key]).unwrap(),
-            policy: AskPolicy::Home,
+            policy: PermitPolicy::Home,
             membership: tc_membership::MembershipConfig::default(),
             traffic: runtime.handle().clone(),
         };
         let store = store_at(platform);
-        let local = LocalReport {
+        let local = ReportHandlers {
             explain: Box::new(|_| Box::pin(async { None })),
             report: Box::new(|()| Box::pin(async { Some("{}".to_owned()) })),
         };
--- a/crates/tc-fleet/tests/fleet/permits.rs
+++ b/crates/tc-fleet/tests/fleet/permits.rs
@@ -15,9 +15,21 @@
     // Cause: each would count only its own calls; the home counts all.
     run(async {
         let (_platform, instances) = settled(3, 1, 2).await;
-        let first = instances[0].fleet.ask(ask("a", SLACK)).await.unwrap();
-        let second = instances[1].fleet.ask(ask("b", SLACK)).await.unwrap();
-        let refused = instances[2].fleet.ask(ask("c", SHORT)).await.unwrap_err();
+        let first = instances[0]
+            .fleet
+            .request_permit(ask("a", SLACK))
+            .await
+            .unwrap();
+        let second = instances[1]
+            .fleet
+            .request_permit(ask("b", SLACK))
+            .await
+            .unwrap();
+        let refused = instances[2]
+            .fleet
+            .request_permit(ask("c", SHORT))
+            .await
+            .unwrap_err();
         assert!(
             matches!(refused.reason, RefusalReason::TooLate),
             "{refused:?}"
@@ -29,7 +41,11 @@
             Duration::from_millis(5),
             None,
         );
-        let third = instances[2].fleet.ask(ask("d", SLACK)).await.unwrap();
+        let third = instances[2]
+            .fleet
+            .request_permit(ask("d", SLACK))
+            .await
+            .unwrap();
         drop((second, third));
     });
 }
@@ -44,15 +60,17 @@
         for round in 0..20 {
             let holder = instances[round % 2]
                 .fleet
-                .ask(ask("holder", SLACK))
+                .request_permit(ask("holder", SLACK))
                 .await
                 .unwrap();
-            let waiting = instances[(round + 1) % 2].fleet.ask(ask("waiting", SLACK));
+            let waiting = instances[(round + 1) % 2]
+                .fleet
+                .request_permit(ask("waiting", SLACK));
             let left = tokio::time::timeout(Duration::from_millis(round as u64), waiting).await;
             drop(left);
             drop(holder);
         }
-        let last = instances[0].fleet.ask(ask("last", SLACK)).await;
+        let last = instances[0].fleet.request_permit(ask("last", SLACK)).await;
         assert!(last.is_ok(), "{last:?}");
     });
 }
@@ -70,7 +88,11 @@
             .unwrap();
         let home_at = instances.iter().position(|i| i.member.id == home).unwrap();
         let mut crashed = instances.remove(home_at);
-        let held = instances[0].fleet.ask(ask("held", SLACK)).await.unwrap();
+        let held = instances[0]
+            .fleet
+            .request_permit(ask("held", SLACK))
+            .await
+            .unwrap();
         crashed.crash();
         until("the home moves", || {
             instances.iter().all(|i| {
@@ -83,10 +105,19 @@
         .await;
         // The announcement follows the view on the same streams as the ask below.
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let refused = instances[1].fleet.ask(ask("second", SHORT)).await;
+        let refused = instances[1]
+            .fleet
+            .request_permit(ask("second", SHORT))
+            .await;
         assert!(refused.is_err(), "the upstream's only slot is in use");
         drop(held);
-        assert!(instances[1].fleet.ask(ask("third", SLACK)).await.is_ok());
+        assert!(
+            instances[1]
+                .fleet
+                .request_permit(ask("third", SLACK))
+                .await
+                .is_ok()
+        );
     });
 }
 
@@ -103,11 +134,18 @@
             .unwrap();
         let entry_at = instances.iter().position(|i| i.member.id != home).unwrap();
         let mut entry = instances.remove(entry_at);
-        let held = entry.fleet.ask(ask("held", SLACK)).await.unwrap();
+        let held = entry
+            .fleet
+            .request_permit(ask("held", SLACK))
+            .await
+            .unwrap();
         entry.crash();
         std::mem::forget(held);
         let patience = Duration::from_secs(10);
-        let granted = instances[0].fleet.ask(ask("next", patience)).await;
+        let granted = instances[0]
+            .fleet
+            .request_permit(ask("next", patience))
+            .await;
         assert!(granted.is_ok(), "{granted:?}");
     });
 }
@@ -125,8 +163,12 @@
             .unwrap();
         let others: Vec<_> = instances.iter().filter(|i| i.member.id != home).collect();
         let leaving = instances.iter().find(|i| i.member.id == home).unwrap();
-        let holder = others[0].fleet.ask(ask("holder", SLACK)).await.unwrap();
-        let waiting = tokio::spawn(others[1].fleet.ask(ask("waiting", SLACK)));
+        let holder = others[0]
+            .fleet
+            .request_permit(ask("holder", SLACK))
+            .await
+            .unwrap();
+        let waiting = tokio::spawn(others[1].fleet.request_permit(ask("waiting", SLACK)));
         tokio::time::sleep(Duration::from_millis(200)).await;
         leaving.fleet.leave();
         tokio::time::sleep(Duration::from_millis(700)).await;
--- a/crates/tc-fleet/tests/fleet/suspects.rs
+++ b/crates/tc-fleet/tests/fleet/suspects.rs
@@ -32,7 +32,10 @@
         took,
         None,
     );
-    instance.fleet.crashed(Fingerprint(0xbad), upstream).await;
+    instance
+        .fleet
+        .report_crash(Fingerprint(0xbad), upstream)
+        .await;
 }
 
 #[test]
@@ -42,15 +45,30 @@
     // Cause: instances must tell each other of crashes before callers can send again.
     run(async {
         let (_platform, instances) = settled(3, 6, 4).await;
-        let permit = instances[0].fleet.ask(crashing(SLACK)).await.unwrap();
+        let permit = instances[0]
+            .fleet
+            .request_permit(crashing(SLACK))
+            .await
+            .unwrap();
         die(&instances[0], permit).await;
-        let permit = instances[1].fleet.ask(crashing(SLACK)).await.unwrap();
+        let permit = instances[1]
+            .fleet
+            .request_permit(crashing(SLACK))
+            .await
+            .unwrap();
         die(&instances[1], permit).await;
         for instance in &instances {
-            let refused = instance.fleet.ask(crashing(SLACK)).await.unwrap_err();
+            let refused = instance
+                .fleet
+                .request_permit(crashing(SLACK))
+                .await
+                .unwrap_err();
             assert_eq!(refused.reason, RefusalReason::Quarantined);
         }
-        let innocent = instances[2].fleet.ask(ask("innocent", SLACK)).await;
+        let innocent = instances[2]
+            .fleet
+            .request_permit(ask("innocent", SLACK))
+            .await;
         assert!(innocent.is_ok(), "{innocent:?}");
     });
 }
@@ -62,10 +80,18 @@
     // Cause: its trials must be counted at one place for the whole fleet.
     run(async {
         let (_platform, instances) = settled(3, 6, 4).await;
-        let permit = instances[0].fleet.ask(crashing(SLACK)).await.unwrap();
+        let permit = instances[0]
+            .fleet
+            .request_permit(crashing(SLACK))
+            .await
+            .unwrap();
         die(&instances[0], permit).await;
-        let trial = instances[1].fleet.ask(crashing(SLACK)).await.unwrap();
-        let second = instances[2].fleet.ask(crashing(SHORT)).await;
+        let trial = instances[1]
+            .fleet
+            .request_permit(crashing(SLACK))
+            .await
+            .unwrap();
+        let second = instances[2].fleet.request_permit(crashing(SHORT)).await;
         assert!(second.is_err(), "two trials at once: {second:?}");
         let took = Duration::from_millis(1);
         trial.settle(
@@ -75,8 +101,8 @@
             took,
             None,
         );
-        instances[1].fleet.ran_whole(Fingerprint(0xbad));
-        let third = instances[2].fleet.ask(crashing(SLACK)).await;
+        instances[1].fleet.report_completed(Fingerprint(0xbad));
+        let third = instances[2].fleet.request_permit(crashing(SLACK)).await;
         assert!(third.is_ok(), "{third:?}");
     });
 }
@@ -89,7 +115,11 @@
     run(async {
         let (platform, mut instances) = settled(2, 6, 4).await;
         for at in [0, 1] {
-            let permit = instances[at].fleet.ask(crashing(SLACK)).await.unwrap();
+            let permit = instances[at]
+                .fleet
+                .request_permit(crashing(SLACK))
+                .await
+                .unwrap();
             die(&instances[at], permit).await;
         }
         until("the quarantine is in the platform", || {
@@ -101,7 +131,7 @@
         let key = crate::common::KEY;
         let fresh = Instance::start("fresh", "kl-a", platform.address(), Vec::new(), key);
         until("the fresh instance refuses it", || {
-            let refused = futures::executor::block_on(fresh.fleet.ask(crashing(SHORT)));
+            let refused = futures::executor::block_on(fresh.fleet.request_permit(crashing(SHORT)));
             refused.is_err_and(|refused| refused.reason == RefusalReason::Quarantined)
         })
         .await;
@@ -125,18 +155,30 @@
         // By then its home has read a load report and told the others which life of the upstream it is.
         tokio::time::sleep(Duration::from_secs(2)).await;
         for instance in instances.iter().chain(&instances) {
-            let permit = instance.fleet.ask(crashing(SLACK)).await.unwrap();
+            let permit = instance
+                .fleet
+                .request_permit(crashing(SLACK))
+                .await
+                .unwrap();
             die(instance, permit).await;
         }
         for instance in &instances {
-            let granted = instance.fleet.ask(crashing(SLACK)).await;
+            let granted = instance.fleet.request_permit(crashing(SLACK)).await;
             assert!(granted.is_ok(), "{granted:?}");
         }
-        let permit = instances[0].fleet.ask(crashing(SLACK)).await.unwrap();
+        let permit = instances[0]
+            .fleet
+            .request_permit(crashing(SLACK))
+            .await
+            .unwrap();
         pool.faults().crash();
         die(&instances[0], permit).await;
-        let trial = instances[0].fleet.ask(crashing(SLACK)).await.unwrap();
-        let second = instances[1].fleet.ask(crashing(SHORT)).await;
+        let trial = instances[0]
+            .fleet
+            .request_permit(crashing(SLACK))
+            .await
+            .unwrap();
+        let second = instances[1].fleet.request_permit(crashing(SHORT)).await;
         assert!(second.is_err(), "a real death made no suspect: {second:?}");
         drop(trial);
     });
@@ -151,7 +193,11 @@
     run(async {
         let (platform, instances) = settled(2, 6, 4).await;
         for at in [0, 1] {
-            let permit = instances[at].fleet.ask(crashing(SLACK)).await.unwrap();
+            let permit = instances[at]
+                .fleet
+                .request_permit(crashing(SLACK))
+                .await
+                .unwrap();
             die(&instances[at], permit).await;
         }
         let kind = "tanagercroft-quarantine";
@@ -165,7 +211,7 @@
         );
         for instance in &instances {
             until("the request may run", || {
-                let asked = instance.fleet.ask(crashing(SHORT));
+                let asked = instance.fleet.request_permit(crashing(SHORT));
                 futures::executor::block_on(asked).is_ok()
             })
             .await;
--- a/crates/tc-operator/src/serve/control.rs
+++ b/crates/tc-operator/src/serve/control.rs
@@ -6,7 +6,7 @@
 };
 
 use tc_caller::{CallerServer, CallerSettings};
-use tc_fleet::{AskPolicy, Fleet, FleetError, FleetKeys, FleetSettings, LocalReport};
+use tc_fleet::{Fleet, FleetError, FleetKeys, FleetSettings, PermitPolicy, ReportHandlers};
 use tc_platform::{Claims, ClaimsSettings, Store, StoreSettings};
 use tc_protocol::{Incarnation, Member, MemberState, TcError};
 use tc_telemetry::MetricsHandle;
@@ -91,7 +91,7 @@
     });
     let claims = Claims::start(store.clone(), claims_settings(me));
     let running: Arc<OnceLock<Running>> = Arc::default();
-    let local = LocalReport {
+    let local = ReportHandlers {
         explain: report::explain_here(Arc::clone(&running)),
         report: report::report_here(Arc::clone(&running)),
     };
@@ -180,9 +180,9 @@
         seeds: settings.seeds.clone(),
         keys: FleetKeys::new(&keys).map_err(fleet_error)?,
         policy: if settings.baseline {
-            AskPolicy::Baseline
+            PermitPolicy::Baseline
         } else {
-            AskPolicy::Home
+            PermitPolicy::Home
         },
         membership: tc_membership::MembershipConfig::default(),
         traffic: traffic.clone(),
--- a/crates/tc-operator/src/serve/ports.rs
+++ b/crates/tc-operator/src/serve/ports.rs
@@ -18,7 +18,7 @@
     let join = claims.clone();
     Ports {
         view: Arc::new(move || view.view()),
-        ask: Arc::new(move |request| ask.ask(request)),
+        ask: Arc::new(move |request| ask.request_permit(request)),
         share: Arc::new(move |workspace| share.start_request(workspace)),
         claim: Arc::new(move |key, body_hash, wait| {
             let claims = claim.clone();
@@ -32,8 +32,8 @@
             let claims = join.clone();
             Box::pin(async move { claims.wait_recorded(&key, wait).await })
         }),
-        crashed: Arc::new(move |input, upstream| crashed.crashed(input, upstream)),
-        ran_whole: Arc::new(move |input| ran_whole.ran_whole(input)),
+        crashed: Arc::new(move |input, upstream| crashed.report_crash(input, upstream)),
+        ran_whole: Arc::new(move |input| ran_whole.report_completed(input)),
         addresses: Arc::new(move |workspace| addresses.addresses(workspace)),
     }
 }
--- a/crates/tc-operator/src/serve/report.rs
+++ b/crates/tc-operator/src/serve/report.rs
@@ -58,7 +58,7 @@
 /// This instance's own part.
 pub(super) async fn part(running: &Running) -> InstancePart {
     let view = running.fleet.view();
-    let (homes, _) = running.fleet.homes().await;
+    let (homes, _) = running.fleet.home_counts().await;
     let store = running.store.health();
     InstancePart {
         revision: view.config.revision,
@@ -103,7 +103,7 @@
 pub(super) async fn all_parts(running: &Running) -> BTreeMap<InstanceId, Option<InstancePart>> {
     let mut parts: BTreeMap<InstanceId, Option<InstancePart>> = running
         .fleet
-        .reports()
+        .peer_reports()
         .await
         .into_iter()
         .map(|(id, json)| (id, json.and_then(|json| serde_json::from_str(&json).ok())))
