--- a/crates/tc-fleet/src/config.rs
+++ b/crates/tc-fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration files this instance has in force, and deltas between instances.
+//! Deltas of the configuration object between instances.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::generated::{ConfigDelta, ConfigFileText};
 
-/// Files changed since `have_revision`, and the names of all files, so that the receiver can drop the others.
+/// Returns the files changed since `have_revision` and the names of all files, so that the receiver can drop the others.
 pub(crate) fn delta(object: &ConfigObject, have_revision: u64) -> ConfigDelta {
     let changed = object
         .files
@@ -32,10 +32,10 @@
     }
 }
 
-/// The whole object of a delta laid over what is in force, or `None` when a file is missing.
+/// Applies a delta to the active object and returns the complete new one, or `None` if a file is missing.
 ///
-/// A file can be missing when the sender and this instance disagree on what was in force here; half a configuration
-/// must never be taken up.
+/// A file is missing if the sender and this instance disagree on which revision was active here. A partial
+/// configuration must never be activated.
 pub(crate) fn apply_delta(base: &ConfigObject, delta: ConfigDelta) -> Option<ConfigObject> {
     let mut changed: BTreeMap<String, ConfigFile> = delta
         .changed
@@ -66,7 +66,7 @@
     })
 }
 
-/// The configuration an object holds, validated whole.
-pub(crate) fn read(object: &ConfigObject) -> Result<FleetConfig, ConfigError> {
+/// Parses and validates the complete configuration of an object.
+pub(crate) fn parse(object: &ConfigObject) -> Result<FleetConfig, ConfigError> {
     merge(&object_files(object), object.revision)
 }
--- a/crates/tc-fleet/src/entry/baseline.rs
+++ b/crates/tc-fleet/src/entry/baseline.rs
@@ -1,4 +1,4 @@
-//! The baseline policy that experiments compare with: round robin, granted at once, no homes.
+//! The baseline policy for experiments: round robin without homes, which grants every permit immediately.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering::Relaxed},
@@ -11,14 +11,14 @@
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Takes the upstreams of each service in turn.
+/// Selects upstreams in turn.
 #[derive(Default)]
 pub(crate) struct RoundRobin {
     next: AtomicUsize,
 }
 
 impl RoundRobin {
-    pub(crate) fn ask(
+    pub(crate) fn request_permit(
         &self,
         view: &FleetView,
         request: &PermitRequest,
--- a/crates/tc-fleet/src/entry/held.rs
+++ b/crates/tc-fleet/src/entry/held.rs
@@ -1,4 +1,4 @@
-//! Permits this instance holds, so that they can be told to a new home and given back to the right one.
+//! Permits held by this instance, tracked so that they can be announced to a new home and released to the right one.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -10,11 +10,11 @@
 use tc_protocol::{FleetView, InstanceId, MonoTime, ServiceName, UpstreamId};
 
 slotmap::new_key_type! {
-    /// One held permit.
+    /// Identifies a held permit.
     pub(crate) struct HeldKey;
 }
 
-/// A permit and where it was granted.
+/// A held permit with its upstream and current home.
 pub(crate) struct Held {
     pub(crate) service: ServiceName,
     pub(crate) upstream: UpstreamId,
@@ -23,14 +23,14 @@
     pub(crate) expires_at: MonoTime,
 }
 
-/// A permit that its new home has to be told of.
-pub(crate) struct Announce {
+/// A held permit to announce to its new home.
+pub(crate) struct PermitAnnouncement {
     pub(crate) upstream: UpstreamId,
     pub(crate) home: InstanceId,
     pub(crate) permit: HeldPermit,
 }
 
-/// All held permits.
+/// All permits held by this instance.
 #[derive(Default)]
 pub(crate) struct HeldTable {
     permits: Mutex<SlotMap<HeldKey, Held>>,
@@ -45,11 +45,11 @@
         self.lock().remove(key)
     }
 
-    /// Moves permits to the homes of `view`; returns those that moved, to be announced there.
+    /// Updates the homes of all permits from `view`. Returns the permits whose home changed, to announce them there.
     ///
-    /// A new home does not know what runs on its upstream. Without the announcement it would grant up to the full
-    /// concurrency again, seen as a doubled load on the upstream after each change of membership.
-    pub(crate) fn rehome(&self, now: MonoTime, view: &FleetView) -> Vec<Announce> {
+    /// A new home does not know which calls run on its upstream. Without the announcement it would grant the full
+    /// concurrency again and double the load on the upstream after each membership change.
+    pub(crate) fn rehome(&self, now: MonoTime, view: &FleetView) -> Vec<PermitAnnouncement> {
         let mut moved = Vec::new();
         for held in self.lock().values_mut() {
             let state = view.upstream(&held.service, &held.upstream);
@@ -63,7 +63,7 @@
             let mut permit = held.permit.clone();
             permit.expires_in = held.expires_at.since(now);
             if permit.expires_in > Duration::ZERO {
-                moved.push(Announce {
+                moved.push(PermitAnnouncement {
                     upstream: held.upstream.clone(),
                     home: home.clone(),
                     permit,
--- a/crates/tc-fleet/src/entry/mod.rs
+++ b/crates/tc-fleet/src/entry/mod.rs
@@ -1,10 +1,10 @@
-//! The entry's side of permits: choosing an upstream, asking its home, keeping and giving back what was granted.
+//! The entry's side of permits: selects an upstream, requests a permit from its home, tracks and releases it.
 
-mod ask;
 mod baseline;
 mod held;
+mod permit_client;
 mod route;
 mod target;
 
-pub(crate) use ask::{AskDesk, DeskArgs};
 pub(crate) use held::HeldTable;
+pub(crate) use permit_client::{PermitClient, PermitClientArgs};
--- a/crates/tc-fleet/src/entry/ask.rs
+++ b/crates/tc-fleet/src/entry/permit_client.rs
@@ -1,4 +1,5 @@
-//! Asks: choose an upstream, ask its home, follow redirects, give up truthfully.
+//! Permit requests: selects an upstream, requests a permit from its home, follows redirects and reports why no permit
+//! was obtained.
 
 use std::{
     collections::HashSet,
@@ -21,36 +22,36 @@
 use super::{
     baseline::RoundRobin,
     held::{Held, HeldKey, HeldTable},
-    route::{CancelGuard, Granted, Route, guarded},
+    route::{CancelGuard, Granted, Route, into_granted},
     target::Target,
 };
 use crate::{
     PermitPolicy, convert,
     generated::PermitAsk,
-    homes::{HomeAnswer, HomeAsk, HomeVerdict, HomesMsg},
+    homes::{HomeAnswer, HomeRequest, HomeVerdict, HomesMsg},
     node::NodeMsg,
     peers::{PeerPool, ToHome},
     summary::{SummaryTable, UseGuard},
     suspects::{CalledUpstream, Origin, SuspectTable, TrialGuard},
 };
 
-/// Redirects followed before the ask queues where it is.
-pub(super) const REDIRECTS: u32 = 2;
-/// Homes tried that refused or could not be reached before the ask gives up.
-const HOMES_TRIED: u32 = 4;
-/// Wait for membership to move the homes when none can be reached.
-const REHOME_WAIT: Duration = Duration::from_millis(50);
-/// Advice when nothing better is known.
+/// Maximum number of redirects; after that, the request queues at the home it is sent to.
+pub(super) const MAX_REDIRECTS: u32 = 2;
+/// Maximum number of homes tried that refused or were unreachable.
+const MAX_FAILURES: u32 = 4;
+/// Delay for membership to reassign homes before a request is tried again.
+const REHOME_DELAY: Duration = Duration::from_millis(50);
+/// Retry hint if the home gave none.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What an ask ends with when its slack runs out before anything else is known.
+/// Refusal of a request whose slack ran out before any home refused it.
 const TOO_LATE: PermitRefusal = PermitRefusal {
     reason: RefusalReason::TooLate,
     retry_after: RETRY_AFTER,
 };
 
-/// What an [`AskDesk`] is made of.
-pub(crate) struct DeskArgs {
+/// Arguments of [`PermitClient::new`].
+pub(crate) struct PermitClientArgs {
     pub(crate) me: InstanceId,
     pub(crate) policy: PermitPolicy,
     pub(crate) view: Arc<ArcSwap<FleetView>>,
@@ -62,14 +63,14 @@
     pub(crate) suspects: Arc<SuspectTable>,
 }
 
-/// Serves the asks of this instance's requests.
-pub(crate) struct AskDesk {
-    pub(super) args: DeskArgs,
-    next_ask: AtomicU64,
+/// Obtains permits for the requests of this instance.
+pub(crate) struct PermitClient {
+    pub(super) args: PermitClientArgs,
+    next_number: AtomicU64,
     round_robin: RoundRobin,
 }
 
-/// What one ask has learnt so far.
+/// State of one permit request across its attempts.
 #[derive(Default)]
 pub(super) struct Progress {
     pub(super) redirects: u32,
@@ -78,25 +79,27 @@
     pub(super) preferred: Option<UpstreamId>,
     pub(super) refused: HashSet<UpstreamId>,
     pub(super) unreachable: HashSet<InstanceId>,
-    pub(super) last: Option<PermitRefusal>,
+    pub(super) last_refusal: Option<PermitRefusal>,
 }
 
-impl AskDesk {
-    pub(crate) fn new(args: DeskArgs) -> Self {
+impl PermitClient {
+    pub(crate) fn new(args: PermitClientArgs) -> Self {
         Self {
             args,
-            next_ask: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             round_robin: RoundRobin::default(),
         }
     }
 
-    /// Gets a permit for some upstream of the service, or a refusal that means the call was not sent.
+    /// Requests a permit for any upstream of the service. After a refusal, the call has not been sent.
     pub(crate) async fn request_permit(
         self: Arc<Self>,
         request: PermitRequest,
     ) -> Result<Permit, PermitRefusal> {
         if self.args.policy == PermitPolicy::Baseline {
-            return self.round_robin.ask(&self.args.view.load(), &request);
+            return self
+                .round_robin
+                .request_permit(&self.args.view.load(), &request);
         }
         let started = MonoTime::now();
         let suspects = &self.args.suspects;
@@ -106,44 +109,44 @@
         let mut progress = Progress::default();
         loop {
             let left = request.slack.saturating_sub(MonoTime::now().since(started));
-            // Without slack an ask may still be granted at once, but only where it is asked first.
-            if left.is_zero() && progress.last.is_some() {
-                return Err(no_upstream(&progress));
+            // Without slack, a permit can still be granted immediately, but only by the first home.
+            if left.is_zero() && progress.last_refusal.is_some() {
+                return Err(final_refusal(&progress));
             }
-            let Some(target) = self.target(&request, &mut progress) else {
-                // Redirected, but there is nowhere else: wait where it was asked first.
-                if progress.redirects < REDIRECTS && !progress.redirected.is_empty() {
-                    progress.redirects = REDIRECTS;
+            let Some(target) = self.choose_target(&request, &mut progress) else {
+                // Redirected but without any other upstream: queue at one that has redirected the request.
+                if progress.redirects < MAX_REDIRECTS && !progress.redirected.is_empty() {
+                    progress.redirects = MAX_REDIRECTS;
                     continue;
                 }
-                if progress.unreachable.is_empty() || left <= REHOME_WAIT {
-                    return Err(no_upstream(&progress));
+                if progress.unreachable.is_empty() || left <= REHOME_DELAY {
+                    return Err(final_refusal(&progress));
                 }
-                tokio::time::sleep(REHOME_WAIT).await;
+                tokio::time::sleep(REHOME_DELAY).await;
                 progress.unreachable.clear();
                 continue;
             };
-            let may_redirect = progress.redirects < REDIRECTS;
+            let may_redirect = progress.redirects < MAX_REDIRECTS;
             let answer = self
-                .ask_home(&request, &target, left, may_redirect, trial.is_some())
+                .request_from_home(&request, &target, left, may_redirect, trial.is_some())
                 .await;
             match answer {
-                Some(Ok(grant)) => return Ok(self.permit(&request, &target, grant, trial)),
+                Some(Ok(grant)) => return Ok(self.build_permit(&request, &target, grant, trial)),
                 Some(Err(verdict)) if is_moved(&verdict, &target) => {
-                    progress.last.get_or_insert(TOO_LATE);
-                    tokio::time::sleep(REHOME_WAIT.min(left)).await;
+                    progress.last_refusal.get_or_insert(TOO_LATE);
+                    tokio::time::sleep(REHOME_DELAY.min(left)).await;
                 }
-                Some(Err(verdict)) => Self::note(&mut progress, &target, verdict),
-                None => self.unreachable(&mut progress, &target),
+                Some(Err(verdict)) => Self::note_verdict(&mut progress, &target, verdict),
+                None => self.note_unreachable(&mut progress, &target),
             }
-            if progress.failures >= HOMES_TRIED {
-                return Err(no_upstream(&progress));
+            if progress.failures >= MAX_FAILURES {
+                return Err(final_refusal(&progress));
             }
         }
     }
 
-    /// `None`: the home cannot be reached.
-    async fn ask_home(
+    /// Sends one request to the home of the target. Returns `None` if the home is unreachable.
+    async fn request_from_home(
         &self,
         request: &PermitRequest,
         target: &Target,
@@ -151,43 +154,43 @@
         may_redirect: bool,
         suspect: bool,
     ) -> Option<Result<Granted, HomeVerdict>> {
-        let number = self.next_ask.fetch_add(1, Relaxed);
+        let number = self.next_number.fetch_add(1, Relaxed);
         let id = target.state.upstream.id.clone();
         let _in_use = self.args.summaries.cell(&id).map(UseGuard::new);
         let (on_answer, answer) = oneshot::channel();
-        // A grant that nobody takes gives itself back, so that an ask dropped at any moment leaks nothing.
+        // A grant that is not received releases itself, so that a request can be dropped at any time without a leak.
         let route = self.route(&id, &target.home);
         let deliver = move |answer: Option<HomeAnswer>| {
-            let _ = on_answer.send(answer.map(|answer| guarded(answer, route)));
+            let _ = on_answer.send(answer.map(|answer| into_granted(answer, route)));
         };
-        let home_ask = self.home_ask(request, number, slack, may_redirect, suspect);
+        let home_request = self.home_request(request, number, slack, may_redirect, suspect);
         let mut cancel = CancelGuard {
             route: Some(self.route(&id, &target.home)),
             number,
         };
-        self.send_ask(request, target, home_ask, Box::new(deliver));
+        self.send_request(request, target, home_request, Box::new(deliver));
         let answer = answer.await.ok().flatten();
         cancel.route = None;
         answer
     }
 
-    fn home_ask(
+    fn home_request(
         &self,
         request: &PermitRequest,
         number: u64,
         slack: Duration,
         may_redirect: bool,
         suspect: bool,
-    ) -> HomeAsk {
+    ) -> HomeRequest {
         let view = self.args.view.load();
         let weight = view
             .config
             .workspaces
             .get(&request.workspace)
             .map_or(1, |w| w.weight);
-        HomeAsk {
+        HomeRequest {
             entry: self.args.me.clone(),
-            ask: number,
+            number,
             workspace: request.workspace.clone(),
             weight,
             priority: request.priority,
@@ -200,19 +203,19 @@
         }
     }
 
-    fn send_ask(
+    fn send_request(
         &self,
         request: &PermitRequest,
         target: &Target,
-        home_ask: HomeAsk,
+        home_request: HomeRequest,
         deliver: Box<dyn FnOnce(Option<HomeAnswer>) + Send>,
     ) {
         let upstream = target.state.upstream.id.clone();
         if target.home == self.args.me {
             let reply = Box::new(move |answer| deliver(Some(answer)));
-            let _ = self.args.homes.cast(HomesMsg::Ask {
+            let _ = self.args.homes.cast(HomesMsg::RequestPermit {
                 upstream,
-                ask: home_ask,
+                request: home_request,
                 on_queued: Box::new(|| ()),
                 reply,
             });
@@ -224,7 +227,7 @@
             return;
         };
         let message = ToHome::Ask {
-            ask: ask_to_wire(request, &upstream, &home_ask),
+            ask: request_to_wire(request, &upstream, &home_request),
             on_answer: deliver,
         };
         self.args.peers.get(member).send(message);
@@ -241,7 +244,7 @@
         }
     }
 
-    fn note(progress: &mut Progress, target: &Target, verdict: HomeVerdict) {
+    fn note_verdict(progress: &mut Progress, target: &Target, verdict: HomeVerdict) {
         let id = target.state.upstream.id.clone();
         match verdict {
             HomeVerdict::Redirect { better, .. } => {
@@ -256,7 +259,7 @@
             } => {
                 progress.failures += 1;
                 progress.refused.insert(id);
-                progress.last = Some(PermitRefusal {
+                progress.last_refusal = Some(PermitRefusal {
                     reason,
                     retry_after,
                 });
@@ -265,10 +268,10 @@
         }
     }
 
-    fn unreachable(&self, progress: &mut Progress, target: &Target) {
+    fn note_unreachable(&self, progress: &mut Progress, target: &Target) {
         progress.failures += 1;
         progress.unreachable.insert(target.home.clone());
-        progress.last = Some(PermitRefusal {
+        progress.last_refusal = Some(PermitRefusal {
             reason: RefusalReason::HomeUnreachable,
             retry_after: RETRY_AFTER,
         });
@@ -276,7 +279,7 @@
         let _ = self.args.node.cast(NodeMsg::Doubt(target.home.clone()));
     }
 
-    fn permit(
+    fn build_permit(
         &self,
         request: &PermitRequest,
         target: &Target,
@@ -285,13 +288,13 @@
     ) -> Permit {
         let (permit, expires_in, waited) = granted.disarm();
         let id = target.state.upstream.id.clone();
-        let key = self.hold(request, target, permit, expires_in);
+        let key = self.track_held(request, target, permit, expires_in);
         let in_use = self.args.summaries.cell(&id).map(UseGuard::new);
-        let give_back = self.give_back(key, &id, &target.home);
+        let release_to_home = self.release_fn(key, &id, &target.home);
         let suspects = Arc::clone(&self.args.suspects);
         let fingerprint = request.fingerprint;
         let origin = origin(request);
-        let called = self.called(target);
+        let called = self.called_upstream(target);
         let on_release = move |release: Release| {
             drop(in_use);
             if release.outcome == Outcome::Died {
@@ -301,7 +304,7 @@
             if let Some(trial) = trial {
                 trial.end(release.outcome);
             }
-            give_back(release);
+            release_to_home(release);
         };
         let address = target.state.upstream.address;
         let grant = Grant {
@@ -314,8 +317,8 @@
         Permit::new(grant, target.why.to_owned(), on_release)
     }
 
-    /// Enters a granted permit into the table of those held here.
-    fn hold(
+    /// Adds a granted permit to the table of held permits.
+    fn track_held(
         &self,
         request: &PermitRequest,
         target: &Target,
@@ -338,7 +341,7 @@
         })
     }
 
-    fn called(&self, target: &Target) -> CalledUpstream {
+    fn called_upstream(&self, target: &Target) -> CalledUpstream {
         let upstream = &target.state.upstream;
         let cell = self.args.summaries.cell(&upstream.id);
         CalledUpstream {
@@ -347,7 +350,7 @@
         }
     }
 
-    fn give_back(
+    fn release_fn(
         &self,
         key: HeldKey,
         upstream: &UpstreamId,
@@ -356,7 +359,7 @@
         let held = Arc::clone(&self.args.held);
         let mut route = self.route(upstream, granted_by);
         move |release| {
-            // The home may have moved since the grant; the new one was told of the permit.
+            // The home may have changed since the grant; the permit was announced to the new one.
             if let Some(held) = held.remove(key) {
                 route.home = held.home;
             }
@@ -365,7 +368,8 @@
     }
 }
 
-/// Whether the home says that the upstream has another home, which this instance's view will show in a moment.
+/// Returns whether the home redirects to the same upstream, whose home has changed. This instance's view will show the
+/// new home soon.
 fn is_moved(verdict: &HomeVerdict, target: &Target) -> bool {
     let upstream = &target.state.upstream.id;
     matches!(verdict, HomeVerdict::Redirect { better: Some(better), .. } if better == upstream)
@@ -378,30 +382,34 @@
     }
 }
 
-fn no_upstream(progress: &Progress) -> PermitRefusal {
-    progress.last.unwrap_or(PermitRefusal {
+fn final_refusal(progress: &Progress) -> PermitRefusal {
+    progress.last_refusal.unwrap_or(PermitRefusal {
         reason: RefusalReason::NoUpstream,
         retry_after: RETRY_AFTER,
     })
 }
 
-fn ask_to_wire(request: &PermitRequest, upstream: &UpstreamId, home_ask: &HomeAsk) -> PermitAsk {
+fn request_to_wire(
+    request: &PermitRequest,
+    upstream: &UpstreamId,
+    home_request: &HomeRequest,
+) -> PermitAsk {
     PermitAsk {
-        ask: home_ask.ask,
+        ask: home_request.number,
         upstream: upstream.to_string(),
         service: request.service.to_string(),
         workspace: request.workspace.to_string(),
         request: request.request.to_string(),
         attempt: request.attempt.0,
         priority: u32::from(request.priority),
-        slack_ms: convert::millis(home_ask.slack),
-        run_for_ms: convert::millis(home_ask.run_for),
+        slack_ms: convert::millis(home_request.slack),
+        run_for_ms: convert::millis(home_request.run_for),
         estimate: Some(convert::cost_to_wire(&request.estimate)),
         fingerprint: request.fingerprint.0,
         has_prefix: request.prefix.is_some(),
         prefix: request.prefix.unwrap_or_default(),
-        no_redirect: !home_ask.may_redirect,
-        suspect: home_ask.suspect,
-        weight: home_ask.weight,
+        no_redirect: !home_request.may_redirect,
+        suspect: home_request.suspect,
+        weight: home_request.weight,
     }
 }
--- a/crates/tc-fleet/src/entry/route.rs
+++ b/crates/tc-fleet/src/entry/route.rs
@@ -1,4 +1,4 @@
-//! The way from an entry to one upstream's home, and the guards that give back what came along it.
+//! The route from an entry to the home of an upstream, and guards that cancel requests and release permits over it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
     peers::{PeerPool, ToHome, unused_release},
 };
 
-/// The way to one upstream's home, usable from a destructor.
+/// Route to the home of an upstream. It does not block, so it can be used in a destructor.
 pub(super) struct Route {
     pub(super) upstream: UpstreamId,
     pub(super) home: InstanceId,
@@ -38,7 +38,7 @@
             let _ = self.homes.cast(HomesMsg::Cancel {
                 upstream: Some(self.upstream.clone()),
                 entry: self.me.clone(),
-                ask: number,
+                number,
             });
         } else if let Some(member) = self.view.load().member(&self.home) {
             self.peers.get(member).send(ToHome::Cancel(number));
@@ -46,7 +46,7 @@
     }
 }
 
-/// Cancels the ask at its home when the asking future is dropped before the answer.
+/// Cancels the permit request at its home if the requesting future is dropped before the answer.
 pub(super) struct CancelGuard {
     pub(super) route: Option<Route>,
     pub(super) number: u64,
@@ -60,7 +60,7 @@
     }
 }
 
-/// A grant that gives itself back unless it is turned into a permit.
+/// A grant that releases itself when dropped, unless it was turned into a permit.
 pub(super) struct Granted {
     pub(super) route: Option<Route>,
     pub(super) permit: PermitId,
@@ -83,8 +83,8 @@
     }
 }
 
-/// Turns an answer into a guarded grant or the verdict against it.
-pub(super) fn guarded(answer: HomeAnswer, route: Route) -> Result<Granted, HomeVerdict> {
+/// Returns the grant with its guard, or any other verdict as the error.
+pub(super) fn into_granted(answer: HomeAnswer, route: Route) -> Result<Granted, HomeVerdict> {
     match answer.verdict {
         HomeVerdict::Granted {
             permit,
--- a/crates/tc-fleet/src/entry/target.rs
+++ b/crates/tc-fleet/src/entry/target.rs
@@ -1,21 +1,21 @@
-//! Which upstream to ask for next.
+//! Selection of the upstream to request a permit for.
 
 use std::{sync::atomic::Ordering::Relaxed, time::Duration};
 
 use tc_policy::{UpstreamCandidate, UpstreamChoice, choose_upstream};
 use tc_protocol::{FleetView, InstanceId, MonoTime, PermitRequest, UpstreamState};
 
-use super::ask::{AskDesk, Progress, REDIRECTS};
+use super::permit_client::{MAX_REDIRECTS, PermitClient, Progress};
 
-/// An upstream and the home to ask.
+/// A selected upstream and its home.
 pub(super) struct Target {
     pub(super) state: UpstreamState,
     pub(super) home: InstanceId,
     pub(super) why: &'static str,
 }
 
-impl AskDesk {
-    pub(super) fn target(
+impl PermitClient {
+    pub(super) fn choose_target(
         &self,
         request: &PermitRequest,
         progress: &mut Progress,
@@ -52,15 +52,15 @@
 
     fn is_usable(state: &UpstreamState, progress: &Progress) -> bool {
         let id = &state.upstream.id;
-        let tried = progress.redirects < REDIRECTS && progress.redirected.contains(id);
-        let home_is_there = state
+        let was_redirected = progress.redirects < MAX_REDIRECTS && progress.redirected.contains(id);
+        let home_is_reachable = state
             .home
             .as_ref()
             .is_some_and(|home| !progress.unreachable.contains(home));
-        home_is_there && !tried && !progress.refused.contains(id)
+        home_is_reachable && !was_redirected && !progress.refused.contains(id)
     }
 
-    /// The upstream with the newest load that any thread has heard.
+    /// Returns the upstream with the latest load summary received by any thread.
     fn candidate<'a>(
         &self,
         now: MonoTime,
@@ -68,12 +68,12 @@
         state: &'a UpstreamState,
     ) -> UpstreamCandidate<'a> {
         let cell = self.args.summaries.cell(&state.upstream.id);
-        let heard = cell.as_ref().and_then(|cell| cell.load(now));
+        let latest = cell.as_ref().and_then(|cell| cell.load(now));
         UpstreamCandidate {
             state,
-            summary: heard.map(|(summary, _, _)| summary).or(state.summary),
-            leaving: state.leaving || heard.is_some_and(|(_, leaving, _)| leaving),
-            summary_age: heard.map_or(Duration::MAX, |(_, _, age)| age),
+            summary: latest.map(|(summary, _, _)| summary).or(state.summary),
+            leaving: state.leaving || latest.is_some_and(|(_, leaving, _)| leaving),
+            summary_age: latest.map_or(Duration::MAX, |(_, _, age)| age),
             own_in_flight: cell.map_or(0, |cell| cell.own_in_flight.load(Relaxed)),
             distance_ms: distance_ms(view, state),
         }
--- a/crates/tc-fleet/src/fleet.rs
+++ b/crates/tc-fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting the fleet layer, and the handle that the rest of the process uses.
+//! The handle of the fleet layer for the rest of the process.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,26 +19,26 @@
 
 use crate::{
     FleetError, FleetSettings,
-    entry::{AskDesk, DeskArgs},
+    entry::{PermitClient, PermitClientArgs},
     generated::{ExplainQuestion, LeaveOrder, ReportQuestion},
     homes::HomesMsg,
     node::{NodeActor, NodeArgs, NodeMsg, NodeParts},
-    orders::{OrderDesk, run_planner},
+    orders::{OrderRelay, run_planner},
     peers::timed,
     server::ServiceParts,
     start::{serve, start_parts, start_tasks},
     store_watch::DRAIN_KIND,
 };
 
-/// What this instance tells other instances of itself, as JSON texts.
+/// Produce the JSON that this instance returns to other instances about itself.
 pub struct ReportHandlers {
-    /// The explanation of a request kept here.
+    /// Returns the explanation of a request that this instance accepted.
     pub explain: Box<dyn Fn(RequestId) -> BoxFuture<'static, Option<String>> + Send + Sync>,
-    /// This instance's part of a fleet report.
+    /// Returns this instance's part of a fleet report.
     pub report: Box<dyn Fn(()) -> BoxFuture<'static, Option<String>> + Send + Sync>,
 }
 
-/// Handle of the fleet layer; clones share it.
+/// Handle of the fleet layer. Clones share the same layer.
 #[derive(Clone)]
 pub struct Fleet {
     inner: Arc<Inner>,
@@ -47,19 +47,19 @@
 struct Inner {
     parts: NodeParts,
     node: ActorRef<NodeMsg>,
-    desk: Arc<AskDesk>,
+    permits: Arc<PermitClient>,
 }
 
 impl Fleet {
-    /// Starts actors, sockets and tasks on the current runtime, which is the control thread's.
+    /// Starts actors, sockets and tasks on the current runtime, which must be the control thread's.
     ///
     /// # Errors
-    /// [`FleetError::Listen`] when the address is taken, [`FleetError::Actors`] when an actor does not start.
+    /// Returns [`FleetError::Listen`] if the address cannot be bound and [`FleetError::Actors`] if an actor does not start.
     pub async fn start(
         settings: FleetSettings,
         store: Store,
         upstream: UpstreamClient,
-        local: ReportHandlers,
+        reports: ReportHandlers,
     ) -> Result<Self, FleetError> {
         let address = settings.fleet_listen;
         let listen = |source| FleetError::Listen { address, source };
@@ -79,51 +79,58 @@
             parts: parts.clone(),
             node: node.clone(),
             orders: start_orders(&parts, upstream),
-            explain: local.explain,
-            report: local.report,
+            explain: reports.explain,
+            report: reports.report,
         };
         serve(&settings, listener, service);
-        let desk = Arc::new(AskDesk::new(desk_args(&settings, &parts, &node)));
+        let permits = Arc::new(PermitClient::new(permit_client_args(
+            &settings, &parts, &node,
+        )));
         Ok(Self {
-            inner: Arc::new(Inner { parts, node, desk }),
+            inner: Arc::new(Inner {
+                parts,
+                node,
+                permits,
+            }),
         })
     }
 
-    /// The fleet as of now; never waits.
+    /// Returns the current view of the fleet. Never blocks.
     #[must_use]
     pub fn view(&self) -> Arc<FleetView> {
         self.inner.parts.view.load_full()
     }
 
-    /// Gets a permit to call some upstream of the asked service.
+    /// Requests a permit to call any upstream of the requested service.
     #[must_use]
     pub fn request_permit(
         &self,
         request: PermitRequest,
     ) -> BoxFuture<'static, Result<Permit, PermitRefusal>> {
-        Box::pin(Arc::clone(&self.inner.desk).request_permit(request))
+        Box::pin(Arc::clone(&self.inner.permits).request_permit(request))
     }
 
-    /// Counts one request against its workspace's limits; the error is when to ask again.
+    /// Counts one request against its workspace's limits. The error is the time after which to try again.
     pub fn start_request(
         &self,
         workspace: &WorkspaceName,
     ) -> Result<WorkspaceLimitGuard, Duration> {
-        self.inner.parts.limits.start(workspace)
+        self.inner.parts.limits.try_start(workspace)
     }
 
-    /// Tells that an upstream died under an input; done once the fleet is warned.
+    /// Reports that an upstream crashed while it ran an input. Completes after the other instances had time to learn of
+    /// it.
     #[must_use]
     pub fn report_crash(&self, input: Fingerprint, upstream: UpstreamId) -> BoxFuture<'static, ()> {
         Box::pin(Arc::clone(&self.inner.parts.suspects).report_crash(input, upstream))
     }
 
-    /// Tells that an input ran to its end.
+    /// Reports that an input ran to a complete result.
     pub fn report_completed(&self, input: Fingerprint) {
         self.inner.parts.suspects.report_completed(input);
     }
 
-    /// The addresses a workspace's callers should use.
+    /// Returns the addresses that a workspace's callers should use.
     #[must_use]
     pub fn addresses(&self, workspace: &WorkspaceName) -> AddressAnswer {
         let view = self.view();
@@ -133,36 +140,42 @@
             .workspaces
             .get(workspace)
             .map_or(1, |w| w.weight);
-        let near = &view.me.failure_domain;
-        let instances = shuffle_shard(workspace, weight, policy.shard_size, &view.members, near)
-            .into_iter()
-            .map(|member| CallerAddress {
-                id: member.id.clone(),
-                incarnation: member.incarnation,
-                address: member.caller_address,
-                failure_domain: member.failure_domain.clone(),
-                binding: format!("{}@{}", member.id, member.incarnation),
-            })
-            .collect();
+        let own_domain = &view.me.failure_domain;
+        let instances = shuffle_shard(
+            workspace,
+            weight,
+            policy.shard_size,
+            &view.members,
+            own_domain,
+        )
+        .into_iter()
+        .map(|member| CallerAddress {
+            id: member.id.clone(),
+            incarnation: member.incarnation,
+            address: member.caller_address,
+            failure_domain: member.failure_domain.clone(),
+            binding: format!("{}@{}", member.id, member.incarnation),
+        })
+        .collect();
         AddressAnswer {
             instances,
             max_age_s: policy.address_max_age_s,
         }
     }
 
-    /// First step of a planned stop: tells everyone that this instance is leaving.
+    /// Announces that this instance is leaving, which is the first step of a planned shutdown.
     pub fn leave(&self) {
         let _ = self.inner.node.cast(NodeMsg::Leave);
     }
 
-    /// Upstreams homed here and permits they have in flight.
+    /// Returns the number of homes on this instance and of their permits in flight.
     pub async fn home_counts(&self) -> (usize, usize) {
         let (reply, answer) = oneshot::channel();
         let _ = self.inner.parts.homes.cast(HomesMsg::Count(reply));
         answer.await.unwrap_or_default()
     }
 
-    /// Configuration revisions: in force here, lowest over live instances, newest known.
+    /// Returns the configuration revisions: active here, lowest of all live instances, and newest known.
     pub async fn revisions(&self) -> (u64, u64, u64) {
         match crate::server::ask(&self.inner.node, NodeMsg::Revisions).await {
             Ok(revisions) => (revisions.in_force, revisions.lowest, revisions.newest),
@@ -170,7 +183,7 @@
         }
     }
 
-    /// Last known load of an upstream and the age of that knowledge.
+    /// Returns the latest load summary of an upstream and its age.
     #[must_use]
     pub fn summary(&self, upstream: &UpstreamId) -> Option<(UpstreamSummary, Duration)> {
         let cell = self.inner.parts.summaries.cell(upstream)?;
@@ -178,7 +191,7 @@
             .map(|(summary, _, age)| (summary, age))
     }
 
-    /// Explanation of a request as JSON, fetched from the instance that accepted it.
+    /// Fetches the explanation of a request as JSON from the instance that accepted it.
     pub async fn explain(&self, request: &RequestId) -> Option<String> {
         let view = self.view();
         let member = view.member(&request.entry_instance()?)?;
@@ -190,7 +203,7 @@
         (!answer.json.is_empty()).then_some(answer.json)
     }
 
-    /// Every other live instance's report as JSON, by instance; `None` for those that did not answer.
+    /// Fetches the reports of all other members as JSON; `None` for those that did not answer.
     pub async fn peer_reports(&self) -> Vec<(InstanceId, Option<String>)> {
         let view = self.view();
         let others = view.members.iter().filter(|member| member.id != view.me.id);
@@ -210,9 +223,10 @@
         futures::future::join_all(calls).await
     }
 
-    /// Takes an instance out of the address answers and moves its homes away, or lets it come back.
+    /// Drains an instance, so that callers no longer get its address and its homes move away, or undoes the drain.
     ///
-    /// The error says why it could not be told.
+    /// # Errors
+    /// Returns the reason as text if the instance is unknown or could not be reached.
     pub async fn drain_instance(&self, id: &InstanceId, drained: bool) -> Result<(), String> {
         let view = self.view();
         if *id == view.me.id {
@@ -235,19 +249,19 @@
             .map_err(|status| peer.failed(&status).to_string())
     }
 
-    /// Whether an operator drained the upstream, as of the last read of the marks.
+    /// Returns whether the upstream was drained by an operator, as of the last read of the drain marks.
     #[must_use]
     pub fn is_drained(&self, id: &UpstreamId) -> bool {
         self.inner.parts.drained.load().contains(id)
     }
 
-    /// Marks an upstream as drained, or takes the mark away, in the platform's store.
+    /// Adds or removes the drain mark of an upstream in the platform's store.
     pub async fn drain_upstream(&self, id: &UpstreamId, drained: bool) -> Result<(), StoreError> {
         let store = &self.inner.parts.store;
-        let now = store
+        let found = store
             .get(Purpose::Operator, DRAIN_KIND, id.as_str())
             .await?;
-        match (now, drained) {
+        match (found, drained) {
             (None, true) => {
                 let value = serde_json::json!({ "drained": true });
                 store
@@ -265,8 +279,8 @@
     }
 }
 
-fn start_orders(parts: &NodeParts, upstream: UpstreamClient) -> Arc<OrderDesk> {
-    let orders = Arc::new(OrderDesk::new(
+fn start_orders(parts: &NodeParts, upstream: UpstreamClient) -> Arc<OrderRelay> {
+    let orders = Arc::new(OrderRelay::new(
         Arc::clone(&parts.known),
         Arc::clone(&parts.view),
         parts.store.clone(),
@@ -276,8 +290,12 @@
     orders
 }
 
-fn desk_args(settings: &FleetSettings, parts: &NodeParts, node: &ActorRef<NodeMsg>) -> DeskArgs {
-    DeskArgs {
+fn permit_client_args(
+    settings: &FleetSettings,
+    parts: &NodeParts,
+    node: &ActorRef<NodeMsg>,
+) -> PermitClientArgs {
+    PermitClientArgs {
         me: settings.me.id.clone(),
         policy: settings.policy,
         view: Arc::clone(&parts.view),
--- a/crates/tc-fleet/src/homes/slot.rs
+++ b/crates/tc-fleet/src/homes/local_home.rs
@@ -1,4 +1,4 @@
-//! One upstream's home on this instance and the asks waiting at it.
+//! The home of one upstream on this instance, with the permit requests that wait there.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -12,7 +12,7 @@
 
 use crate::settings::PERMIT_GRACE;
 
-/// An upstream as the control thread knows it.
+/// Configuration and assignment of an upstream, as known to the control thread.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct KnownUpstream {
     pub(crate) upstream: Upstream,
@@ -20,16 +20,16 @@
     pub(crate) slots: u32,
     pub(crate) queue_per_workspace: u32,
     pub(crate) leaving: bool,
-    /// Whether this instance is its home.
-    pub(crate) mine: bool,
+    /// Whether the upstream's home is assigned to this instance.
+    pub(crate) homed_here: bool,
 }
 
-/// An entry's ask as it reaches the home.
+/// A permit request from an entry to the home.
 #[derive(Clone, Debug)]
-pub(crate) struct HomeAsk {
+pub(crate) struct HomeRequest {
     pub(crate) entry: InstanceId,
-    /// Unique within the entry's incarnation.
-    pub(crate) ask: u64,
+    /// Identifies the request; unique within the entry's incarnation.
+    pub(crate) number: u64,
     pub(crate) workspace: WorkspaceName,
     pub(crate) weight: u32,
     pub(crate) priority: u8,
@@ -41,7 +41,7 @@
     pub(crate) suspect: bool,
 }
 
-/// What the home decided.
+/// The home's decision on a permit request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum HomeVerdict {
     Granted {
@@ -59,7 +59,7 @@
     },
 }
 
-/// A verdict with the home's load, so that every answer refreshes the entry's view.
+/// A verdict with the load summary of the home, so that every answer updates the entry's view.
 #[derive(Clone, Debug)]
 pub(crate) struct HomeAnswer {
     pub(crate) verdict: HomeVerdict,
@@ -67,37 +67,37 @@
     pub(crate) leaving: bool,
 }
 
-/// Takes the answer back to the entry that asked.
+/// Sends the answer to the entry.
 pub(crate) type ReplyTo = Box<dyn FnOnce(HomeAnswer) + Send>;
 
-/// Tells the entry that its ask waits; not called when the answer is there at once.
+/// Tells the entry that its request is queued; not called if it is answered immediately.
 pub(crate) type OnQueued = Box<dyn FnOnce() + Send>;
 
 struct Waiter {
     entry: InstanceId,
-    ask: u64,
+    number: u64,
     reply: ReplyTo,
 }
 
-/// Where the one suspect call this upstream may have is.
+/// State of the only suspect call that the upstream may have.
 #[derive(PartialEq)]
-enum SuspectUse {
+enum SuspectCall {
     Waiting(QueuedRequestKey),
     Running(PermitId),
 }
 
-/// A home with its waiting asks.
-pub(crate) struct Slot {
+/// A home with the entries that wait for its decisions.
+pub(crate) struct LocalHome {
     pub(crate) known: KnownUpstream,
     home: Home,
     waiters: HashMap<QueuedRequestKey, Waiter>,
     // Two suspects on one upstream would both be blamed for its next crash, and an innocent one would be quarantined.
-    suspect: Option<SuspectUse>,
-    /// Another instance is its home now.
+    suspect: Option<SuspectCall>,
+    /// Whether the home was assigned to this instance and now is on another one.
     moved: bool,
 }
 
-impl Slot {
+impl LocalHome {
     pub(crate) fn new(now: MonoTime, known: KnownUpstream, first_permit: u64) -> Self {
         let mut home = Home::new(HomeConfig {
             slots: known.slots,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Tells an entry to ask the upstream's new home: the upstream itself stays the right one.
+    /// Redirects an entry to the new home of the same upstream.
     fn moved_verdict(&self) -> HomeVerdict {
         HomeVerdict::Redirect {
             wait: Duration::ZERO,
@@ -123,10 +123,10 @@
         }
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn request_permit(
         &mut self,
         now: MonoTime,
-        ask: HomeAsk,
+        request: HomeRequest,
         better: impl FnOnce() -> Option<UpstreamId>,
         on_queued: OnQueued,
         reply: ReplyTo,
@@ -135,7 +135,7 @@
             self.answer(now, self.moved_verdict(), reply);
             return;
         }
-        if ask.suspect && self.suspect.is_some() {
+        if request.suspect && self.suspect.is_some() {
             let verdict = HomeVerdict::Redirect {
                 wait: Duration::ZERO,
                 better: better(),
@@ -144,15 +144,15 @@
             return;
         }
         let waiter = Waiter {
-            entry: ask.entry.clone(),
-            ask: ask.ask,
+            entry: request.entry.clone(),
+            number: request.number,
             reply,
         };
-        let is_suspect = ask.suspect;
-        match self.home.request_permit(now, new_ask(ask)) {
+        let is_suspect = request.suspect;
+        match self.home.request_permit(now, to_permit_request(request)) {
             PermitDecision::Granted { permit, expires_in } => {
                 if is_suspect {
-                    self.suspect = Some(SuspectUse::Running(permit));
+                    self.suspect = Some(SuspectCall::Running(permit));
                 }
                 let verdict = HomeVerdict::Granted {
                     permit,
@@ -163,7 +163,7 @@
             }
             PermitDecision::Queued(key) => {
                 if is_suspect {
-                    self.suspect = Some(SuspectUse::Waiting(key));
+                    self.suspect = Some(SuspectCall::Waiting(key));
                 }
                 self.waiters.insert(key, waiter);
                 on_queued();
@@ -188,21 +188,21 @@
         }
     }
 
-    pub(crate) fn cancel(&mut self, now: MonoTime, entry: &InstanceId, ask: u64) {
+    pub(crate) fn cancel(&mut self, now: MonoTime, entry: &InstanceId, number: u64) {
         let found = self
             .waiters
             .iter()
-            .find(|(_, w)| w.ask == ask && w.entry == *entry);
+            .find(|(_, w)| w.number == number && w.entry == *entry);
         let Some(key) = found.map(|(key, _)| *key) else {
             return;
         };
         self.waiters.remove(&key);
         self.home.cancel(now, key);
-        self.end_suspect(&SuspectUse::Waiting(key));
+        self.clear_suspect(&SuspectCall::Waiting(key));
     }
 
     pub(crate) fn release(&mut self, now: MonoTime, release: &Release) -> Option<HeldPermit> {
-        self.end_suspect(&SuspectUse::Running(release.permit));
+        self.clear_suspect(&SuspectCall::Running(release.permit));
         self.home.release(now, release)
     }
 
@@ -210,7 +210,7 @@
         self.home.adopt(now, held);
     }
 
-    pub(crate) fn entry_gone(&mut self, now: MonoTime, entry: &InstanceId) {
+    pub(crate) fn remove_entry(&mut self, now: MonoTime, entry: &InstanceId) {
         let gone: Vec<QueuedRequestKey> = self
             .waiters
             .iter()
@@ -219,24 +219,24 @@
             .collect();
         for key in gone {
             self.waiters.remove(&key);
-            self.end_suspect(&SuspectUse::Waiting(key));
+            self.clear_suspect(&SuspectCall::Waiting(key));
         }
         self.home.remove_entry(now, entry);
         let running: Vec<PermitId> = self.home.permits().map(|held| held.permit).collect();
-        if let Some(SuspectUse::Running(permit)) = self.suspect
+        if let Some(SuspectCall::Running(permit)) = self.suspect
             && !running.contains(&permit)
         {
             self.suspect = None;
         }
     }
 
-    /// Takes up a changed configuration, list state or placement.
+    /// Applies a changed configuration, listing state or assignment.
     pub(crate) fn update(&mut self, now: MonoTime, known: KnownUpstream) {
         self.home
             .set_config(now, known.slots, known.queue_per_workspace);
-        // A home that moved away tells its waiting asks to go elsewhere, and only counts down what runs.
-        // It was placed here and is not any more. One that never was is granted for an entry that knows better.
-        self.moved = (self.moved || self.known.mine) && !known.mine;
+        // A home that moved away redirects its waiting requests and only waits for running calls to end. A home that
+        // was never assigned here has not moved: it grants permits to entries that know of a newer assignment.
+        self.moved = (self.moved || self.known.homed_here) && !known.homed_here;
         self.home.set_leaving(now, known.leaving || self.moved);
         self.known = known;
     }
@@ -245,7 +245,7 @@
         &mut self.home
     }
 
-    /// Answers what the home decided since the last call; returns permits that expired unreleased.
+    /// Sends the decisions made since the last call to the entries. Returns permits that expired without a release.
     pub(crate) fn poll(&mut self, now: MonoTime) -> Vec<PermitId> {
         let mut expired = Vec::new();
         for event in self.home.poll(now) {
@@ -259,7 +259,7 @@
                     self.grant_waiting(now, request, permit, expires_in, waited);
                 }
                 HomeEvent::Dropped { request, .. } if self.moved => {
-                    self.end_suspect(&SuspectUse::Waiting(request));
+                    self.clear_suspect(&SuspectCall::Waiting(request));
                     if let Some(waiter) = self.waiters.remove(&request) {
                         self.answer(now, self.moved_verdict(), waiter.reply);
                     }
@@ -269,7 +269,7 @@
                     reason,
                     retry_after,
                 } => {
-                    self.end_suspect(&SuspectUse::Waiting(request));
+                    self.clear_suspect(&SuspectCall::Waiting(request));
                     if let Some(waiter) = self.waiters.remove(&request) {
                         let verdict = HomeVerdict::Refused {
                             reason,
@@ -279,7 +279,7 @@
                     }
                 }
                 HomeEvent::Expired { permit, .. } => {
-                    self.end_suspect(&SuspectUse::Running(permit));
+                    self.clear_suspect(&SuspectCall::Running(permit));
                     expired.push(permit);
                 }
             }
@@ -290,15 +290,15 @@
     fn grant_waiting(
         &mut self,
         now: MonoTime,
-        ask: QueuedRequestKey,
+        request: QueuedRequestKey,
         permit: PermitId,
         expires_in: Duration,
         waited: Duration,
     ) {
-        if self.suspect == Some(SuspectUse::Waiting(ask)) {
-            self.suspect = Some(SuspectUse::Running(permit));
+        if self.suspect == Some(SuspectCall::Waiting(request)) {
+            self.suspect = Some(SuspectCall::Running(permit));
         }
-        if let Some(waiter) = self.waiters.remove(&ask) {
+        if let Some(waiter) = self.waiters.remove(&request) {
             let verdict = HomeVerdict::Granted {
                 permit,
                 expires_in,
@@ -308,7 +308,7 @@
         }
     }
 
-    fn end_suspect(&mut self, ended: &SuspectUse) {
+    fn clear_suspect(&mut self, ended: &SuspectCall) {
         if self.suspect.as_ref() == Some(ended) {
             self.suspect = None;
         }
@@ -344,16 +344,16 @@
     }
 }
 
-fn new_ask(ask: HomeAsk) -> PermitRequest {
+fn to_permit_request(request: HomeRequest) -> PermitRequest {
     PermitRequest {
-        entry: ask.entry,
-        workspace: ask.workspace,
-        weight: ask.weight,
-        priority: ask.priority,
-        slack: ask.slack,
-        run_for: ask.run_for,
-        estimate: ask.estimate,
-        fingerprint: ask.fingerprint,
-        may_redirect: ask.may_redirect,
+        entry: request.entry,
+        workspace: request.workspace,
+        weight: request.weight,
+        priority: request.priority,
+        slack: request.slack,
+        run_for: request.run_for,
+        estimate: request.estimate,
+        fingerprint: request.fingerprint,
+        may_redirect: request.may_redirect,
     }
 }
--- a/crates/tc-fleet/src/homes/mod.rs
+++ b/crates/tc-fleet/src/homes/mod.rs
@@ -1,7 +1,7 @@
-//! Homes: this instance grants the permits of the upstreams that are placed on it.
+//! Homes of the upstreams that are assigned to this instance, which grants the permits for them.
 
 mod actor;
-mod slot;
+mod local_home;
 
 pub(crate) use actor::{HomesActor, HomesArgs, HomesMsg};
-pub(crate) use slot::{HomeAnswer, HomeAsk, HomeVerdict, KnownUpstream, ReplyTo};
+pub(crate) use local_home::{HomeAnswer, HomeRequest, HomeVerdict, KnownUpstream, ReplyTo};
--- a/crates/tc-fleet/src/lib.rs
+++ b/crates/tc-fleet/src/lib.rs
@@ -1,6 +1,7 @@
-//! Between instances: membership, homes, permits, workspace shares, suspects and configuration spread.
+//! Communication between instances: membership, homes, permits, workspace shares, suspects and configuration
+//! propagation.
 //!
-//! [`Fleet::start`] runs on the control thread; the [`Fleet`] handle it gives is used by traffic threads.
+//! [`Fleet::start`] runs on the control thread. It returns the [`Fleet`] handle, which traffic threads use.
 
 mod config;
 mod convert;
--- a/crates/tc-fleet/src/limits.rs
+++ b/crates/tc-fleet/src/limits.rs
@@ -1,4 +1,5 @@
-//! Workspace limits: the buckets that requests take from here, and the limit homes that share limits out.
+//! Workspace limits: the buckets that admit requests at this instance, and the limit homes that divide limits into
+//! shares.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -20,7 +21,7 @@
     settings::SHARE_INTERVAL,
 };
 
-/// Divisor of the limit at an entry outside the workspace's shard: practically nothing is left.
+/// Number of entries assumed at an entry outside the workspace's shard, which leaves it practically no equal share.
 const OUTSIDE_SHARD: usize = 1_000_000;
 
 type Bucket = Arc<Mutex<ShareBucket>>;
@@ -31,7 +32,7 @@
     bucket: Bucket,
 }
 
-/// Buckets of this instance and the limit homes placed on it.
+/// The buckets of this instance and the limit homes assigned to it.
 #[derive(Default)]
 pub(crate) struct WorkspaceLimiter {
     buckets: ArcSwap<HashMap<WorkspaceName, Arc<LimitedWorkspace>>>,
@@ -39,8 +40,8 @@
 }
 
 impl WorkspaceLimiter {
-    /// Takes up the limits of a new configuration and the entries that callers are sent to.
-    pub(crate) fn set_fleet(&self, view: &FleetView) {
+    /// Applies the limits of the configuration and the shards of the workspaces.
+    pub(crate) fn update(&self, view: &FleetView) {
         let old = self.buckets.load_full();
         let buckets: HashMap<_, _> = view
             .config
@@ -50,7 +51,10 @@
             .map(|(name, workspace)| {
                 let kept = old.get(name);
                 let entries = live_entries(view, name);
-                (name.clone(), limited(kept, workspace.limits, entries))
+                (
+                    name.clone(),
+                    update_limited(kept, workspace.limits, entries),
+                )
             })
             .collect();
         self.lock_homes()
@@ -64,8 +68,11 @@
         self.buckets.store(Arc::new(buckets));
     }
 
-    /// Starts one request of a workspace, or tells when to ask again.
-    pub(crate) fn start(&self, workspace: &WorkspaceName) -> Result<WorkspaceLimitGuard, Duration> {
+    /// Counts one request against its workspace's limits, or returns when to try again.
+    pub(crate) fn try_start(
+        &self,
+        workspace: &WorkspaceName,
+    ) -> Result<WorkspaceLimitGuard, Duration> {
         let Some(limited) = self.buckets.load().get(workspace).map(Arc::clone) else {
             return Ok(WorkspaceLimitGuard::new(|_| ()));
         };
@@ -76,8 +83,8 @@
         }))
     }
 
-    /// A limit home's answer to an entry's demands.
-    pub(crate) fn answer(
+    /// Processes an entry's demands as the limit home and returns its shares.
+    pub(crate) fn handle_report(
         &self,
         now: MonoTime,
         view: &FleetView,
@@ -100,16 +107,16 @@
         ShareGrants { grants }
     }
 
-    /// Reports demand to the limit homes and takes up the shares, for ever.
-    pub(crate) async fn report(
+    /// Reports demands to the limit homes and applies the shares at regular intervals. Never returns.
+    pub(crate) async fn run_reports(
         self: Arc<Self>,
         view: Arc<ArcSwap<FleetView>>,
         peers: Arc<PeerPool>,
     ) {
-        let mut every = tokio::time::interval(SHARE_INTERVAL);
-        every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut interval = tokio::time::interval(SHARE_INTERVAL);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            every.tick().await;
+            interval.tick().await;
             let view = view.load_full();
             let reports = self.reports(&view);
             let calls = reports.into_iter().map(|(home, report)| {
@@ -122,15 +129,15 @@
         }
     }
 
-    /// One report per limit home, with the demands of all its workspaces.
+    /// Returns one report per limit home, with the demands on all its workspaces.
     fn reports(&self, view: &FleetView) -> BTreeMap<InstanceId, ShareReport> {
         let now = MonoTime::now();
         let mut reports: BTreeMap<InstanceId, ShareReport> = BTreeMap::new();
         for (name, limited) in self.buckets.load().iter() {
             let demand = lock(&limited.bucket).demand(now);
-            // Inside the shard the home sets a part aside for whoever does not report.
-            let outside = limited.live_entries == OUTSIDE_SHARD;
-            let idle = outside && demand.requests_per_s <= 0.0 && demand.concurrency <= 0.0;
+            // Entries in the shard always report, because the home reserves a share for those that do not.
+            let outside_shard = limited.live_entries == OUTSIDE_SHARD;
+            let idle = outside_shard && demand.requests_per_s <= 0.0 && demand.concurrency <= 0.0;
             if idle {
                 continue;
             }
@@ -157,12 +164,12 @@
         report: ShareReport,
     ) {
         let grants = if *home == view.me.id {
-            self.answer(MonoTime::now(), view, &report)
+            self.handle_report(MonoTime::now(), view, &report)
         } else {
             let Some(member) = view.member(home) else {
                 return;
             };
-            // Without an answer the shares run out and the buckets decay to limit / entries by themselves.
+            // Without an answer, the shares expire and the buckets fall back to limit / entries.
             match peers.get(member).client().shares(timed(report)).await {
                 Ok(grants) => grants.into_inner(),
                 Err(_) => return,
@@ -182,18 +189,16 @@
     }
 }
 
-fn limited(
-    kept: Option<&Arc<LimitedWorkspace>>,
+fn update_limited(
+    old: Option<&Arc<LimitedWorkspace>>,
     limits: Limits,
     live_entries: usize,
 ) -> Arc<LimitedWorkspace> {
-    match kept {
-        Some(kept) if kept.limits == limits && kept.live_entries == live_entries => {
-            Arc::clone(kept)
-        }
-        Some(kept) => {
-            lock(&kept.bucket).update_limits(limits, live_entries);
-            let bucket = Arc::clone(&kept.bucket);
+    match old {
+        Some(old) if old.limits == limits && old.live_entries == live_entries => Arc::clone(old),
+        Some(old) => {
+            lock(&old.bucket).update_limits(limits, live_entries);
+            let bucket = Arc::clone(&old.bucket);
             Arc::new(LimitedWorkspace {
                 limits,
                 live_entries,
@@ -211,11 +216,11 @@
     }
 }
 
-/// Entries that the workspace's limit is divided over at this instance while it has no share.
+/// Returns the number of entries that divide the workspace's limit while this instance has no share.
 ///
-/// Callers are told the addresses of the workspace's shard only, so the limit is divided over these; dividing it over
-/// all instances would leave a workspace a part of its limit. Another entry that a caller comes to all the same gets
-/// nothing before its limit home has given it a share.
+/// Callers get only the addresses of the workspace's shard, so the limit is divided among these entries; dividing it
+/// among all instances would leave the workspace only part of its limit. An entry outside the shard that a caller
+/// reaches anyway can use nothing until its limit home grants it a share.
 fn live_entries(view: &FleetView, workspace: &WorkspaceName) -> usize {
     let shard = shard(view, workspace);
     if shard.iter().any(|member| member.id == view.me.id) {
@@ -280,7 +285,7 @@
     }
 }
 
-/// A number on the wire counts only where the workspace has that limit.
+/// Converts a share; values on the wire are ignored for limits that the workspace does not have.
 fn share_from_wire(limits: &Limits, grant: &ShareGrant) -> Share {
     Share {
         requests_per_s: limits.requests_per_s.map(|_| grant.requests_per_s),
--- a/crates/tc-fleet/src/loads.rs
+++ b/crates/tc-fleet/src/loads.rs
@@ -1,4 +1,4 @@
-//! Reads the load reports of the upstreams homed here.
+//! Reads the load reports of the upstreams whose home is here.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -14,15 +14,15 @@
 
 const LOAD_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Reads all homed upstreams' reports every half second, for ever.
+/// Reads the reports of all upstreams whose home is here every [`LOAD_INTERVAL`]. Returns when the node has stopped.
 pub(crate) async fn read_loads(parts: NodeParts, client: UpstreamClient, node: ActorRef<NodeMsg>) {
     let mut incarnations: HashMap<UpstreamId, Incarnation> = HashMap::new();
-    let mut every = tokio::time::interval(LOAD_INTERVAL);
-    every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut interval = tokio::time::interval(LOAD_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        every.tick().await;
+        interval.tick().await;
         let known = parts.known.load_full();
-        let reads = known.iter().filter(|(_, k)| k.mine).map(|(id, k)| {
+        let reads = known.iter().filter(|(_, k)| k.homed_here).map(|(id, k)| {
             let client = client.clone();
             let address = k.upstream.address;
             async move {
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -119,7 +119,7 @@
             }),
         );
         let spreader = node.clone();
-        suspects.set_spread_now(Box::new(move || {
+        suspects.set_gossip_now(Box::new(move || {
             let _ = spreader.cast(MeshMsg::SpreadSuspects);
         }));
         let service = Service {
--- a/crates/tc-fleet/src/mesh/service.rs
+++ b/crates/tc-fleet/src/mesh/service.rs
@@ -150,7 +150,9 @@
         &self,
         req: Request<SuspectReport>,
     ) -> Result<Response<SuspectAnswer>, Status> {
-        let answer = self.suspects.answer(MonoTime::now(), &req.into_inner());
+        let answer = self
+            .suspects
+            .handle_report(MonoTime::now(), &req.into_inner());
         Ok(Response::new(answer))
     }
 
--- a/crates/tc-fleet/src/mesh/suspects.rs
+++ b/crates/tc-fleet/src/mesh/suspects.rs
@@ -9,7 +9,7 @@
 use super::{actor::Published, peers::Peers};
 use crate::{
     peers::timed,
-    suspects::{SuspectTable, TellHome, Told},
+    suspects::{ReportResult, SendReport, SuspectTable},
 };
 
 /// Crashes that quarantine a request. Upstreams also crash by themselves, and requests that callers repeat are in flight
@@ -33,20 +33,22 @@
     SuspectTable::new(me.clone(), policy, tell_home(me, published, peers), None)
 }
 
-fn tell_home(me: &InstanceId, published: &Arc<Published>, peers: &Arc<Peers>) -> TellHome {
+fn tell_home(me: &InstanceId, published: &Arc<Published>, peers: &Arc<Peers>) -> SendReport {
     let (me, published, peers) = (me.clone(), Arc::clone(published), Arc::clone(peers));
     Box::new(move |key, report| {
         let members = published.members.load_full();
         let (me, peers) = (me.clone(), Arc::clone(&peers));
         Box::pin(async move {
             let Some(home) = home_of(&key, &members, None, None) else {
-                return Told::Nowhere;
+                return ReportResult::Unreachable;
             };
             if home.id == me {
-                return Told::Here;
+                return ReportResult::Local;
             }
             let answer = peers.client(home).suspects(timed(report)).await;
-            answer.map_or(Told::Nowhere, |answer| Told::There(answer.into_inner()))
+            answer.map_or(ReportResult::Unreachable, |answer| {
+                ReportResult::Answered(answer.into_inner())
+            })
         })
     })
 }
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -105,7 +105,7 @@
         let known = self.parts.known.load();
         let mine: Vec<&UpstreamId> = known
             .iter()
-            .filter(|(_, k)| k.mine)
+            .filter(|(_, k)| k.homed_here)
             .map(|(id, _)| id)
             .collect();
         for _ in 0..mine.len().min(SUMMARIES_PER_DATAGRAM) {
@@ -131,7 +131,7 @@
             summaries.store(now, &summary.upstream, &load, summary.leaving);
             summaries.note_incarnation(&summary.upstream, Incarnation(summary.incarnation));
         }
-        self.parts.suspects.heard(now, &datagram.suspects);
+        self.parts.suspects.note_gossiped(now, &datagram.suspects);
     }
 
     /// Puts a configuration in force if it is valid and newer; returns whether it was.
@@ -140,7 +140,7 @@
             self.spread.activate(object.revision);
             return false;
         }
-        match config::read(&object) {
+        match config::parse(&object) {
             Ok(config) => {
                 if !self.spread.activate(object.revision) {
                     return false;
@@ -182,10 +182,10 @@
             store: self.parts.store.health(),
         });
         self.parts.view.store(Arc::clone(&view));
-        self.parts.limits.set_fleet(&view);
+        self.parts.limits.update(&view);
         let crashes = self.config.policy.crashes_to_quarantine;
         self.parts.suspects.set_crashes_to_quarantine(now, crashes);
-        let _ = self.parts.homes.cast(HomesMsg::Assign(known));
+        let _ = self.parts.homes.cast(HomesMsg::SetUpstreams(known));
         self.announce_moved(now, &view);
     }
 
@@ -221,7 +221,7 @@
                 self.parts.peers.give_up_asks(id);
                 self.parts.peers.forget(id);
                 self.spread.remove_peer(id);
-                let _ = self.parts.homes.cast(HomesMsg::EntryGone(id.clone()));
+                let _ = self.parts.homes.cast(HomesMsg::RemoveEntry(id.clone()));
             }
             MemberState::Suspect => self.parts.peers.give_up_asks(id),
             MemberState::Alive | MemberState::Leaving => {}
@@ -233,7 +233,10 @@
             let upstream = moved.upstream;
             let held = moved.permit;
             if moved.home == self.me.id {
-                let _ = self.parts.homes.cast(HomesMsg::Held { upstream, held });
+                let _ = self
+                    .parts
+                    .homes
+                    .cast(HomesMsg::AdoptPermit { upstream, held });
             } else if let Some(member) = view.member(&moved.home) {
                 self.parts
                     .peers
--- a/crates/tc-fleet/src/node/table.rs
+++ b/crates/tc-fleet/src/node/table.rs
@@ -123,7 +123,7 @@
                     slots,
                     queue_per_workspace: config.policy.queue_per_workspace,
                     leaving: state.leaving,
-                    mine: state.home.as_ref() == Some(me),
+                    homed_here: state.home.as_ref() == Some(me),
                 },
             );
         }
--- a/crates/tc-fleet/src/orders/mod.rs
+++ b/crates/tc-fleet/src/orders/mod.rs
@@ -1,9 +1,9 @@
-//! Orders to upstreams: planned by a lease holder, passed through the upstream's home, which refuses old fencing
-//! numbers.
+//! Orders to upstreams. A lease holder plans them and sends them through the upstream's home, which refuses stale
+//! fencing tokens.
 
-mod desk;
 mod planner;
 mod record;
+mod relay;
 
-pub(crate) use desk::OrderDesk;
 pub(crate) use planner::run as run_planner;
+pub(crate) use relay::OrderRelay;
--- a/crates/tc-fleet/src/orders/planner.rs
+++ b/crates/tc-fleet/src/orders/planner.rs
@@ -1,4 +1,4 @@
-//! The lease holder's side of orders: plans which engine has which model loaded, and has it ordered.
+//! The lease holder's side of orders: plans which engine loads which model, and orders the loads.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,7 +12,7 @@
 use tc_upstream::UpstreamClient;
 
 use super::{
-    OrderDesk,
+    OrderRelay,
     record::{PLAN_KIND, PlanRecord},
 };
 use crate::{
@@ -21,51 +21,51 @@
     peers::timed,
 };
 
-/// Time between two looks at services that need no order.
-const INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two looks while orders are due.
+/// Interval between planning rounds while no orders are pending.
+const IDLE_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between planning rounds while orders are pending.
 const BUSY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the lease on a service's orders lasts without renewal. A successor waits for its end, so it is short; it
-/// is renewed only while orders are due.
+/// Time to live of the lease on a service's orders. It is short because a successor waits for the lease to expire. The
+/// lease is renewed only while orders are pending.
 const LEASE_TTL: Duration = Duration::from_secs(4);
-/// Loads of one service in progress at once: the weight store is rate-limited.
-const LOADS_AT_ONCE: usize = 2;
-/// An ordered load that is not reported by then counts as not in progress any more.
-const LOAD_TIME: Duration = Duration::from_secs(30);
+/// Maximum number of concurrent loads per service, because the weight store is rate-limited.
+const MAX_CONCURRENT_LOADS: usize = 2;
+/// Time after which an ordered load that was not reported as done no longer counts as in progress.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(30);
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What one service's planner remembers between rounds.
+/// State of one service's planner between rounds.
 struct ServicePlanner {
     lease: Lease,
     held: Option<Held>,
     plan: Plan,
-    /// Fencing number of the plan in the platform, if it is known to be the one held here.
+    /// Plan record in the platform, if it is known to be the one written here.
     written: Option<PlanRecord>,
-    /// Loads ordered and not yet reported as done, each with the time of its order.
+    /// Loads in progress, each with the time it was ordered.
     ordered: Vec<(ModelLoad, MonoTime)>,
 }
 
-/// Plans the services placed on this instance, for ever.
-pub(crate) async fn run(parts: NodeParts, desk: Arc<OrderDesk>, client: UpstreamClient) {
+/// Plans the services assigned to this instance. Never returns.
+pub(crate) async fn run(parts: NodeParts, relay: Arc<OrderRelay>, client: UpstreamClient) {
     let mut planners: HashMap<ServiceName, ServicePlanner> = HashMap::new();
-    let mut wait = INTERVAL;
+    let mut wait = IDLE_INTERVAL;
     loop {
         tokio::time::sleep(wait).await;
-        wait = INTERVAL;
+        wait = IDLE_INTERVAL;
         let view = parts.view.load_full();
-        let mine = mine(&view);
+        let assigned = assigned_services(&view);
         for (name, planner) in &mut planners {
-            if !mine.iter().any(|(placed, _)| placed == name) {
-                planner.hand_over(name).await;
+            if !assigned.iter().any(|(assigned, _)| assigned == name) {
+                planner.release_lease(name).await;
             }
         }
-        for (name, service) in mine {
+        for (name, service) in assigned {
             let planner = planners
                 .entry(name.clone())
                 .or_insert_with(|| ServicePlanner::new(&parts, &view, name.clone()));
-            let round = planner.round(&parts, &desk, &client, &view, &name, &service);
+            let round = planner.run_round(&parts, &relay, &client, &view, &name, &service);
             if let Err(error) = round.await {
-                log::debug!(service = name.as_str(); "no orders this round: {error}");
+                log::debug!(service = name.as_str(); "order planning round failed: {error}");
             }
             if !planner.plan.pending.is_empty() {
                 wait = BUSY_INTERVAL;
@@ -74,8 +74,8 @@
     }
 }
 
-/// Engine services with a model whose planner is placed here.
-fn mine(view: &FleetView) -> Vec<(ServiceName, Service)> {
+/// Returns the engine services with a model whose planner is assigned to this instance.
+fn assigned_services(view: &FleetView) -> Vec<(ServiceName, Service)> {
     view.config
         .services
         .iter()
@@ -104,19 +104,19 @@
         }
     }
 
-    /// Gives the lease up when the planner is placed on another instance now, which otherwise had to wait for its end
-    /// before its first order.
-    async fn hand_over(&mut self, name: &ServiceName) {
+    /// Releases the lease after the planner was assigned to another instance, which would otherwise have to wait for the
+    /// lease to expire before its first order.
+    async fn release_lease(&mut self, name: &ServiceName) {
         let Some(held) = self.held.take() else { return };
         if let Err(error) = self.lease.release(held).await {
-            log::debug!(service = name.as_str(); "the lease was not released: {error}");
+            log::debug!(service = name.as_str(); "lease release failed: {error}");
         }
     }
 
-    async fn round(
+    async fn run_round(
         &mut self,
         parts: &NodeParts,
-        desk: &OrderDesk,
+        relay: &OrderRelay,
         client: &UpstreamClient,
         view: &FleetView,
         name: &ServiceName,
@@ -128,34 +128,38 @@
             .map(Vec::as_slice)
             .unwrap_or_default();
         let engines = engine_states(client, states).await;
-        let needs = needs(view, service, engines.len());
-        self.plan = plan(&needs, &engines, &self.plan);
+        let requirements = requirements(view, service, engines.len());
+        self.plan = plan(&requirements, &engines, &self.plan);
         if self.plan.pending.is_empty() {
-            // An idle fleet costs the store nothing, and a successor need not wait for the lease to end.
+            // Without pending orders, the fleet makes no store calls, and a successor need not wait for the lease to
+            // expire.
             if let Some(held) = self.held.take() {
                 self.lease.release(held).await?;
             }
             return Ok(());
         }
-        let fence = self.hold().await?;
+        let fence = self.acquire_or_renew().await?;
         self.write_plan(parts, name, fence).await?;
         let now = MonoTime::now();
-        // Loads of a version that is not wanted any more do not count: its engines would get the new one only when
-        // the old loads had run out of time.
+        // Loads of a version that is no longer desired do not count. Otherwise engines would be ordered to load the new
+        // version only after the old loads had timed out.
         self.ordered
-            .retain(|(load, at)| now.since(*at) < LOAD_TIME && self.plan.pending.contains(load));
-        for load in self.plan.next_loads(now, self.ordered.len(), LOADS_AT_ONCE) {
-            // Asked anew before each order: the process may have been paused since the last one.
+            .retain(|(load, at)| now.since(*at) < LOAD_TIMEOUT && self.plan.pending.contains(load));
+        for load in self
+            .plan
+            .next_loads(now, self.ordered.len(), MAX_CONCURRENT_LOADS)
+        {
+            // Checked again before each order, because the process may have been paused since the last one.
             let Some(fence) = self.held.as_ref().and_then(Held::fence) else {
                 return Err(LeaseError::Lapsed);
             };
-            let answer = give(parts, desk, view, name, &load, fence).await;
+            let answer = send_order(parts, relay, view, name, &load, fence).await;
             self.plan.defer(now, &load.upstream);
             if answer.accepted {
                 self.ordered.push((load.clone(), now));
-                log::info!(service = name.as_str(), upstream = load.upstream.as_str(), model = load.model.as_str(); "load ordered");
+                log::info!(service = name.as_str(), upstream = load.upstream.as_str(), model = load.model.as_str(); "model load ordered");
             } else {
-                log::warn!(service = name.as_str(), upstream = load.upstream.as_str(); "order refused: {}", answer.problem);
+                log::warn!(service = name.as_str(), upstream = load.upstream.as_str(); "model load order refused: {}", answer.problem);
             }
             if answer.highest_fence > fence {
                 self.held = None;
@@ -165,8 +169,8 @@
         Ok(())
     }
 
-    /// Acquires or renews the lease; returns its fencing number.
-    async fn hold(&mut self) -> Result<u64, LeaseError> {
+    /// Acquires or renews the lease and returns its fencing token.
+    async fn acquire_or_renew(&mut self) -> Result<u64, LeaseError> {
         let mut held = self.held.take();
         if let Some(lease) = &mut held
             && self.lease.renew(lease).await.is_err()
@@ -182,7 +186,7 @@
         Ok(fence)
     }
 
-    /// Writes the plan if it is not the one already written; refuses to go below a newer holder's.
+    /// Writes the plan unless it is already written. Fails if a newer lease holder has written one.
     async fn write_plan(
         &mut self,
         parts: &NodeParts,
@@ -201,8 +205,8 @@
         let expect = match found {
             None => Expect::Absent,
             Some(found) => {
-                let there: PlanRecord = serde_json::from_value(found.value).unwrap_or_default();
-                if there.fence > fence {
+                let stored: PlanRecord = serde_json::from_value(found.value).unwrap_or_default();
+                if stored.fence > fence {
                     return Err(LeaseError::HeldByOther);
                 }
                 Expect::Version(found.version)
@@ -212,8 +216,8 @@
             return Err(LeaseError::Unknown);
         };
         let ours = record.clone();
-        let is_ours = move |there: &serde_json::Value| {
-            serde_json::from_value::<PlanRecord>(there.clone()).is_ok_and(|there| there == ours)
+        let is_ours = move |stored: &serde_json::Value| {
+            serde_json::from_value::<PlanRecord>(stored.clone()).is_ok_and(|stored| stored == ours)
         };
         let written = store
             .write_sure(
@@ -237,7 +241,7 @@
     }
 }
 
-/// Engines that answer and are not leaving, with the models they say they have loaded.
+/// Returns the engines that answer and are not leaving, with the models they report as loaded.
 async fn engine_states(client: &UpstreamClient, states: &[UpstreamState]) -> Vec<EngineState> {
     let reads = states
         .iter()
@@ -258,8 +262,8 @@
         .collect()
 }
 
-/// One service runs one model; its demand is all engines of the service.
-fn needs(
+/// Returns the requirements of a service's only model, which is needed on all engines of the service.
+fn requirements(
     view: &FleetView,
     service: &Service,
     engines: usize,
@@ -270,18 +274,18 @@
     let Some(model) = view.config.models.get(name) else {
         return BTreeMap::new();
     };
-    let need = ModelRequirements {
+    let requirements = ModelRequirements {
         version: model.version.clone(),
         floor: model.floor,
         demand: engines as f64,
     };
-    BTreeMap::from([(name.clone(), need)])
+    BTreeMap::from([(name.clone(), requirements)])
 }
 
-/// Passes one order through the upstream's home.
-async fn give(
+/// Sends one order through the upstream's home.
+async fn send_order(
     parts: &NodeParts,
-    desk: &OrderDesk,
+    relay: &OrderRelay,
     view: &FleetView,
     service: &ServiceName,
     load: &ModelLoad,
@@ -304,7 +308,7 @@
         };
     };
     if *home == view.me.id {
-        return desk.pass(order).await;
+        return relay.relay(order).await;
     }
     let Some(member) = view.member(home) else {
         return OrderAnswer {
--- a/crates/tc-fleet/src/orders/record.rs
+++ b/crates/tc-fleet/src/orders/record.rs
@@ -1,4 +1,4 @@
-//! The plan as it is kept in the platform.
+//! The plan as stored in the platform.
 
 use std::collections::BTreeMap;
 
@@ -6,17 +6,17 @@
 use tc_platform::{Purpose, Store, StoreError};
 use tc_protocol::{ServiceName, UpstreamId};
 
-/// Kind of the plan objects; the name is the service's.
+/// Kind of plan objects. An object's name is the service's name.
 pub(crate) const PLAN_KIND: &str = "tanagercroft-plan";
 
-/// Value of a plan object, written before any order under its fencing number.
+/// Value of a plan object. It is written before any order with its fencing token is sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlanRecord {
     pub(crate) fence: u64,
     pub(crate) desired: BTreeMap<UpstreamId, String>,
 }
 
-/// Fencing number of the newest plan of a service; 0 before the first.
+/// Returns the fencing token of a service's latest plan, or 0 before the first.
 pub(crate) async fn plan_fence(store: &Store, service: &ServiceName) -> Result<u64, StoreError> {
     let found = store
         .get(Purpose::Leases, PLAN_KIND, service.as_str())
--- a/crates/tc-fleet/src/orders/desk.rs
+++ b/crates/tc-fleet/src/orders/relay.rs
@@ -1,4 +1,4 @@
-//! The home's side of orders.
+//! The home's side of orders: checks their fencing tokens and sends them to the upstreams.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,8 +17,8 @@
     homes::KnownUpstream,
 };
 
-/// Passes orders on to upstreams homed here.
-pub(crate) struct OrderDesk {
+/// Relays orders to the upstreams whose home is here.
+pub(crate) struct OrderRelay {
     known: Arc<ArcSwap<BTreeMap<UpstreamId, KnownUpstream>>>,
     view: Arc<ArcSwap<FleetView>>,
     store: Store,
@@ -26,7 +26,7 @@
     guards: Mutex<HashMap<UpstreamId, OrderGuard>>,
 }
 
-impl OrderDesk {
+impl OrderRelay {
     pub(crate) fn new(
         known: Arc<ArcSwap<BTreeMap<UpstreamId, KnownUpstream>>>,
         view: Arc<ArcSwap<FleetView>>,
@@ -42,27 +42,28 @@
         }
     }
 
-    /// Sends an order unless its fencing number is below the highest seen here or in the plan.
+    /// Sends an order unless its fencing token is lower than the highest one seen here or in the plan.
     ///
-    /// Some upstreams ignore fencing numbers. A lease holder that was paused past its lease would then undo its
-    /// successor's order, seen as a model loaded and unloaded in turn; here the late order is refused.
-    pub(crate) async fn pass(&self, order: OrderPass) -> OrderAnswer {
+    /// Some upstreams ignore fencing tokens. With those, a lease holder that was paused past the end of its lease would
+    /// undo its successor's order, and models would be loaded and unloaded in turn. The check here refuses the stale
+    /// order.
+    pub(crate) async fn relay(&self, order: OrderPass) -> OrderAnswer {
         let upstream = UpstreamId::from(order.upstream.as_str());
         let Some(known) = self.known.load().get(&upstream).cloned() else {
             return refused(0, "this instance does not know the upstream");
         };
-        if !known.mine {
+        if !known.homed_here {
             return refused(0, "this instance is not the upstream's home");
         }
         let service = ServiceName::from(order.service.as_str());
-        // A home that has just got the upstream has seen no order yet; the plan tells it of newer holders.
+        // A new home has seen no orders yet, so it learns of newer lease holders from the plan.
         let Ok(plan_fence) = plan_fence(&self.store, &service).await else {
             return refused(0, "the plan cannot be read to check the fencing number");
         };
-        if let Err(highest) = self.check(&upstream, plan_fence, order.fence) {
+        if let Err(highest) = self.check_fence(&upstream, plan_fence, order.fence) {
             return refused(highest, "the fencing number is old");
         }
-        let checks = self.checks_orders(&known);
+        let checks_orders = self.checks_orders(&known);
         let sent = Order {
             service,
             fence: order.fence,
@@ -74,7 +75,7 @@
                 accepted: true,
                 ..OrderAnswer::default()
             },
-            Err(OrderError::Refused { highest_fence }) if checks => refused(
+            Err(OrderError::Refused { highest_fence }) if checks_orders => refused(
                 highest_fence,
                 "the upstream has seen a higher fencing number",
             ),
@@ -82,7 +83,7 @@
         }
     }
 
-    fn check(&self, upstream: &UpstreamId, plan_fence: u64, fence: u64) -> Result<(), u64> {
+    fn check_fence(&self, upstream: &UpstreamId, plan_fence: u64, fence: u64) -> Result<(), u64> {
         let mut guards = self.guards.lock().unwrap_or_else(PoisonError::into_inner);
         let guard = guards
             .entry(upstream.clone())
--- a/crates/tc-fleet/src/quarantine.rs
+++ b/crates/tc-fleet/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Keeps quarantines in the platform, so that they outlive every instance.
+//! Synchronizes quarantines with the platform, so that they outlive the instances.
 
 use std::{
     collections::HashSet,
@@ -10,38 +10,40 @@
 
 use crate::{node::NodeParts, suspects::Origin};
 
-/// Time between two rounds; one list call each, by every instance.
+/// Interval between two rounds. Every instance makes one list call per round.
 const INTERVAL: Duration = Duration::from_secs(5);
-/// Added per live instance, so that the whole fleet's list calls stay at ten a second however large it grows.
+/// Added for each member, so that the fleet makes at most ten list calls per second, whatever its size.
 const INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(100);
 
-/// Writes quarantines found here to the platform and takes up those found by others and those lifted by an operator, for ever.
-pub(crate) async fn keep(parts: NodeParts) {
-    let mut kept: HashSet<Fingerprint> = HashSet::new();
+/// Stores local quarantines in the platform, and applies those of other instances and removals by operators. Never
+/// returns.
+pub(crate) async fn sync(parts: NodeParts) {
+    let mut stored: HashSet<Fingerprint> = HashSet::new();
     loop {
         if let Ok(listed) = list_quarantined(&parts.store).await {
             let now = MonoTime::now();
             let listed: HashSet<Fingerprint> =
                 listed.into_iter().map(|entry| entry.fingerprint).collect();
             listed
-                .difference(&kept)
+                .difference(&stored)
                 .for_each(|new| parts.suspects.adopt_quarantine(now, *new));
-            // Known to have been in the platform and gone from it: an operator lifted it. It must be dropped before
-            // those found here are written, or it would be put back at once.
-            kept.difference(&listed)
+            // A quarantine that was in the platform and is gone was lifted by an operator. It must be dropped before
+            // the local ones are stored, or it would be stored again immediately.
+            stored
+                .difference(&listed)
                 .for_each(|lifted| parts.suspects.lift_quarantine(now, *lifted));
-            kept = listed;
+            stored = listed;
         }
         for (fingerprint, origin) in parts.suspects.quarantined() {
-            if kept.contains(&fingerprint) {
+            if stored.contains(&fingerprint) {
                 continue;
             }
-            // A store outage only puts this off: the next round tries again, and gossip works meanwhile.
+            // During a store outage this fails and is tried again in the next round; gossip still works.
             if add_quarantined(&parts.store, &entry(fingerprint, origin.as_ref()))
                 .await
                 .is_ok()
             {
-                kept.insert(fingerprint);
+                stored.insert(fingerprint);
             }
         }
         let members = parts.view.load().members.len() as u32;
--- a/crates/tc-fleet/src/server.rs
+++ b/crates/tc-fleet/src/server.rs
@@ -19,10 +19,10 @@
         ShareGrants, ShareReport, SuspectAnswer, SuspectReport, fleet_server::Fleet,
         permit_reply::Verdict,
     },
-    homes::{HomeAnswer, HomeAsk, HomeVerdict, HomesMsg, ReplyTo},
+    homes::{HomeAnswer, HomeRequest, HomeVerdict, HomesMsg, ReplyTo},
     key::TOKEN_HEADER,
     node::{NodeMsg, NodeParts},
-    orders::OrderDesk,
+    orders::OrderRelay,
     peers::unused_release,
     summary::SummaryTable,
 };
@@ -43,7 +43,7 @@
 pub(crate) struct ServiceParts {
     pub(crate) parts: NodeParts,
     pub(crate) node: ActorRef<NodeMsg>,
-    pub(crate) orders: Arc<OrderDesk>,
+    pub(crate) orders: Arc<OrderRelay>,
     pub(crate) explain: JsonOf<RequestId>,
     pub(crate) report: JsonOf<()>,
 }
@@ -117,7 +117,7 @@
             .0
             .parts
             .limits
-            .answer(MonoTime::now(), &view, &req.into_inner());
+            .handle_report(MonoTime::now(), &view, &req.into_inner());
         Ok(Response::new(grants))
     }
 
@@ -129,7 +129,7 @@
             .0
             .parts
             .suspects
-            .answer(MonoTime::now(), &req.into_inner());
+            .handle_report(MonoTime::now(), &req.into_inner());
         Ok(Response::new(answer))
     }
 
@@ -143,7 +143,7 @@
     }
 
     async fn pass_order(&self, req: Request<OrderPass>) -> Result<Response<OrderAnswer>, Status> {
-        Ok(Response::new(self.0.orders.pass(req.into_inner()).await))
+        Ok(Response::new(self.0.orders.relay(req.into_inner()).await))
     }
 
     async fn leave(&self, req: Request<LeaveOrder>) -> Result<Response<LeaveAnswer>, Status> {
@@ -199,14 +199,14 @@
         for held in &batch.held {
             let upstream = held.upstream.as_str().into();
             let held = convert::held_from_wire(&entry, held);
-            let _ = homes.cast(HomesMsg::Held { upstream, held });
+            let _ = homes.cast(HomesMsg::AdoptPermit { upstream, held });
         }
         for ask in batch.cancelled_asks {
             let entry = entry.clone();
             let _ = homes.cast(HomesMsg::Cancel {
                 upstream: None,
                 entry,
-                ask,
+                number: ask,
             });
         }
         for ask in &batch.asks {
@@ -234,9 +234,9 @@
     });
     let reply = reply_to(homes.clone(), upstream.clone(), number, answers.clone());
     let ask = home_ask(entry, ask);
-    let _ = homes.cast(HomesMsg::Ask {
+    let _ = homes.cast(HomesMsg::RequestPermit {
         upstream,
-        ask,
+        request: ask,
         on_queued,
         reply,
     });
@@ -330,10 +330,10 @@
     });
 }
 
-fn home_ask(entry: &InstanceId, ask: &PermitAsk) -> HomeAsk {
-    HomeAsk {
+fn home_ask(entry: &InstanceId, ask: &PermitAsk) -> HomeRequest {
+    HomeRequest {
         entry: entry.clone(),
-        ask: ask.ask,
+        number: ask.ask,
         workspace: ask.workspace.as_str().into(),
         weight: ask.weight,
         priority: ask.priority.min(7) as u8,
--- a/crates/tc-fleet/src/settings.rs
+++ b/crates/tc-fleet/src/settings.rs
@@ -7,43 +7,44 @@
 
 use crate::FleetKeys;
 
-/// How asks are decided.
+/// How permit requests are decided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PermitPolicy {
     /// By the upstreams' homes.
     #[default]
     Home,
-    /// Round robin over all upstreams, granted at once: the baseline that experiments compare with.
+    /// Round robin over all upstreams, granted immediately: the baseline for experiments.
     Baseline,
 }
 
-/// What [`crate::Fleet::start`] needs to know.
+/// Settings of [`crate::Fleet::start`].
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
     /// This instance.
     pub me: Member,
-    /// Where to listen for other instances, TCP and UDP. They are told `me.fleet_address`; calls to them leave from
-    /// this IP number.
+    /// Address to listen on for other instances (TCP and UDP). They are given `me.fleet_address` instead. Calls to them
+    /// use this IP address as their source.
     pub fleet_listen: SocketAddr,
-    /// Fleet addresses to be introduced by when the platform's list cannot be read.
+    /// Fleet addresses of instances that provide the member list if the platform's list cannot be read.
     pub seeds: Vec<SocketAddr>,
     /// Keys that authenticate instances to each other.
     pub keys: FleetKeys,
-    /// How asks are decided.
+    /// How permit requests are decided.
     pub policy: PermitPolicy,
-    /// Probe timings.
+    /// Membership and probe settings.
     pub membership: MembershipConfig,
-    /// Runs the streams to other instances; the traffic threads' runtime.
+    /// Runtime of the traffic threads, which runs the streams to other instances.
     pub traffic: tokio::runtime::Handle,
 }
 
-/// How long a permit outlives the time its call may run, so that a release on its way is not taken for a leak.
+/// Time after the end of a call's allowed run time at which its permit expires, so that a release in transit is not
+/// treated as a leaked permit.
 pub(crate) const PERMIT_GRACE: Duration = Duration::from_millis(500);
-/// How often an upstream's home reads its load report.
+/// Interval at which an upstream's home reads its load report.
 pub(crate) const LOAD_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the control thread re-checks what only time changes.
+/// Interval at which the control thread checks for changes that depend only on time.
 pub(crate) const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
-/// How often demand is reported to limit homes.
+/// Interval at which demand is reported to limit homes.
 pub(crate) const SHARE_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for another instance's answer to a call that is not an ask.
+/// Timeout for calls to other instances, except permit requests.
 pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(800);
--- a/crates/tc-fleet/src/start.rs
+++ b/crates/tc-fleet/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting the fleet layer's parts, tasks and server.
+//! Startup of the fleet layer's parts, tasks and server.
 
 use std::{
     collections::BTreeMap,
@@ -27,11 +27,11 @@
     server::{FleetService, ServiceParts, check_token},
     store_watch::read_lists,
     summary::SummaryTable,
-    suspects::{Confirmer, SuspectTable, TellHome, Told},
+    suspects::{CrashCheck, ReportResult, SendReport, SuspectTable},
 };
 
-/// Wait between two rounds of introductions by seeds while nobody is known.
-const INTRODUCE_AGAIN: Duration = Duration::from_millis(500);
+/// Interval between attempts to get the member list from seeds while no other member is known.
+const INTRODUCE_INTERVAL: Duration = Duration::from_millis(500);
 
 pub(crate) async fn start_parts(
     settings: &FleetSettings,
@@ -39,7 +39,7 @@
     socket: UdpSocket,
     upstream: &UpstreamClient,
 ) -> Result<NodeParts, FleetError> {
-    let view = Arc::new(ArcSwap::from_pointee(first_view(settings)));
+    let view = Arc::new(ArcSwap::from_pointee(initial_view(settings)));
     let summaries = Arc::new(SummaryTable::default());
     let peers = Arc::new(PeerPool::new(
         settings.me.clone(),
@@ -57,8 +57,8 @@
     let suspects = Arc::new(SuspectTable::new(
         settings.me.id.clone(),
         suspect_policy(),
-        tell_home(&view, &peers),
-        Some(Confirmer::new(upstream.clone())),
+        send_report_to_home(&view, &peers),
+        Some(CrashCheck::new(upstream.clone())),
     ));
     Ok(NodeParts {
         view,
@@ -76,7 +76,7 @@
     })
 }
 
-/// Every crash makes its neighbours suspects at once: few inputs are in flight on one upstream, and a crash costs seconds.
+/// Requires trials from the first crash: an upstream has few inputs in flight, and each crash costs seconds.
 fn suspect_policy() -> SuspectPolicy {
     SuspectPolicy {
         crashes_to_quarantine: Policy::default().crashes_to_quarantine,
@@ -85,25 +85,27 @@
     }
 }
 
-fn tell_home(view: &Arc<ArcSwap<FleetView>>, peers: &Arc<PeerPool>) -> TellHome {
+fn send_report_to_home(view: &Arc<ArcSwap<FleetView>>, peers: &Arc<PeerPool>) -> SendReport {
     let (view, peers) = (Arc::clone(view), Arc::clone(peers));
     Box::new(move |key, report| {
         let view = view.load_full();
         let peers = Arc::clone(&peers);
         Box::pin(async move {
             let Some(home) = home_of(&key, &view.members, None, None) else {
-                return Told::Nowhere;
+                return ReportResult::Unreachable;
             };
             if home.id == view.me.id {
-                return Told::Here;
+                return ReportResult::Local;
             }
             let answer = peers.get(home).client().suspects(timed(report)).await;
-            answer.map_or(Told::Nowhere, |answer| Told::There(answer.into_inner()))
+            answer.map_or(ReportResult::Unreachable, |answer| {
+                ReportResult::Answered(answer.into_inner())
+            })
         })
     })
 }
 
-fn first_view(settings: &FleetSettings) -> FleetView {
+fn initial_view(settings: &FleetSettings) -> FleetView {
     FleetView {
         me: settings.me.clone(),
         members: vec![settings.me.clone()].into(),
@@ -120,21 +122,22 @@
     upstream: &UpstreamClient,
 ) {
     let to_node = node.clone();
-    let hand_on = move |datagram| to_node.cast(NodeMsg::Datagram(Box::new(datagram))).is_ok();
-    tokio::spawn(parts.socket.clone().receive(hand_on));
+    let forward = move |datagram| to_node.cast(NodeMsg::Datagram(Box::new(datagram))).is_ok();
+    tokio::spawn(parts.socket.clone().receive(forward));
     tokio::spawn(read_lists(parts.clone(), node.clone()));
     tokio::spawn(read_loads(parts.clone(), upstream.clone(), node.clone()));
     let limits = Arc::clone(&parts.limits);
-    tokio::spawn(limits.report(Arc::clone(&parts.view), Arc::clone(&parts.peers)));
-    tokio::spawn(crate::quarantine::keep(parts.clone()));
+    tokio::spawn(limits.run_reports(Arc::clone(&parts.view), Arc::clone(&parts.peers)));
+    tokio::spawn(crate::quarantine::sync(parts.clone()));
     tokio::spawn(introduce(settings.clone(), parts.clone(), node.clone()));
     let node = node.clone();
-    parts.suspects.set_spread_now(Box::new(move || {
+    parts.suspects.set_gossip_now(Box::new(move || {
         let _ = node.cast(NodeMsg::SpreadSuspects);
     }));
 }
 
-/// Asks seeds for the member list until somebody is known: the platform's list may be out of reach at the start.
+/// Requests the member list from seeds until another member is known, because the platform's list may be unavailable at
+/// startup.
 async fn introduce(settings: FleetSettings, parts: NodeParts, node: ActorRef<NodeMsg>) {
     let record = Record {
         member: settings.me.clone(),
@@ -167,7 +170,7 @@
             let _ = node.cast(NodeMsg::Learn(records));
             break;
         }
-        tokio::time::sleep(INTRODUCE_AGAIN).await;
+        tokio::time::sleep(INTRODUCE_INTERVAL).await;
     }
 }
 
@@ -182,7 +185,7 @@
             .add_service(service)
             .serve_with_incoming(incoming);
         if let Err(error) = served.await {
-            log::error!("serving other instances ended: {error}");
+            log::error!("fleet server failed: {error}");
         }
     });
 }
--- a/crates/tc-fleet/src/store_watch.rs
+++ b/crates/tc-fleet/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Tasks that read the platform: the configuration object, the instance list and drain marks.
+//! Tasks that read the configuration object, the instance list and drain marks from the platform.
 
 use std::{
     collections::BTreeSet,
@@ -15,23 +15,28 @@
 
 use crate::node::{NodeMsg, NodeParts};
 
-/// Kind of the objects that mark upstreams as drained; the name is the upstream's identifier.
+/// Kind of the objects that mark upstreams as drained. An object's name is the upstream's identifier.
 pub(crate) const DRAIN_KIND: &str = "tanagercroft-drain";
 
-/// How long one watch call waits at the platform. Shorter than the state machine's limit on a pull.
+/// How long a watch call waits at the platform. Must be shorter than the pull timeout of `ConfigPuller`.
 const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// Shortest time between two reads of the instance list by one instance.
+/// Minimum interval between two reads of the instance list by one instance, before jitter.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Added per live instance, so that the whole fleet's reads stay at forty a second however large it grows.
+/// Added for each member, so that the fleet makes at most about forty reads per second, whatever its size.
 const LIST_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(25);
 
-/// Reads the object once (`at_once`) or waits for a version after `after`, and tells the node.
-pub(crate) fn watch_config(parts: &NodeParts, after: u64, at_once: bool, node: &ActorRef<NodeMsg>) {
+/// Reads the configuration object immediately or waits for a version after `after`, and sends the result to the node.
+pub(crate) fn watch_config(
+    parts: &NodeParts,
+    after: u64,
+    immediately: bool,
+    node: &ActorRef<NodeMsg>,
+) {
     let store = parts.store.clone();
     let version = parts.config_version.clone();
     let node = node.clone();
     tokio::spawn(async move {
-        let found = if at_once {
+        let found = if immediately {
             store.get(Purpose::Config, CONFIG_KIND, CONFIG_NAME).await
         } else {
             store
@@ -44,7 +49,7 @@
                 match serde_json::from_value::<ConfigObject>(found.value) {
                     Ok(object) => NodeMsg::Config(Box::new(object)),
                     Err(error) => {
-                        log::error!("the configuration object cannot be read: {error}");
+                        log::error!("cannot decode the configuration object: {error}");
                         NodeMsg::PlatformFailed
                     }
                 }
@@ -56,7 +61,7 @@
     });
 }
 
-/// Reads the instance list and the drain marks for ever.
+/// Reads the instance list and the drain marks at regular intervals. Returns when the node has stopped.
 pub(crate) async fn read_lists(parts: NodeParts, node: ActorRef<NodeMsg>) {
     loop {
         if let Ok(list) = parts.store.instances(Purpose::Instances).await
--- a/crates/tc-fleet/src/suspects/home.rs
+++ b/crates/tc-fleet/src/suspects/home.rs
@@ -1,4 +1,4 @@
-//! The suspects of the services this instance is home of.
+//! The suspects of the services whose suspect home is this instance.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -18,20 +18,20 @@
 pub(super) const BUSY: u32 = 1;
 pub(super) const QUARANTINED: u32 = 2;
 
-/// Reports of an upstream's death within this time are of the same death: entries do not know the upstream's
-/// incarnation, and each reports its own calls.
-const SAME_DEATH: Duration = Duration::from_secs(1);
-/// Fingerprints whose workspace and service are remembered, at most.
-const MOST_ORIGINS: usize = 4_096;
+/// Period within which reports of an upstream's crash count as the same crash. Entries do not know the upstream's
+/// incarnation, and each reports only its own calls.
+const SAME_CRASH_PERIOD: Duration = Duration::from_secs(1);
+/// Maximum number of fingerprints whose origin is stored.
+const MAX_ORIGINS: usize = 4_096;
 
-/// Whose input a suspect is.
+/// Workspace and service that a suspect's input came from.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Origin {
     pub(crate) workspace: WorkspaceName,
     pub(crate) service: ServiceName,
 }
 
-struct Death {
+struct Crash {
     at: MonoTime,
     number: u64,
     reported: HashSet<Fingerprint>,
@@ -40,11 +40,11 @@
 struct State {
     suspects: Suspects,
     policy: SuspectPolicy,
-    deaths: HashMap<UpstreamId, Death>,
+    crashes_by_upstream: HashMap<UpstreamId, Crash>,
     origins: HashMap<Fingerprint, Origin>,
 }
 
-/// Suspects, trials and quarantines of some services.
+/// Suspects, trials and quarantines of the services assigned to this instance.
 pub(super) struct SuspectHome {
     state: Mutex<State>,
 }
@@ -55,13 +55,13 @@
             state: Mutex::new(State {
                 suspects: Suspects::with_policy(policy),
                 policy,
-                deaths: HashMap::new(),
+                crashes_by_upstream: HashMap::new(),
                 origins: HashMap::new(),
             }),
         }
     }
 
-    /// Takes up the configured number of crashes; quarantines stay.
+    /// Applies the configured number of crashes. Quarantines are kept, other suspects are dropped.
     pub(super) fn set_crashes_to_quarantine(&self, now: MonoTime, crashes: u32) {
         let mut state = self.lock();
         if state.policy.crashes_to_quarantine == crashes {
@@ -75,11 +75,11 @@
         }
     }
 
-    /// Takes in an entry's report and answers it.
-    pub(super) fn answer(&self, now: MonoTime, report: &SuspectReport) -> SuspectAnswer {
+    /// Processes an entry's report and returns the answer.
+    pub(super) fn handle_report(&self, now: MonoTime, report: &SuspectReport) -> SuspectAnswer {
         let mut state = self.lock();
         if !report.died.is_empty() {
-            state.died(now, report);
+            state.record_crash(now, report);
         }
         for cleared in &report.cleared {
             state.suspects.clear(now, Fingerprint(*cleared));
@@ -98,7 +98,7 @@
         trial_answer(state.suspects.try_trial(now, Fingerprint(report.trial)))
     }
 
-    /// Those of `fingerprints` that are suspects here.
+    /// Returns those of `fingerprints` that are suspects here.
     pub(super) fn suspects_among(&self, fingerprints: Vec<Fingerprint>) -> Vec<Fingerprint> {
         let state = self.lock();
         fingerprints
@@ -107,7 +107,7 @@
             .collect()
     }
 
-    /// Quarantined fingerprints, and whose they are where that is known.
+    /// Returns the quarantined fingerprints with their origins, where known.
     pub(super) fn quarantined(&self) -> Vec<(Fingerprint, Option<Origin>)> {
         let state = self.lock();
         let with_origin = |f| (f, state.origins.get(&f).cloned());
@@ -128,44 +128,54 @@
 }
 
 impl State {
-    fn died(&mut self, now: MonoTime, report: &SuspectReport) {
-        let died: Vec<Fingerprint> = report.died.iter().copied().map(Fingerprint).collect();
+    fn record_crash(&mut self, now: MonoTime, report: &SuspectReport) {
+        let in_flight: Vec<Fingerprint> = report.died.iter().copied().map(Fingerprint).collect();
         let upstream = UpstreamId::from(report.upstream.as_str());
-        let number = self.death_number(now, &upstream, &died);
+        let number = self.crash_number(now, &upstream, &in_flight);
         self.suspects
-            .record_crash(now, &upstream, Incarnation(number), &died);
+            .record_crash(now, &upstream, Incarnation(number), &in_flight);
         let origin = Origin {
             workspace: report.workspace.as_str().into(),
             service: report.service.as_str().into(),
         };
-        for fingerprint in died {
-            if self.origins.len() < MOST_ORIGINS {
+        for fingerprint in in_flight {
+            if self.origins.len() < MAX_ORIGINS {
                 self.origins.insert(fingerprint, origin.clone());
             }
         }
     }
 
-    /// The same number for all reports of one death.
+    /// Returns the same number for all reports of one crash.
     ///
-    /// A suspect runs once at a time, so one that is reported again died in another life of the upstream; counted as the
-    /// same death, a request that crashes an upstream each time it restarts would never be quarantined.
-    fn death_number(&mut self, now: MonoTime, upstream: &UpstreamId, died: &[Fingerprint]) -> u64 {
-        self.deaths
-            .retain(|_, death| now.since(death.at) < SAME_DEATH);
-        let again = |death: &Death| died.iter().any(|f| death.reported.contains(f));
-        if self.deaths.get(upstream).is_some_and(again) {
-            self.deaths.remove(upstream);
+    /// A suspect has only one run at a time, so if it is reported again, it crashed a later incarnation of the
+    /// upstream. If that counted as the same crash, a request that crashes an upstream after each restart would never
+    /// be quarantined.
+    fn crash_number(
+        &mut self,
+        now: MonoTime,
+        upstream: &UpstreamId,
+        in_flight: &[Fingerprint],
+    ) -> u64 {
+        self.crashes_by_upstream
+            .retain(|_, crash| now.since(crash.at) < SAME_CRASH_PERIOD);
+        let is_repeated = |crash: &Crash| in_flight.iter().any(|f| crash.reported.contains(f));
+        if self
+            .crashes_by_upstream
+            .get(upstream)
+            .is_some_and(is_repeated)
+        {
+            self.crashes_by_upstream.remove(upstream);
         }
-        let death = self
-            .deaths
+        let crash = self
+            .crashes_by_upstream
             .entry(upstream.clone())
-            .or_insert_with(|| Death {
+            .or_insert_with(|| Crash {
                 at: now,
                 number: rand::random(),
                 reported: HashSet::new(),
             });
-        death.reported.extend(died);
-        death.number
+        crash.reported.extend(in_flight);
+        crash.number
     }
 }
 
--- a/crates/tc-fleet/src/suspects/mod.rs
+++ b/crates/tc-fleet/src/suspects/mod.rs
@@ -1,12 +1,13 @@
-//! Requests that may crash upstreams: those reported to this instance, and those of the services it is home of.
+//! Requests that may crash upstreams: those reported to this instance, and those of the services whose suspect home it
+//! is.
 
-mod confirm;
+mod crash_check;
 mod home;
 mod reported;
 mod table;
 mod trial;
 
-pub(crate) use confirm::{CalledUpstream, Confirmer};
+pub(crate) use crash_check::{CalledUpstream, CrashCheck};
 pub(crate) use home::Origin;
-pub(crate) use table::{SUSPECTS_PER_DATAGRAM, SuspectTable, TellHome, Told};
+pub(crate) use table::{ReportResult, SUSPECTS_PER_DATAGRAM, SendReport, SuspectTable};
 pub(crate) use trial::TrialGuard;
--- a/crates/tc-fleet/src/suspects/reported.rs
+++ b/crates/tc-fleet/src/suspects/reported.rs
@@ -1,4 +1,4 @@
-//! Suspects that were reported to this instance, by their home or by its own calls.
+//! Suspects reported to this instance by their home or by its own calls.
 
 use std::{
     collections::HashMap,
@@ -11,15 +11,15 @@
 
 use tc_protocol::{Fingerprint, MonoTime};
 
-/// A suspect not reported for this long is forgotten; its home reports it again and again while it is one.
-const REMEMBERED_FOR: Duration = Duration::from_mins(1);
-/// Suspects remembered at most; one beyond that pushes out the one reported longest ago.
-const MOST: usize = 4_096;
+/// Time without a report after which a suspect is dropped. Its home repeats the report for as long as it is one.
+const REPORT_TTL: Duration = Duration::from_mins(1);
+/// Maximum number of suspects; beyond it, the one reported longest ago is dropped.
+const MAX_REPORTED: usize = 4_096;
 
-/// The fingerprints and when each was last reported.
+/// Fingerprints with the time of their last report.
 #[derive(Default)]
 pub(super) struct ReportedSuspects {
-    // Mirrors the size of `reported`, so that the ordinary request, with no suspect about, takes no lock.
+    // Size of `reported`, so that requests take no lock while there are no suspects.
     count: AtomicUsize,
     reported: Mutex<HashMap<Fingerprint, MonoTime>>,
 }
@@ -36,16 +36,16 @@
         let reported = self.lock();
         reported
             .get(&fingerprint)
-            .is_some_and(|at| now.since(*at) < REMEMBERED_FOR)
+            .is_some_and(|at| now.since(*at) < REPORT_TTL)
     }
 
     pub(super) fn insert(&self, now: MonoTime, fingerprint: Fingerprint) {
         let mut reported = self.lock();
         reported.insert(fingerprint, now);
-        if reported.len() > MOST {
-            reported.retain(|_, at| now.since(*at) < REMEMBERED_FOR);
+        if reported.len() > MAX_REPORTED {
+            reported.retain(|_, at| now.since(*at) < REPORT_TTL);
         }
-        if reported.len() > MOST
+        if reported.len() > MAX_REPORTED
             && let Some(oldest) = reported.iter().min_by_key(|(_, at)| **at).map(|(f, _)| *f)
         {
             reported.remove(&oldest);
--- a/crates/tc-fleet/src/suspects/table.rs
+++ b/crates/tc-fleet/src/suspects/table.rs
@@ -1,4 +1,4 @@
-//! The entry's side of suspects: asking for trials, telling of deaths and of whole runs.
+//! The entry's side of suspects: requests trials and reports crashes and completed runs.
 
 use std::{
     collections::HashMap,
@@ -13,7 +13,7 @@
 };
 
 use super::{
-    confirm::{CalledUpstream, Confirmer},
+    crash_check::{CalledUpstream, CrashCheck},
     home::{MAY_RUN, Origin, QUARANTINED, SuspectHome},
     reported::ReportedSuspects,
     trial::TrialGuard,
@@ -23,81 +23,81 @@
     generated::{SuspectAnswer, SuspectReport},
 };
 
-/// Wait before a suspect whose home cannot be reached is tried again.
-const HOME_RETRY: Duration = Duration::from_millis(100);
-/// Shortest wait between two questions for one trial.
-const LEAST_RETRY: Duration = Duration::from_millis(5);
-/// Time for the home's datagrams to reach every instance. Without it, a caller who is told of the failure and sends
-/// again through another instance can be faster than the warning, and the input runs there as if it were unknown.
-const SPREAD_TIME: Duration = Duration::from_millis(20);
-/// Inputs of running calls whose origin is remembered, at most.
-const MOST_ORIGINS: usize = 4_096;
+/// Retry delay for a suspect whose home is unreachable.
+const HOME_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Minimum delay between two requests for the same trial.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Time for the home's datagrams to reach every instance. Without this delay, a caller that retries through another
+/// instance after the failure can be faster than the datagrams, and the input runs there without a trial.
+const GOSSIP_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of inputs whose origin or called upstream is stored.
+const MAX_ORIGINS: usize = 4_096;
 
-/// Suspect fingerprints put into one datagram at most.
+/// Maximum number of suspect fingerprints per datagram.
 pub(crate) const SUSPECTS_PER_DATAGRAM: usize = 8;
 
-/// Asks the node to tell every live instance of the suspects now.
-pub(crate) type SpreadNow = Box<dyn Fn() + Send + Sync>;
+/// Sends the suspects to every live instance immediately.
+pub(crate) type GossipNow = Box<dyn Fn() + Send + Sync>;
 
-/// Where a report to the home of some suspects went.
-pub(crate) enum Told {
-    /// This instance is their home.
-    Here,
-    /// Another instance is, and answered.
-    There(SuspectAnswer),
-    /// Their home cannot be reached.
-    Nowhere,
+/// Result of sending a report to the home of the suspects.
+pub(crate) enum ReportResult {
+    /// This instance is the home and has to process the report itself.
+    Local,
+    /// Another instance is the home and answered.
+    Answered(SuspectAnswer),
+    /// The home is unreachable.
+    Unreachable,
 }
 
-/// Tells the home that a key names. All suspects of a service have one home: a home that knew only some of those that
-/// were in flight on an upstream that died could not tell the guilty one from its neighbours.
-pub(crate) type TellHome =
-    Box<dyn Fn(String, SuspectReport) -> BoxFuture<'static, Told> + Send + Sync>;
+/// Sends a report to the home of a key. All suspects of a service have the same home: a home that knew only some of the
+/// requests in flight on a crashed upstream could not tell the culprit from the others.
+pub(crate) type SendReport =
+    Box<dyn Fn(String, SuspectReport) -> BoxFuture<'static, ReportResult> + Send + Sync>;
 
-/// All that this instance knows of suspects.
+/// Everything this instance knows about suspects.
 pub(crate) struct SuspectTable {
     me: InstanceId,
-    tell_home: TellHome,
+    send_to_home: SendReport,
     reported: ReportedSuspects,
-    /// Upstreams as they were when calls that ended in a broken connection were granted.
+    /// Upstreams whose connection broke during a call, as known when the call was granted.
     called: Mutex<HashMap<Fingerprint, CalledUpstream>>,
-    /// Of inputs that died here or run as suspects.
+    /// Origins of inputs that crashed an upstream here or run as suspects.
     origins: Mutex<HashMap<Fingerprint, Origin>>,
     home: SuspectHome,
-    /// Whether a connection that broke means a death; without one it always does.
-    confirmer: Option<Confirmer>,
-    spread_now: Mutex<Option<SpreadNow>>,
+    /// Checks whether a broken connection means a crash; `None` means that it always does.
+    crash_check: Option<CrashCheck>,
+    gossip_now: Mutex<Option<GossipNow>>,
 }
 
 impl SuspectTable {
     pub(crate) fn new(
         me: InstanceId,
         policy: SuspectPolicy,
-        tell_home: TellHome,
-        confirmer: Option<Confirmer>,
+        send_to_home: SendReport,
+        crash_check: Option<CrashCheck>,
     ) -> Self {
         Self {
             me,
-            tell_home,
+            send_to_home,
             reported: ReportedSuspects::default(),
             origins: Mutex::default(),
             home: SuspectHome::new(policy),
-            confirmer,
+            crash_check,
             called: Mutex::default(),
-            spread_now: Mutex::default(),
+            gossip_now: Mutex::default(),
         }
     }
 
-    pub(crate) fn set_spread_now(&self, spread: SpreadNow) {
-        *lock(&self.spread_now) = Some(spread);
+    pub(crate) fn set_gossip_now(&self, gossip_now: GossipNow) {
+        *lock(&self.gossip_now) = Some(gossip_now);
     }
 
-    /// Takes up the configured number of crashes that quarantine an input.
+    /// Applies the configured number of crashes after which an input is quarantined.
     pub(crate) fn set_crashes_to_quarantine(&self, now: MonoTime, crashes: u32) {
         self.home.set_crashes_to_quarantine(now, crashes);
     }
 
-    /// Waits for leave to run an input: at once unless it is a suspect; a suspect runs once at a time.
+    /// Waits until an input may run. Returns a guard if it runs as a trial, or `None` at once if it is not a suspect.
     pub(crate) async fn try_trial(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
@@ -110,12 +110,12 @@
         }
         let service = origin.service.clone();
         self.note_origin(fingerprint, origin);
-        let question = SuspectReport {
+        let report = SuspectReport {
             trial: fingerprint.0,
             ..self.empty_report(&service)
         };
         loop {
-            let answer = self.tell(&question).await;
+            let answer = self.send_report(&report).await;
             let refusal = match answer {
                 Some(answer) if answer.trial == MAY_RUN => {
                     return Ok(Some(TrialGuard::new(
@@ -127,10 +127,10 @@
                 Some(answer) => refusal(answer),
                 None => PermitRefusal {
                     reason: RefusalReason::HomeUnreachable,
-                    retry_after: HOME_RETRY,
+                    retry_after: HOME_RETRY_DELAY,
                 },
             };
-            let wait = refusal.retry_after.clamp(LEAST_RETRY, HOME_RETRY);
+            let wait = refusal.retry_after.clamp(MIN_RETRY_DELAY, HOME_RETRY_DELAY);
             let out_of_time = MonoTime::now().since(started) + wait > slack;
             if refusal.reason == RefusalReason::Quarantined || out_of_time {
                 return Err(refusal);
@@ -139,34 +139,34 @@
         }
     }
 
-    /// Remembers whose input it is, for [`Self::report_crash`] and [`Self::report_completed`].
+    /// Stores the origin of an input for [`Self::report_crash`] and [`Self::report_completed`].
     pub(crate) fn note_origin(&self, fingerprint: Fingerprint, origin: Origin) {
         let mut origins = lock(&self.origins);
-        if origins.len() >= MOST_ORIGINS {
+        if origins.len() >= MAX_ORIGINS {
             origins.clear();
         }
         origins.insert(fingerprint, origin);
     }
 
-    /// Remembers what was called when a connection broke under an input, before [`Self::report_crash`].
+    /// Stores the upstream whose connection broke during a call, for a later [`Self::report_crash`].
     pub(crate) fn note_called(&self, fingerprint: Fingerprint, called: CalledUpstream) {
-        let mut remembered = lock(&self.called);
-        if remembered.len() >= MOST_ORIGINS {
-            remembered.clear();
+        let mut calls = lock(&self.called);
+        if calls.len() >= MAX_ORIGINS {
+            calls.clear();
         }
-        remembered.insert(fingerprint, called);
+        calls.insert(fingerprint, called);
     }
 
-    /// An upstream died under this input. Returns once the instances have been warned, so that a resend does not outrun
-    /// the warning.
+    /// Reports that an upstream crashed while it ran this input. Returns after the other instances had time to learn of
+    /// it, so that a resent request is recognized as a suspect.
     pub(crate) async fn report_crash(
         self: Arc<Self>,
         fingerprint: Fingerprint,
         upstream: UpstreamId,
     ) {
         let called = lock(&self.called).remove(&fingerprint);
-        if let (Some(called), Some(confirmer)) = (called, &self.confirmer)
-            && !confirmer.is_dead(&called).await
+        if let (Some(called), Some(crash_check)) = (called, &self.crash_check)
+            && !crash_check.has_crashed(&called).await
         {
             metrics::counter!("tc_false_deaths_total").increment(1);
             return;
@@ -182,60 +182,65 @@
             workspace: origin.workspace.to_string(),
             ..self.empty_report(&origin.service)
         };
-        self.tell(&report).await;
-        tokio::time::sleep(SPREAD_TIME).await;
+        self.send_report(&report).await;
+        tokio::time::sleep(GOSSIP_DELAY).await;
     }
 
-    /// It ran to its end: no suspect any more.
+    /// Reports that an input ran to a complete result, which clears a suspect.
     pub(crate) fn report_completed(self: &Arc<Self>, fingerprint: Fingerprint) {
         if !self.reported.contains(MonoTime::now(), fingerprint) {
             return;
         }
-        // Unknown here: it became a suspect while it ran, elsewhere; its next trial will clear it.
+        // Without an origin, it became a suspect during this run because of a crash elsewhere. Its next trial clears it.
         let Some(origin) = lock(&self.origins).remove(&fingerprint) else {
             return;
         };
         self.reported.remove(fingerprint);
         let cleared = vec![fingerprint.0];
-        self.tell_later(SuspectReport {
+        self.spawn_report(SuspectReport {
             cleared,
             ..self.empty_report(&origin.service)
         });
     }
 
-    pub(super) fn trial_ended(self: &Arc<Self>, service: &ServiceName, fingerprint: Fingerprint) {
+    pub(super) fn report_trial_end(
+        self: &Arc<Self>,
+        service: &ServiceName,
+        fingerprint: Fingerprint,
+    ) {
         let trial_ended = fingerprint.0;
-        self.tell_later(SuspectReport {
+        self.spawn_report(SuspectReport {
             trial_ended,
             ..self.empty_report(service)
         });
     }
 
-    /// A home's answer to an entry's report.
-    pub(crate) fn answer(&self, now: MonoTime, report: &SuspectReport) -> SuspectAnswer {
-        let answer = self.home.answer(now, report);
-        let died = report.died.iter().copied().map(Fingerprint).collect();
-        let suspects = self.home.suspects_among(died);
+    /// Processes an entry's report as the home and returns the answer.
+    pub(crate) fn handle_report(&self, now: MonoTime, report: &SuspectReport) -> SuspectAnswer {
+        let answer = self.home.handle_report(now, report);
+        let in_flight = report.died.iter().copied().map(Fingerprint).collect();
+        let suspects = self.home.suspects_among(in_flight);
         if !suspects.is_empty() {
             for suspect in suspects {
                 self.reported.insert(now, suspect);
             }
-            if let Some(spread) = lock(&self.spread_now).as_ref() {
-                spread();
+            if let Some(gossip_now) = lock(&self.gossip_now).as_ref() {
+                gossip_now();
             }
         }
         answer
     }
 
-    /// Suspects that a datagram told of.
-    pub(crate) fn heard(&self, now: MonoTime, fingerprints: &[u64]) {
+    /// Records suspects from a datagram.
+    pub(crate) fn note_gossiped(&self, now: MonoTime, fingerprints: &[u64]) {
         for fingerprint in fingerprints {
             self.reported.insert(now, Fingerprint(*fingerprint));
         }
     }
 
-    /// Suspects to tell others of: those this instance is home of, as only their home knows them to be current.
-    pub(crate) fn to_gossip(&self, now: MonoTime, most: usize) -> Vec<u64> {
+    /// Returns the suspects to send to other instances. These are only the ones whose home is here, because only the
+    /// home knows that they are current.
+    pub(crate) fn to_gossip(&self, now: MonoTime, max: usize) -> Vec<u64> {
         if self.reported.is_empty() {
             return Vec::new();
         }
@@ -243,44 +248,44 @@
         for fingerprint in &current {
             self.reported.insert(now, *fingerprint);
         }
-        current.truncate(most);
+        current.truncate(max);
         current
             .into_iter()
             .map(|fingerprint| fingerprint.0)
             .collect()
     }
 
-    /// Quarantined fingerprints known here, and whose they are where that is known.
+    /// Returns the quarantined fingerprints known here with their origins, where known.
     pub(crate) fn quarantined(&self) -> Vec<(Fingerprint, Option<Origin>)> {
         self.home.quarantined()
     }
 
-    /// Takes up a quarantine that another instance put into the platform.
+    /// Adds a quarantine that another instance stored in the platform.
     pub(crate) fn adopt_quarantine(&self, now: MonoTime, fingerprint: Fingerprint) {
         self.home.adopt_quarantine(now, fingerprint);
         self.reported.insert(now, fingerprint);
     }
 
-    /// Drops a quarantine that an operator lifted in the platform.
+    /// Removes a quarantine that an operator lifted in the platform.
     pub(crate) fn lift_quarantine(&self, now: MonoTime, fingerprint: Fingerprint) {
         self.home.lift_quarantine(now, fingerprint);
         self.reported.remove(fingerprint);
     }
 
-    /// Tells the service's home; `None` when it cannot be reached.
-    async fn tell(&self, report: &SuspectReport) -> Option<SuspectAnswer> {
+    /// Sends a report to the home of its service. Returns `None` if the home is unreachable.
+    async fn send_report(&self, report: &SuspectReport) -> Option<SuspectAnswer> {
         let key = format!("suspects/{}", report.service);
-        match (self.tell_home)(key, report.clone()).await {
-            Told::Here => Some(self.answer(MonoTime::now(), report)),
-            Told::There(answer) => Some(answer),
-            Told::Nowhere => None,
+        match (self.send_to_home)(key, report.clone()).await {
+            ReportResult::Local => Some(self.handle_report(MonoTime::now(), report)),
+            ReportResult::Answered(answer) => Some(answer),
+            ReportResult::Unreachable => None,
         }
     }
 
-    fn tell_later(self: &Arc<Self>, report: SuspectReport) {
+    fn spawn_report(self: &Arc<Self>, report: SuspectReport) {
         let table = Arc::clone(self);
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(async move { table.tell(&report).await });
+            runtime.spawn(async move { table.send_report(&report).await });
         }
     }
 
--- a/crates/tc-fleet/src/suspects/trial.rs
+++ b/crates/tc-fleet/src/suspects/trial.rs
@@ -1,4 +1,4 @@
-//! A suspect's run, of which there is one at a time over the whole fleet.
+//! Trial runs of suspects. A suspect has at most one at a time in the whole fleet.
 
 use std::sync::Arc;
 
@@ -6,12 +6,12 @@
 
 use super::table::SuspectTable;
 
-/// A running trial; ends at its home when dropped.
+/// A running trial. Dropping it reports the end of the trial to the suspect's home.
 pub(crate) struct TrialGuard {
     table: Arc<SuspectTable>,
     service: ServiceName,
     fingerprint: Fingerprint,
-    ended: bool,
+    end_reported: bool,
 }
 
 impl TrialGuard {
@@ -24,22 +24,22 @@
             table,
             service,
             fingerprint,
-            ended: false,
+            end_reported: false,
         }
     }
 
-    /// The trial's call ended. A death is told by [`SuspectTable::report_crash`] and a whole run by
-    /// [`SuspectTable::report_completed`], which end the trial at its home too; telling here first would let the next
-    /// trial start before the home knows of either.
+    /// Ends the trial after its call. A crash is reported by [`SuspectTable::report_crash`] and a completed run by
+    /// [`SuspectTable::report_completed`], which also end the trial at its home. A report from here before theirs would
+    /// let the next trial start before the home knows the result.
     pub(crate) fn end(mut self, outcome: Outcome) {
-        self.ended = outcome == Outcome::Died;
+        self.end_reported = outcome == Outcome::Died;
     }
 }
 
 impl Drop for TrialGuard {
     fn drop(&mut self) {
-        if !self.ended {
-            self.table.trial_ended(&self.service, self.fingerprint);
+        if !self.end_reported {
+            self.table.report_trial_end(&self.service, self.fingerprint);
         }
     }
 }
