--- a/crates/tc-fleet/src/config.rs
+++ b/crates/tc-fleet/src/config.rs
@@ -10,7 +10,8 @@
 
 use crate::generated::{ConfigDelta, ConfigFileText};
 
-/// Returns the files changed since `have_revision` and the names of all files, so that the receiver can drop the others.
+/// Returns the files changed since `have_revision` and the names of all files, so that the receiver can drop the
+/// others.
 pub(crate) fn delta(object: &ConfigObject, have_revision: u64) -> ConfigDelta {
     let changed = object
         .files
--- a/crates/tc-fleet/src/fleet.rs
+++ b/crates/tc-fleet/src/fleet.rs
@@ -54,7 +54,8 @@
     /// Starts actors, sockets and tasks on the current runtime, which must be the control thread's.
     ///
     /// # Errors
-    /// Returns [`FleetError::Listen`] if the address cannot be bound and [`FleetError::Actors`] if an actor does not start.
+    /// Returns [`FleetError::Listen`] if the address cannot be bound and [`FleetError::Actors`] if an actor does not
+    /// start.
     pub async fn start(
         settings: FleetSettings,
         store: Store,
--- a/crates/tc-fleet/src/homes/actor.rs
+++ b/crates/tc-fleet/src/homes/actor.rs
@@ -129,7 +129,7 @@
             HomesMsg::Release { upstream, release } => self.release(now, &upstream, &release),
             HomesMsg::AdoptPermit { upstream, held } => self.adopt(now, &upstream, held),
             HomesMsg::RemoveEntry(entry) => {
-                self.for_each_home(now, |home| home.remove_entry(now, &entry))
+                self.for_each_home(now, |home| home.remove_entry(now, &entry));
             }
             HomesMsg::SetUpstreams(known) => self.set_upstreams(now, known),
             HomesMsg::Load { upstream, report } => self.record_load(now, &upstream, &report),
--- a/crates/tc-fleet/src/orders/planner.rs
+++ b/crates/tc-fleet/src/orders/planner.rs
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Releases the lease after the planner was assigned to another instance, which would otherwise have to wait for the
-    /// lease to expire before its first order.
+    /// Releases the lease after the planner was assigned to another instance, which would otherwise have to wait for
+    /// the lease to expire before its first order.
     async fn release_lease(&mut self, name: &ServiceName) {
         let Some(held) = self.held.take() else { return };
         if let Err(error) = self.lease.release(held).await {
--- a/crates/tc-fleet/tests/fleet/addresses.rs
+++ b/crates/tc-fleet/tests/fleet/addresses.rs
@@ -1,23 +1,23 @@
-//! Where an instance listens for others, where its own calls come from, and what others are told.
+//! Listening, source and advertised addresses of an instance.
 
 use std::net::SocketAddr;
 
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::common::{Instance, KEY, PATIENCE, run, until};
+use crate::common::{Instance, KEY, TIMEOUT, run, wait_until};
 use tc_stand_ins::Platform;
 
-/// An address whose port was free a moment ago.
+/// Returns an address with a port that was free at the time of the call.
 async fn free_at(ip: [u8; 4]) -> SocketAddr {
     let listener = TcpListener::bind(SocketAddr::from((ip, 0))).await.unwrap();
     listener.local_addr().unwrap()
 }
 
 #[test]
-fn calls_to_instances_leave_from_the_listening_ip() {
-    // Symptom: on a machine of several addresses, probes pass a packet filter and permits do not.
-    // Sequence: an instance listens on one of them and calls a seed that is nearer to another.
-    // Cause: without a fixed source the system picks the address for a connection, not the listening one.
+fn calls_to_instances_use_the_listening_ip_as_source() {
+    // On a host with several IP addresses, an instance listens on one of them and calls a seed that is routed over
+    // another one. Unless the source address is set, the operating system chooses it for TCP connections, and a packet
+    // filter may pass probes but block permit requests.
     run(async {
         let platform = Platform::start(SocketAddr::from(([127, 0, 0, 1], 0)))
             .await
@@ -25,10 +25,16 @@
         let seed = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let seeds = vec![seed.local_addr().unwrap()];
         let listen = free_at([127, 0, 7, 1]).await;
-        let told = free_at([127, 0, 0, 1]).await;
-        let _instance =
-            Instance::start_at([listen, told], "a", "kl-a", platform.address(), seeds, KEY);
-        let (_, from) = tokio::time::timeout(PATIENCE, seed.accept())
+        let advertised = free_at([127, 0, 0, 1]).await;
+        let _instance = Instance::start_at(
+            [listen, advertised],
+            "a",
+            "kl-a",
+            platform.address(),
+            seeds,
+            KEY,
+        );
+        let (_, from) = tokio::time::timeout(TIMEOUT, seed.accept())
             .await
             .unwrap()
             .unwrap();
@@ -37,29 +43,31 @@
 }
 
 #[test]
-fn others_are_told_the_advertised_address() {
-    // Symptom: instances behind a translated address see each other as dead.
-    // Sequence: an instance listens where only its own side reaches it, and advertises another address.
-    // Cause: what it is told to bind must not be what it tells others.
+fn the_advertised_address_is_announced() {
+    // Behind address translation, an instance listens on an address that only its own network can reach and advertises
+    // another one. If it announced the listening address, instances would declare each other dead.
     run(async {
         let platform = Platform::start(SocketAddr::from(([127, 0, 0, 1], 0)))
             .await
             .unwrap();
         let listen = free_at([127, 0, 7, 1]).await;
-        let told = free_at([127, 0, 0, 1]).await;
+        let advertised = free_at([127, 0, 0, 1]).await;
         let start = |addresses, id, seeds| {
             Instance::start_at(addresses, id, "kl-a", platform.address(), seeds, KEY)
         };
-        let first = start([listen, told], "a", Vec::new());
+        let first = start([listen, advertised], "a", Vec::new());
         TcpStream::connect(listen).await.unwrap();
         let plain = free_at([127, 0, 0, 1]).await;
-        // Its seed is where the first one listens: nobody listens where the first one says it is.
+        // The seed is the listening address of the first instance, because nothing listens on the advertised one.
         let second = start([plain; 2], "b", vec![listen]);
-        until("the second knows the first by the address it tells", || {
-            let view = second.fleet.view();
-            view.member(&first.member.id)
-                .is_some_and(|m| m.fleet_address == told)
-        })
+        wait_until(
+            "the second instance knows the advertised address of the first",
+            || {
+                let view = second.fleet.view();
+                view.member(&first.member.id)
+                    .is_some_and(|m| m.fleet_address == advertised)
+            },
+        )
         .await;
     });
 }
--- a/crates/tc-fleet/tests/fleet/common.rs
+++ b/crates/tc-fleet/tests/fleet/common.rs
@@ -1,4 +1,4 @@
-//! A few instances' fleet layers in one process, over real sockets, with a stand-in platform.
+//! Helpers to start several fleet layers in one process over real sockets, with a stand-in platform.
 
 use std::{fmt::Write as _, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,10 +14,10 @@
 
 pub(crate) const KEY: &str = "a key of the tests";
 
-/// Longest wait for something that must happen; far above what it takes, so that a slow machine changes no verdict.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for conditions that must become true. Far longer than needed, so that tests do not fail on a slow machine.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One instance's fleet layer on a runtime of its own; dropping it is a crash.
+/// The fleet layer of one instance on its own runtime. Dropping it simulates a crash.
 pub(crate) struct Instance {
     pub(crate) fleet: Fleet,
     pub(crate) member: Member,
@@ -36,7 +36,7 @@
         Self::start_at([address; 2], id, domain, platform, seeds, key)
     }
 
-    /// One that listens for other instances at the first address and tells them the second.
+    /// Starts an instance that listens on the first address and advertises the second.
     pub(crate) fn start_at(
         [fleet_listen, fleet_address]: [SocketAddr; 2],
         id: &str,
@@ -70,12 +70,12 @@
             traffic: runtime.handle().clone(),
         };
         let store = store_at(platform);
-        let local = ReportHandlers {
+        let reports = ReportHandlers {
             explain: Box::new(|_| Box::pin(async { None })),
             report: Box::new(|()| Box::pin(async { Some("{}".to_owned()) })),
         };
         let upstream = UpstreamClient::new(ClientSettings::default());
-        let started = runtime.spawn(Fleet::start(settings, store, upstream, local));
+        let started = runtime.spawn(Fleet::start(settings, store, upstream, reports));
         let fleet = futures::executor::block_on(started).unwrap().unwrap();
         Self {
             fleet,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Ends all its tasks and sockets at once.
+    /// Ends all tasks and closes all sockets immediately.
     pub(crate) fn crash(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
@@ -106,7 +106,7 @@
     })
 }
 
-/// A client of the platform, as an operator's command has one.
+/// Returns a client of the platform's store, like the one of an operator's command.
 pub(crate) fn store(platform: &Platform) -> Store {
     store_at(platform.address())
 }
@@ -115,7 +115,7 @@
     tc_stand_ins::free_address(std::net::Ipv4Addr::LOCALHOST.into()).unwrap()
 }
 
-/// Instances `i0`, `i1`, … listed at the platform.
+/// Starts instances `i0`, `i1`, … and lists them in the platform.
 pub(crate) fn start_listed(platform: &Platform, count: usize) -> Vec<Instance> {
     (0..count)
         .map(|number| {
@@ -134,7 +134,7 @@
         .collect()
 }
 
-/// Puts a configuration with one pool service `encode` of `upstreams` into the platform.
+/// Stores a configuration in the platform, with one pool service `encode` that has `upstreams`.
 pub(crate) async fn put_config(
     platform: &Platform,
     revision: u64,
@@ -148,11 +148,11 @@
             "[[services.encode.upstreams]]\nid = \"e{number}\"\naddress = \"{address}\"\nfailure_domain = \"kl-a\"\nregion = \"kl\"\n"
         );
     }
-    put_text(platform, revision, text).await;
+    put_config_text(platform, revision, text).await;
 }
 
-/// Puts a configuration of one file into the platform.
-pub(crate) async fn put_text(platform: &Platform, revision: u64, text: String) {
+/// Stores a configuration with a single file in the platform.
+pub(crate) async fn put_config_text(platform: &Platform, revision: u64, text: String) {
     let file = ConfigFile { text, revision };
     let object = ConfigObject {
         revision,
@@ -181,18 +181,18 @@
     };
 }
 
-/// Waits until `holds`; panics with `what` when it does not within [`PATIENCE`].
-pub(crate) async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until `holds` returns true. Panics with `what` after [`TIMEOUT`].
+pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = std::time::Instant::now();
     while !holds() {
-        assert!(started.elapsed() < PATIENCE, "never came true: {what}");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Waits until every instance sees `count` live members and revision `revision`.
-pub(crate) async fn until_settled(instances: &[Instance], count: usize, revision: u64) {
-    until("all instances see each other and the configuration", || {
+/// Waits until every instance sees `count` live members and at least configuration `revision`.
+pub(crate) async fn wait_until_settled(instances: &[Instance], count: usize, revision: u64) {
+    wait_until("all instances see each other and the configuration", || {
         instances.iter().all(|instance| {
             let view = instance.fleet.view();
             let alive = view
@@ -206,8 +206,8 @@
     .await;
 }
 
-/// An ask for the service `encode`.
-pub(crate) fn ask(request: &str, slack: Duration) -> PermitRequest {
+/// Returns a permit request for the service `encode`.
+pub(crate) fn permit_request(request: &str, slack: Duration) -> PermitRequest {
     PermitRequest {
         request: RequestId::from(request),
         attempt: Attempt(0),
@@ -226,8 +226,8 @@
     }
 }
 
-/// A shared platform and its instances, settled on a first configuration.
-pub(crate) async fn settled(
+/// Starts a platform and instances, and waits until all instances have the first configuration.
+pub(crate) async fn start_settled(
     count: usize,
     upstreams: usize,
     slots: u32,
@@ -240,11 +240,11 @@
     let addresses: Vec<SocketAddr> = (0..upstreams).map(|_| free_address()).collect();
     put_config(&platform, 1, &addresses, slots).await;
     let instances = start_listed(&platform, count);
-    until_settled(&instances, count, 1).await;
+    wait_until_settled(&instances, count, 1).await;
     (platform, instances)
 }
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on its own runtime.
 pub(crate) fn run(test: impl Future<Output = ()>) {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
--- a/crates/tc-fleet/tests/fleet/main.rs
+++ b/crates/tc-fleet/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Several instances' fleet layers in one process, over real sockets.
+//! Tests of several fleet layers in one process over real sockets.
 
 mod addresses;
 mod common;
--- a/crates/tc-fleet/tests/fleet/orders.rs
+++ b/crates/tc-fleet/tests/fleet/orders.rs
@@ -1,21 +1,21 @@
-//! Orders to engines over several instances.
+//! Orders to engines across several instances.
 
 use std::fmt::Write as _;
 
 use tc_stand_ins::{Engine, EngineConfig, Platform, Recorder, WeightStore};
 
-use crate::common::{Instance, put_text, run, start_listed, until, until_settled};
+use crate::common::{Instance, put_config_text, run, start_listed, wait_until, wait_until_settled};
 
 const ENGINES: usize = 3;
-/// Models a second of a weight store that serves one and then none for longer than any test lasts.
-const ONE_MODEL: f64 = 0.001;
+/// Rate of a weight store, in models per second, that serves one model and no second one within the time of a test.
+const MODELS_PER_S: f64 = 0.001;
 
-async fn start_engines(recorder: &Recorder, weights: Option<&WeightStore>) -> Vec<Engine> {
+async fn start_engines(recorder: &Recorder, weight_store: Option<&WeightStore>) -> Vec<Engine> {
     let mut engines = Vec::new();
     for number in 0..ENGINES {
         let cfg = EngineConfig {
             models: vec!["draft@1".to_owned()],
-            weight_store: weights.map(WeightStore::address),
+            weight_store: weight_store.map(WeightStore::address),
             ..EngineConfig::new(format!("g{number}").as_str(), "generate")
         };
         let address = "127.0.0.1:0".parse().unwrap();
@@ -38,17 +38,17 @@
     text
 }
 
-async fn started(
+async fn start_fleet(
     recorder: &Recorder,
-    weights: Option<&WeightStore>,
+    weight_store: Option<&WeightStore>,
 ) -> (Platform, Vec<Engine>, Vec<Instance>) {
     let platform = Platform::start("127.0.0.1:0".parse().unwrap())
         .await
         .unwrap();
-    let engines = start_engines(recorder, weights).await;
-    put_text(&platform, 1, config(&engines, "1")).await;
+    let engines = start_engines(recorder, weight_store).await;
+    put_config_text(&platform, 1, config(&engines, "1")).await;
     let instances = start_listed(&platform, 2);
-    until_settled(&instances, 2, 1).await;
+    wait_until_settled(&instances, 2, 1).await;
     (platform, engines, instances)
 }
 
@@ -56,23 +56,23 @@
 fn a_new_version_is_loaded_by_every_engine() {
     run(async {
         let recorder = Recorder::default();
-        let (platform, engines, _instances) = started(&recorder, None).await;
-        put_text(&platform, 2, config(&engines, "2")).await;
-        until("every engine has the new version", || {
+        let (platform, engines, _instances) = start_fleet(&recorder, None).await;
+        put_config_text(&platform, 2, config(&engines, "2")).await;
+        wait_until("every engine has the new version", || {
             engines.iter().all(|engine| engine.models() == ["draft@2"])
         })
         .await;
-        put_text(&platform, 3, config(&engines, "3")).await;
-        until("every engine has the newest version", || {
+        put_config_text(&platform, 3, config(&engines, "3")).await;
+        wait_until("every engine has the newest version", || {
             engines.iter().all(|engine| engine.models() == ["draft@3"])
         })
         .await;
         let fences: Vec<u64> = recorder.orders().iter().map(|o| o.order.fence).collect();
-        assert!(fences.is_sorted(), "fencing numbers went back: {fences:?}");
+        assert!(fences.is_sorted(), "fencing tokens decreased: {fences:?}");
     });
 }
 
-/// Orders accepted for a model.
+/// Returns the number of accepted orders for a model.
 fn orders_for(recorder: &Recorder, model: &str) -> usize {
     let orders = recorder.orders();
     let accepted = orders.iter().filter(|o| o.accepted);
@@ -81,21 +81,21 @@
 
 #[test]
 fn a_new_version_is_ordered_while_loads_of_the_last_one_are_stuck() {
-    // Symptom: for half a minute after a change of version no engine is ordered to load it.
-    // Sequence: a version is ordered; the weight store serves one engine and no other; the next version is accepted.
-    // Cause: loads in progress are bounded, and those of a version no longer wanted must not count.
+    // The number of concurrent loads is limited, and loads of a version that is no longer desired must not count.
+    // Otherwise no engine is ordered to load a new version for half a minute. Here the weight store serves the second
+    // version to only one engine before the third version is configured.
     run(async {
         let recorder = Recorder::default();
         let address = "127.0.0.1:0".parse().unwrap();
-        let weights = WeightStore::start(address, ONE_MODEL).await.unwrap();
-        let (platform, engines, _instances) = started(&recorder, Some(&weights)).await;
-        put_text(&platform, 2, config(&engines, "2")).await;
-        until("every engine is ordered to load the second version", || {
+        let weight_store = WeightStore::start(address, MODELS_PER_S).await.unwrap();
+        let (platform, engines, _instances) = start_fleet(&recorder, Some(&weight_store)).await;
+        put_config_text(&platform, 2, config(&engines, "2")).await;
+        wait_until("every engine is ordered to load the second version", || {
             orders_for(&recorder, "draft@2") >= ENGINES
         })
         .await;
-        put_text(&platform, 3, config(&engines, "3")).await;
-        until("the third version is ordered", || {
+        put_config_text(&platform, 3, config(&engines, "3")).await;
+        wait_until("the third version is ordered", || {
             orders_for(&recorder, "draft@3") > 0
         })
         .await;
--- a/crates/tc-fleet/tests/fleet/spread.rs
+++ b/crates/tc-fleet/tests/fleet/spread.rs
@@ -1,17 +1,19 @@
-//! Configuration and membership over several instances.
+//! Configuration and membership across several instances.
 
 use std::time::Duration;
 
-use crate::common::{Instance, KEY, put_config, run, settled, until, until_settled};
+use crate::common::{
+    Instance, KEY, put_config, run, start_settled, wait_until, wait_until_settled,
+};
 use tc_protocol::MemberState;
 
 #[test]
-fn a_new_revision_reaches_everyone() {
+fn a_new_revision_reaches_all_instances() {
     run(async {
-        let (platform, instances) = settled(4, 1, 1).await;
+        let (platform, instances) = start_settled(4, 1, 1).await;
         put_config(&platform, 2, &["127.0.0.1:9".parse().unwrap()], 3).await;
-        until_settled(&instances, 4, 2).await;
-        until("the lowest revision is known", || {
+        wait_until_settled(&instances, 4, 2).await;
+        wait_until("the lowest revision is known", || {
             let (_, lowest, newest) = futures::executor::block_on(instances[0].fleet.revisions());
             lowest == 2 && newest == 2
         })
@@ -20,12 +22,12 @@
 }
 
 #[test]
-fn an_invalid_revision_changes_nothing() {
-    // Symptom: half of a broken configuration is in force.
-    // Sequence: an object with a service of an unknown kind is written past the operators' command.
-    // Cause: instances must validate the whole before they take up any of it.
+fn an_invalid_revision_is_rejected() {
+    // Instances must validate a complete configuration before they activate any of it, otherwise part of an invalid one
+    // takes effect. Here an object with an invalid service is written directly to the platform, without the operator's
+    // command.
     run(async {
-        let (platform, instances) = settled(2, 1, 5).await;
+        let (platform, instances) = start_settled(2, 1, 5).await;
         put_config(&platform, 2, &[], 0).await;
         tokio::time::sleep(Duration::from_millis(700)).await;
         for instance in &instances {
@@ -34,17 +36,16 @@
             assert_eq!(view.config.services["encode"].slots, 5);
         }
         put_config(&platform, 3, &["127.0.0.1:9".parse().unwrap()], 7).await;
-        until_settled(&instances, 2, 3).await;
+        wait_until_settled(&instances, 2, 3).await;
     });
 }
 
 #[test]
 fn a_fresh_instance_joins_during_a_store_outage() {
-    // Symptom: an instance replaced during an outage serves nothing until the store is back.
-    // Sequence: the store goes down; a new instance starts with a seed address only.
-    // Cause: members and configuration must come from peers.
+    // An instance that starts during a store outage, here with only a seed address, must get members and configuration
+    // from its peers. Otherwise it serves nothing until the store is back.
     run(async {
-        let (platform, mut instances) = settled(2, 1, 1).await;
+        let (platform, mut instances) = start_settled(2, 1, 1).await;
         platform.faults().set_down(true);
         let seed = instances[0].member.fleet_address;
         instances.push(Instance::start(
@@ -54,19 +55,18 @@
             vec![seed],
             KEY,
         ));
-        until_settled(&instances, 3, 1).await;
+        wait_until_settled(&instances, 3, 1).await;
     });
 }
 
 #[test]
-fn an_instance_with_another_key_is_not_let_in() {
-    // Symptom: a stranger on the network becomes a member and homes upstreams.
-    // Sequence: it starts with a seed address but not the fleet's key.
-    // Cause: datagrams and calls must be authenticated, both ways.
+fn an_instance_with_another_key_cannot_join() {
+    // Datagrams and calls must be authenticated in both directions. Otherwise an unauthorized process on the network,
+    // here an instance with a seed address but a different key, becomes a member and the home of upstreams.
     run(async {
-        let (platform, instances) = settled(2, 1, 1).await;
+        let (platform, instances) = start_settled(2, 1, 1).await;
         let seed = instances[0].member.fleet_address;
-        let stranger = Instance::start(
+        let unauthorized = Instance::start(
             "stranger",
             "kl-a",
             platform.address(),
@@ -76,12 +76,12 @@
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         assert_eq!(instances[0].fleet.view().members.len(), 2);
         assert!(
-            !stranger
+            !unauthorized
                 .fleet
                 .view()
                 .members
                 .iter()
-                .any(|m| m.state == MemberState::Alive && m.id != stranger.member.id)
+                .any(|m| m.state == MemberState::Alive && m.id != unauthorized.member.id)
         );
     });
 }
@@ -89,10 +89,10 @@
 #[test]
 fn a_leaving_instance_gets_no_callers_and_no_homes() {
     run(async {
-        let (_platform, instances) = settled(3, 3, 1).await;
+        let (_platform, instances) = start_settled(3, 3, 1).await;
         let leaving = instances[1].member.id.clone();
         instances[1].fleet.leave();
-        until("nobody is sent to it", || {
+        wait_until("it gets no callers and no homes", || {
             instances.iter().all(|instance| {
                 let answer = instance.fleet.addresses(&"lintas".into());
                 let view = instance.fleet.view();
@@ -109,15 +109,14 @@
 }
 
 #[test]
-fn datagrams_that_are_no_messages_change_nothing() {
-    // Symptom: noise on the network makes instances suspect each other, or stops one.
-    // Sequence: bytes of every length up to the largest datagram, then a sealed-looking one, reach the UDP port.
-    // Cause: whatever is not authentic must be dropped before it is decoded.
+fn invalid_datagrams_are_ignored() {
+    // Datagrams that are not authentic must be dropped before they are decoded. Otherwise noise on the network makes
+    // instances suspect each other or stops one. Here datagrams of many lengths up to the maximum reach the UDP port.
     run(async {
-        let (_platform, instances) = settled(2, 1, 1).await;
+        let (_platform, instances) = start_settled(2, 1, 1).await;
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
         for length in (0..1_400).step_by(7) {
-            let noise: Vec<u8> = (0..length).map(|at| (at * 31 % 251) as u8).collect();
+            let noise: Vec<u8> = (0..length).map(|i| (i * 31 % 251) as u8).collect();
             socket
                 .send_to(&noise, instances[0].member.fleet_address)
                 .unwrap();
--- a/crates/tc-fleet/tests/fleet/suspects.rs
+++ b/crates/tc-fleet/tests/fleet/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash upstreams, over several instances.
+//! Requests that crash upstreams, across several instances.
 
 use std::time::Duration;
 
@@ -8,21 +8,22 @@
 use tc_stand_ins::{Platform, Pool, PoolConfig, Recorder};
 
 use crate::common::{
-    Instance, ask, put_config, run, settled, start_listed, store, until, until_settled,
+    Instance, permit_request, put_config, run, start_listed, start_settled, store, wait_until,
+    wait_until_settled,
 };
 
 const SLACK: Duration = Duration::from_secs(5);
-const SHORT: Duration = Duration::from_millis(250);
+const SHORT_SLACK: Duration = Duration::from_millis(250);
 
 fn crashing(slack: Duration) -> PermitRequest {
     PermitRequest {
         fingerprint: Fingerprint(0xbad),
-        ..ask("crashing", slack)
+        ..permit_request("crashing", slack)
     }
 }
 
-/// The upstream dies under the call, and the entry tells of it.
-async fn die(instance: &Instance, permit: Permit) {
+/// Ends a call as if its upstream had crashed, and reports the crash.
+async fn report_crash(instance: &Instance, permit: Permit) {
     let upstream = permit.grant().upstream.clone();
     let took = Duration::from_millis(1);
     permit.settle(
@@ -40,23 +41,22 @@
 
 #[test]
 fn a_request_that_crashes_upstreams_is_quarantined_everywhere() {
-    // Symptom: each resend of one request kills another engine.
-    // Sequence: it crashes an upstream through one instance, then another through the next, and is sent again.
-    // Cause: instances must tell each other of crashes before callers can send again.
+    // Instances must tell each other about crashes before callers can retry. Otherwise each retry of a request crashes
+    // another upstream. Here the request crashes one upstream through each of two instances and is then sent again.
     run(async {
-        let (_platform, instances) = settled(3, 6, 4).await;
+        let (_platform, instances) = start_settled(3, 6, 4).await;
         let permit = instances[0]
             .fleet
             .request_permit(crashing(SLACK))
             .await
             .unwrap();
-        die(&instances[0], permit).await;
+        report_crash(&instances[0], permit).await;
         let permit = instances[1]
             .fleet
             .request_permit(crashing(SLACK))
             .await
             .unwrap();
-        die(&instances[1], permit).await;
+        report_crash(&instances[1], permit).await;
         for instance in &instances {
             let refused = instance
                 .fleet
@@ -67,7 +67,7 @@
         }
         let innocent = instances[2]
             .fleet
-            .request_permit(ask("innocent", SLACK))
+            .request_permit(permit_request("innocent", SLACK))
             .await;
         assert!(innocent.is_ok(), "{innocent:?}");
     });
@@ -75,24 +75,27 @@
 
 #[test]
 fn a_suspect_runs_once_at_a_time_and_is_cleared_by_success() {
-    // Symptom: a crashing request sent by many callers at once kills many engines at once.
-    // Sequence: one crash, then asks for the same input through two instances.
-    // Cause: its trials must be counted at one place for the whole fleet.
+    // The trials of a suspect must be counted in one place for the whole fleet. Otherwise a crashing request that many
+    // callers send at the same time crashes many upstreams. Here the same input is sent through two instances after one
+    // crash.
     run(async {
-        let (_platform, instances) = settled(3, 6, 4).await;
+        let (_platform, instances) = start_settled(3, 6, 4).await;
         let permit = instances[0]
             .fleet
             .request_permit(crashing(SLACK))
             .await
             .unwrap();
-        die(&instances[0], permit).await;
+        report_crash(&instances[0], permit).await;
         let trial = instances[1]
             .fleet
             .request_permit(crashing(SLACK))
             .await
             .unwrap();
-        let second = instances[2].fleet.request_permit(crashing(SHORT)).await;
-        assert!(second.is_err(), "two trials at once: {second:?}");
+        let second = instances[2]
+            .fleet
+            .request_permit(crashing(SHORT_SLACK))
+            .await;
+        assert!(second.is_err(), "two concurrent trials: {second:?}");
         let took = Duration::from_millis(1);
         trial.settle(
             Outcome::Answered,
@@ -109,29 +112,30 @@
 
 #[test]
 fn a_quarantine_outlives_the_instance_that_found_it() {
-    // Symptom: after an instance is replaced, a quarantined request crashes two more engines.
-    // Sequence: quarantine; every instance that knew of it stops; a fresh one starts.
-    // Cause: the quarantine must be kept in the platform.
+    // Quarantines must be stored in the platform. Otherwise a quarantined request crashes two more upstreams after the
+    // instances are replaced. Here every instance that knows the quarantine stops before a new one starts.
     run(async {
-        let (platform, mut instances) = settled(2, 6, 4).await;
-        for at in [0, 1] {
-            let permit = instances[at]
+        let (platform, mut instances) = start_settled(2, 6, 4).await;
+        for index in [0, 1] {
+            let permit = instances[index]
                 .fleet
                 .request_permit(crashing(SLACK))
                 .await
                 .unwrap();
-            die(&instances[at], permit).await;
+            report_crash(&instances[index], permit).await;
         }
-        until("the quarantine is in the platform", || {
+        wait_until("the quarantine is in the platform", || {
             let kind = "tanagercroft-quarantine";
             platform.object(kind, "0000000000000bad").is_some()
         })
         .await;
         instances.iter_mut().for_each(Instance::crash);
         let key = crate::common::KEY;
-        let fresh = Instance::start("fresh", "kl-a", platform.address(), Vec::new(), key);
-        until("the fresh instance refuses it", || {
-            let refused = futures::executor::block_on(fresh.fleet.request_permit(crashing(SHORT)));
+        let new_instance = Instance::start("fresh", "kl-a", platform.address(), Vec::new(), key);
+        wait_until("the new instance refuses the request", || {
+            let refused = futures::executor::block_on(
+                new_instance.fleet.request_permit(crashing(SHORT_SLACK)),
+            );
             refused.is_err_and(|refused| refused.reason == RefusalReason::Quarantined)
         })
         .await;
@@ -139,10 +143,9 @@
 }
 
 #[test]
-fn a_connection_that_closes_under_a_call_is_no_crash() {
-    // Symptom: an innocent request is refused as one that crashes upstreams.
-    // Sequence: twice, an upstream closes an idle connection just as the request is written to it.
-    // Cause: that looks like a death; the upstream must be asked before it is taken for one.
+fn a_connection_closed_during_a_call_is_no_crash() {
+    // An upstream that closes an idle connection while a request is written to it looks as if it had crashed. Unless its
+    // load report is checked first, two such closes quarantine an innocent request.
     run(async {
         let recorder = Recorder::default();
         let address = "127.0.0.1:0".parse().unwrap();
@@ -151,8 +154,8 @@
         let platform = Platform::start(address).await.unwrap();
         put_config(&platform, 1, &[pool.address()], 4).await;
         let instances = start_listed(&platform, 2);
-        until_settled(&instances, 2, 1).await;
-        // By then its home has read a load report and told the others which life of the upstream it is.
+        wait_until_settled(&instances, 2, 1).await;
+        // By then, the home has read a load report and announced the upstream's incarnation to the other instances.
         tokio::time::sleep(Duration::from_secs(2)).await;
         for instance in instances.iter().chain(&instances) {
             let permit = instance
@@ -160,7 +163,7 @@
                 .request_permit(crashing(SLACK))
                 .await
                 .unwrap();
-            die(instance, permit).await;
+            report_crash(instance, permit).await;
         }
         for instance in &instances {
             let granted = instance.fleet.request_permit(crashing(SLACK)).await;
@@ -172,37 +175,39 @@
             .await
             .unwrap();
         pool.faults().crash();
-        die(&instances[0], permit).await;
+        report_crash(&instances[0], permit).await;
         let trial = instances[0]
             .fleet
             .request_permit(crashing(SLACK))
             .await
             .unwrap();
-        let second = instances[1].fleet.request_permit(crashing(SHORT)).await;
-        assert!(second.is_err(), "a real death made no suspect: {second:?}");
+        let second = instances[1]
+            .fleet
+            .request_permit(crashing(SHORT_SLACK))
+            .await;
+        assert!(second.is_err(), "a real crash made no suspect: {second:?}");
         drop(trial);
     });
 }
 
 #[test]
 fn a_lifted_quarantine_is_dropped_by_every_instance() {
-    // Symptom: a request that an operator lets run again is refused until every instance is replaced, or its quarantine
-    // comes back by itself.
-    // Sequence: quarantine; an operator removes it from the platform; the request is sent through each instance.
-    // Cause: instances took quarantines up from the platform and never dropped them.
+    // Instances must drop a quarantine that an operator removed from the platform. Otherwise the request is refused until
+    // every instance is replaced, or the quarantine is stored again. Here the request is sent through each instance after
+    // the removal.
     run(async {
-        let (platform, instances) = settled(2, 6, 4).await;
-        for at in [0, 1] {
-            let permit = instances[at]
+        let (platform, instances) = start_settled(2, 6, 4).await;
+        for index in [0, 1] {
+            let permit = instances[index]
                 .fleet
                 .request_permit(crashing(SLACK))
                 .await
                 .unwrap();
-            die(&instances[at], permit).await;
+            report_crash(&instances[index], permit).await;
         }
         let kind = "tanagercroft-quarantine";
-        let is_kept = || platform.object(kind, "0000000000000bad").is_some();
-        until("the quarantine is in the platform", is_kept).await;
+        let is_stored = || platform.object(kind, "0000000000000bad").is_some();
+        wait_until("the quarantine is in the platform", is_stored).await;
         let store = store(&platform);
         assert!(
             remove_quarantined(&store, Fingerprint(0xbad))
@@ -210,12 +215,12 @@
                 .unwrap()
         );
         for instance in &instances {
-            until("the request may run", || {
-                let asked = instance.fleet.request_permit(crashing(SHORT));
-                futures::executor::block_on(asked).is_ok()
+            wait_until("the request may run", || {
+                let request = instance.fleet.request_permit(crashing(SHORT_SLACK));
+                futures::executor::block_on(request).is_ok()
             })
             .await;
         }
-        assert!(!is_kept(), "the quarantine was put back");
+        assert!(!is_stored(), "the quarantine was stored again");
     });
 }
