--- a/crates/tc-fleet/src/homes/actor.rs
+++ b/crates/tc-fleet/src/homes/actor.rs
@@ -333,7 +333,8 @@
         (times.len() >= MIN_UPSTREAMS_FOR_OUTLIERS).then(|| times[times.len() / 2])
     }
 
-    /// Returns whether an upstream may be ejected or stay ejected without exceeding [`MAX_EJECTED_FRACTION`].
+    /// Returns whether an upstream may be ejected or stay ejected. One always may, more only up to
+    /// [`MAX_EJECTED_FRACTION`].
     fn may_eject(&self, is_ejected: bool) -> bool {
         let ejected = self.ejected + usize::from(!is_ejected);
         ejected as f64 <= (self.upstreams as f64 * MAX_EJECTED_FRACTION).max(1.0)
--- a/crates/tc-fleet/src/homes/local_home.rs
+++ b/crates/tc-fleet/src/homes/local_home.rs
@@ -93,7 +93,7 @@
     waiters: HashMap<QueuedRequestKey, Waiter>,
     // Two suspects on one upstream would both be blamed for its next crash, and an innocent one would be quarantined.
     suspect: Option<SuspectCall>,
-    /// Whether the home was assigned to this instance and now is on another one.
+    /// Whether the home was assigned to this instance and is now assigned to another one.
     moved: bool,
 }
 
--- a/crates/tc-fleet/src/limits.rs
+++ b/crates/tc-fleet/src/limits.rs
@@ -49,11 +49,11 @@
             .iter()
             .filter(|(_, workspace)| workspace.limits != Limits::default())
             .map(|(name, workspace)| {
-                let kept = old.get(name);
+                let previous = old.get(name);
                 let entries = live_entries(view, name);
                 (
                     name.clone(),
-                    update_limited(kept, workspace.limits, entries),
+                    update_limited(previous, workspace.limits, entries),
                 )
             })
             .collect();
@@ -190,15 +190,17 @@
 }
 
 fn update_limited(
-    old: Option<&Arc<LimitedWorkspace>>,
+    previous: Option<&Arc<LimitedWorkspace>>,
     limits: Limits,
     live_entries: usize,
 ) -> Arc<LimitedWorkspace> {
-    match old {
-        Some(old) if old.limits == limits && old.live_entries == live_entries => Arc::clone(old),
-        Some(old) => {
-            lock(&old.bucket).update_limits(limits, live_entries);
-            let bucket = Arc::clone(&old.bucket);
+    match previous {
+        Some(previous) if previous.limits == limits && previous.live_entries == live_entries => {
+            Arc::clone(previous)
+        }
+        Some(previous) => {
+            lock(&previous.bucket).update_limits(limits, live_entries);
+            let bucket = Arc::clone(&previous.bucket);
             Arc::new(LimitedWorkspace {
                 limits,
                 live_entries,
--- a/crates/tc-fleet/src/suspects/table.rs
+++ b/crates/tc-fleet/src/suspects/table.rs
@@ -157,8 +157,9 @@
         calls.insert(fingerprint, called);
     }
 
-    /// Reports that an upstream crashed while it ran this input. Returns after the other instances had time to learn of
-    /// it, so that a resent request is recognized as a suspect.
+    /// Reports that an upstream crashed while it ran this input, unless the crash check finds that it did not crash.
+    /// Returns after the other instances had time to learn of the crash, so that a resent request is recognized as a
+    /// suspect.
     pub(crate) async fn report_crash(
         self: Arc<Self>,
         fingerprint: Fingerprint,
