--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -123,7 +123,7 @@
             }),
         );
         let to_actor = actor.clone();
-        suspects.set_spread_now(Box::new(move || {
+        suspects.set_gossip_now(Box::new(move || {
             let _ = to_actor.cast(MeshMsg::AnnounceToAll);
         }));
         let service = Service {
@@ -298,12 +298,12 @@
             service: service.clone(),
         };
         suspects.note_origin(fingerprint, origin);
-        tokio::spawn(suspects.died(fingerprint, upstream));
+        tokio::spawn(suspects.report_crash(fingerprint, upstream));
     }
 
     /// Reports that a request ran to completion, which clears it of suspicion.
     pub fn record_success(&self, fingerprint: Fingerprint) {
-        self.inner.suspects.ran_whole(fingerprint);
+        self.inner.suspects.report_completed(fingerprint);
     }
 
     /// Subscribes to the store state that another instance knows. The stream first yields what is newer than `have`,
