--- a/crates/tc-gateway/src/upstreams.rs
+++ b/crates/tc-gateway/src/upstreams.rs
@@ -116,7 +116,7 @@
                 domain: &u.failure_domain,
                 load: known.get(&u.id).map_or(0.0, |k| k.load(now)),
                 slots: u.slots,
-                slowness: slowness(known.get(&u.id), median, now),
+                slowdown: slowness(known.get(&u.id), median, now),
             })
             .collect();
         let chosen = Arc::clone(pool[pick_upstream(&candidates, wish)?]);
--- a/crates/tc-policy/src/engines/engine.rs
+++ b/crates/tc-policy/src/engines/engine.rs
@@ -11,11 +11,11 @@
 const FIRST_BACKOFF: Duration = Duration::from_millis(300);
 /// Maximum backoff: a recovered engine is used again within this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// Weight of the newest run in the slowness: an engine may slow down for seconds, in which it reads about ten prompts.
-const SLOWNESS_WEIGHT: f64 = 0.2;
-/// Bounds of the slowness, so that one outlier cannot keep an engine out of use.
-const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 10.0);
-/// Minimum expected time of a run that updates the slowness: in shorter runs, the decoding steps of other requests
+/// Weight of the newest run in the slowdown: an engine may slow down for seconds, in which it reads about ten prompts.
+const SLOWDOWN_WEIGHT: f64 = 0.2;
+/// Bounds of the slowdown, so that one outlier cannot keep an engine out of use.
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.5, 10.0);
+/// Minimum expected time of a run that updates the slowdown: in shorter runs, the decoding steps of other requests
 /// dominate.
 const MIN_MEASURED_TIME: Duration = Duration::from_millis(40);
 
@@ -35,7 +35,7 @@
     /// Expected time at which it has read all assigned prompts.
     pub(super) prefill_done_at: MonoTime,
     /// Measured time relative to the expected time; 2 is half as fast.
-    pub(super) slowness: f64,
+    pub(super) slowdown: f64,
     /// Pacing while the engine announces a rate limit.
     pub(super) rate_limit: Option<SendPacer>,
     failures: u32,
@@ -53,7 +53,7 @@
             prefix_cache: PrefixCache::default(),
             runs: 0,
             prefill_done_at: MonoTime::default(),
-            slowness: 1.0,
+            slowdown: 1.0,
             rate_limit: None,
             failures: 0,
             retry_at: MonoTime::default(),
@@ -103,8 +103,8 @@
             return;
         };
         let ratio = took.as_secs_f64() / expected.as_secs_f64();
-        let slowness = self.slowness + SLOWNESS_WEIGHT * (ratio - self.slowness);
-        self.slowness = slowness.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
+        let slowdown = self.slowdown + SLOWDOWN_WEIGHT * (ratio - self.slowdown);
+        self.slowdown = slowdown.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
     }
 
     pub(super) fn record_failure(&mut self, now: MonoTime) {
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -292,7 +292,7 @@
         });
         let available = source.map_or(cached_here, |(fetchable, _)| (*fetchable).min(tokens));
         let prefill_tokens = tokens - available;
-        let own_time = self.times.estimate(prefill_tokens).mul_f64(engine.slowness);
+        let own_time = self.times.estimate(prefill_tokens).mul_f64(engine.slowdown);
         let best_available = sources
             .first()
             .map_or(0, |(fetchable, _)| (*fetchable).min(tokens));
--- a/crates/tc-policy/src/pick.rs
+++ b/crates/tc-policy/src/pick.rs
@@ -21,7 +21,7 @@
     /// Maximum number of requests in progress.
     pub slots: u32,
     /// Response time relative to its peers; 1 is normal.
-    pub slowness: f64,
+    pub slowdown: f64,
 }
 
 /// Selection preferences of a request.
@@ -45,7 +45,7 @@
 /// use tc_policy::{PickCandidate, PickPreference, pick_upstream};
 /// let ids = ["a".into(), "b".into()];
 /// let domain = "kl-a".into();
-/// let at = |id, load| PickCandidate { id, domain: &domain, load, slots: 4, slowness: 1.0 };
+/// let at = |id, load| PickCandidate { id, domain: &domain, load, slots: 4, slowdown: 1.0 };
 /// let preference = PickPreference { affinity_key: Some(7), domain: None, tie_breaker: 1 };
 /// let idle = [at(&ids[0], 0.0), at(&ids[1], 0.0)];
 /// let first = pick_upstream(&idle, &preference).unwrap();
@@ -87,14 +87,14 @@
 
 /// Returns the utilization after one more request; slow upstreams count as fuller.
 fn utilization(candidate: &PickCandidate<'_>) -> f64 {
-    (candidate.load + 1.0) * candidate.slowness / f64::from(candidate.slots.max(1))
+    (candidate.load + 1.0) * candidate.slowdown / f64::from(candidate.slots.max(1))
 }
 
 /// Returns the upstreams within the load bound, or the least utilized one if none is.
 fn within_bound(candidates: &[PickCandidate<'_>], pool: &[usize], tie_breaker: u64) -> Vec<usize> {
     let loads = pool
         .iter()
-        .map(|i| candidates[*i].load * candidates[*i].slowness);
+        .map(|i| candidates[*i].load * candidates[*i].slowdown);
     let mean = loads.sum::<f64>() / pool.len().max(1) as f64;
     let bound = mean * MAX_LOAD_FACTOR + LOAD_SLACK;
     let in_bound: Vec<usize> = pool
@@ -102,7 +102,7 @@
         .copied()
         .filter(|i| {
             let c = &candidates[*i];
-            c.load * c.slowness <= bound && c.load < f64::from(c.slots.max(1))
+            c.load * c.slowdown <= bound && c.load < f64::from(c.slots.max(1))
         })
         .collect();
     if !in_bound.is_empty() {
--- a/crates/tc-policy/tests/pick.rs
+++ b/crates/tc-policy/tests/pick.rs
@@ -15,7 +15,7 @@
             domain: &domains[i % domains.len()],
             load: 0.0,
             slots: 16,
-            slowness: 1.0,
+            slowdown: 1.0,
         })
         .collect()
 }
@@ -81,7 +81,7 @@
 fn slow_upstream_gets_fewer_requests() {
     let (ids, domains) = (ids(2), ["a".into()]);
     let mut candidates = candidates(&ids, &domains);
-    candidates[0].slowness = 5.0;
+    candidates[0].slowdown = 5.0;
     for request in 0..50 {
         let preference = PickPreference {
             tie_breaker: request,
