--- a/crates/tc-fleet/src/node/actor.rs
+++ b/crates/tc-fleet/src/node/actor.rs
@@ -171,7 +171,7 @@
         let revisions = std::iter::once(&message.from).chain(&message.changes);
         for record in revisions {
             self.spread
-                .note_peer_revision(now, &record.member.id, record.revision);
+                .record_peer_revision(now, &record.member.id, record.revision);
         }
         let outgoing = self.membership.handle(now, &message);
         self.send(outgoing);
@@ -183,7 +183,7 @@
     fn learn(&mut self, now: MonoTime, records: &[Record]) {
         for record in records {
             self.spread
-                .note_peer_revision(now, &record.member.id, record.revision);
+                .record_peer_revision(now, &record.member.id, record.revision);
         }
         self.membership.merge_records(now, records);
         self.tick(now, None);
--- a/crates/tc-gateway/src/backoffs.rs
+++ b/crates/tc-gateway/src/backoffs.rs
@@ -52,7 +52,7 @@
 
     /// Removes expired backoffs.
     pub(crate) fn expire(&self) {
-        self.lock().expire(MonoTime::now());
+        self.lock().remove_expired(MonoTime::now());
     }
 
     fn lock(&self) -> MutexGuard<'_, Backoffs> {
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -291,7 +291,7 @@
         // Woken early or not, the planner is looked at.
         let _ = timeout(wait, home.wake.notified()).await;
         let now = MonoTime::now();
-        home.step(|planner| planner.expire(now));
+        home.step(|planner| planner.refuse_late_jobs(now));
         let read = home.lock().planner.take_read_inputs(now);
         home.give_up_inputs(&read);
         home.drive();
--- a/crates/tc-gateway/src/world/follow.rs
+++ b/crates/tc-gateway/src/world/follow.rs
@@ -206,7 +206,7 @@
         let confirmed = news.confirmed_ms.map_or_else(MonoTime::default, |ms| {
             reading.started_at.offset_by_millis(ms).min(now)
         });
-        self.source.note_confirmation(now, from, confirmed);
+        self.source.record_confirmation(now, from, confirmed);
         if !self.cell.apply_news(news) {
             log::info!(from = from.as_str(); "news of the store do not fit what is known here; the source is asked anew");
             self.following = None;
--- a/crates/tc-membership/src/config_puller.rs
+++ b/crates/tc-membership/src/config_puller.rs
@@ -80,7 +80,7 @@
     /// use tc_protocol::MonoTime;
     /// let mut puller = ConfigPuller::new(1);
     /// let now = MonoTime::from_millis(1);
-    /// puller.note_peer_revision(now, &"kl-a-1".into(), 4);
+    /// puller.record_peer_revision(now, &"kl-a-1".into(), 4);
     /// assert_eq!(puller.next_pull(now, false, false), Pull::Peer("kl-a-1".into()));
     /// assert!(puller.activate(4));
     /// assert!(!puller.activate(3));
@@ -124,7 +124,7 @@
     /// Datagrams can be reordered, so a lower revision than before is ignored. A restarted peer
     /// that has lost its configuration answers a pull with a lower revision, which counts as a
     /// failed pull.
-    pub fn note_peer_revision(&mut self, now: MonoTime, from: &InstanceId, revision: u64) {
+    pub fn record_peer_revision(&mut self, now: MonoTime, from: &InstanceId, revision: u64) {
         self.known_revision = self.known_revision.max(revision);
         let Some(peer) = self.peers.get_mut(from) else {
             let backoff = Backoff {
@@ -201,7 +201,7 @@
     /// use tc_protocol::MonoTime;
     /// let mut puller = ConfigPuller::new(1);
     /// let now = MonoTime::from_millis(1);
-    /// puller.note_peer_revision(now, &"kl-a-1".into(), 4);
+    /// puller.record_peer_revision(now, &"kl-a-1".into(), 4);
     /// puller.reject(4);
     /// assert_eq!(puller.active_revision(), 0);
     /// assert_eq!(puller.next_pull(now, false, false), Pull::Nothing);
--- a/crates/tc-membership/src/store_source.rs
+++ b/crates/tc-membership/src/store_source.rs
@@ -212,7 +212,7 @@
     }
 
     /// Records a message from a source whose copy is confirmed as of `confirmed`.
-    pub fn note_confirmation(&mut self, now: MonoTime, from: &InstanceId, confirmed: MonoTime) {
+    pub fn record_confirmation(&mut self, now: MonoTime, from: &InstanceId, confirmed: MonoTime) {
         let Some(current) = self.current.as_mut().filter(|c| c.id == *from) else {
             return;
         };
--- a/crates/tc-membership/tests/config_puller.rs
+++ b/crates/tc-membership/tests/config_puller.rs
@@ -17,8 +17,8 @@
 fn outdated_puller() -> ConfigPuller {
     let mut puller = ConfigPuller::new(1);
     assert!(puller.activate(3));
-    puller.note_peer_revision(NOW, &peer("a"), 5);
-    puller.note_peer_revision(NOW, &peer("b"), 4);
+    puller.record_peer_revision(NOW, &peer("a"), 5);
+    puller.record_peer_revision(NOW, &peer("b"), 4);
     puller
 }
 
@@ -90,11 +90,11 @@
     puller.next_pull(NOW, false, false);
     puller.reject(5);
     assert_eq!((puller.active_revision(), puller.rejections()), (3, 1));
-    puller.note_peer_revision(NOW, &peer("c"), 5);
+    puller.record_peer_revision(NOW, &peer("c"), 5);
     assert_eq!(puller.next_pull(NOW, false, false), Pull::Peer(peer("b")));
     puller.activate(4);
     assert_eq!(puller.next_pull(LATER, false, false), Pull::Nothing);
-    puller.note_peer_revision(LATER, &peer("c"), 6);
+    puller.record_peer_revision(LATER, &peer("c"), 6);
     assert_eq!(puller.next_pull(LATER, false, false), Pull::Peer(peer("c")));
 }
 
@@ -139,7 +139,7 @@
         let mut puller = ConfigPuller::new(1);
         puller.activate(active_revision);
         if peer_revision > 0 {
-            puller.note_peer_revision(NOW, &peer("p"), peer_revision);
+            puller.record_peer_revision(NOW, &peer("p"), peer_revision);
         }
         assert_eq!(
             puller.next_pull(NOW, is_watcher, store_reachable),
--- a/crates/tc-membership/tests/store_source/fleet.rs
+++ b/crates/tc-membership/tests/store_source/fleet.rs
@@ -139,7 +139,7 @@
             return;
         }
         let confirmed = self.confirmed[source];
-        self.sources[index].note_confirmation(now, &from, confirmed);
+        self.sources[index].record_confirmation(now, &from, confirmed);
         self.current_as_of[index] = self.current_as_of[index].max(self.current_as_of[source]);
         self.confirmed[index] = self.confirmed[index].max(confirmed);
     }
--- a/crates/tc-membership/tests/store_source/roles.rs
+++ b/crates/tc-membership/tests/store_source/roles.rs
@@ -170,7 +170,7 @@
             source.update_members(&members);
             source.mark_settled();
             let from = source.source(now).expect("there are other watchers");
-            source.note_confirmation(now, &from, MonoTime::default());
+            source.record_confirmation(now, &from, MonoTime::default());
             assert_eq!(
                 source.source(now),
                 Some(from.clone()),
--- a/crates/tc-membership/tests/support/mod.rs
+++ b/crates/tc-membership/tests/support/mod.rs
@@ -265,9 +265,9 @@
         let (now, node) = (self.now, &mut self.nodes[index]);
         let from = &message.from;
         node.puller
-            .note_peer_revision(now, &from.member.id, from.revision);
+            .record_peer_revision(now, &from.member.id, from.revision);
         if let (revision, Some(holder)) = node.membership.newest_revision() {
-            node.puller.note_peer_revision(now, &holder, revision);
+            node.puller.record_peer_revision(now, &holder, revision);
         }
         if let Pull::Peer(peer) = node.puller.next_pull(now, false, false) {
             self.push(now.after(PULL_DURATION), Event::Pulled(index, peer));
--- a/crates/tc-policy/src/backoffs.rs
+++ b/crates/tc-policy/src/backoffs.rs
@@ -56,7 +56,7 @@
     }
 
     /// Removes expired backoffs.
-    pub fn expire(&mut self, now: MonoTime) {
+    pub fn remove_expired(&mut self, now: MonoTime) {
         self.until.retain(|_, until| *until > now);
     }
 }
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -197,7 +197,7 @@
     ///
     /// The latter, which more urgent jobs have overtaken, are refused before their deadline so that their callers can
     /// still turn elsewhere and the memory that they hold is freed.
-    pub fn expire(&mut self, now: MonoTime) -> PlannerEffects {
+    pub fn refuse_late_jobs(&mut self, now: MonoTime) -> PlannerEffects {
         let mut effects = PlannerEffects::default();
         let call_end = self.typical_end(now);
         let mut queue: Vec<(QueuePosition, JobKey)> = self
@@ -257,6 +257,6 @@
             return;
         }
         self.next_expiry = now.after(RESULT_EXPIRY_INTERVAL);
-        self.result_memory.expire(now);
+        self.result_memory.remove_expired(now);
     }
 }
--- a/crates/tc-policy/src/batch/refused.rs
+++ b/crates/tc-policy/src/batch/refused.rs
@@ -23,7 +23,7 @@
     /// Removes and returns the target time that the request had when it first arrived. The entry is used only once,
     /// since another request may have the same fingerprint.
     pub(super) fn remove(&mut self, now: MonoTime, request: Fingerprint) -> Option<MonoTime> {
-        self.evict_expired(now);
+        self.remove_expired(now);
         self.aims.remove(&request)
     }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    fn evict_expired(&mut self, now: MonoTime) {
+    fn remove_expired(&mut self, now: MonoTime) {
         while let Some((at, _)) = self.order.front()
             && now.since(*at) >= RETENTION
         {
--- a/crates/tc-policy/src/batch/result_memory.rs
+++ b/crates/tc-policy/src/batch/result_memory.rs
@@ -49,7 +49,7 @@
     }
 
     /// Removes results that have expired at their upstreams.
-    pub(super) fn expire(&mut self, now: MonoTime) {
+    pub(super) fn remove_expired(&mut self, now: MonoTime) {
         let expired: Vec<StoredResult> = self
             .stored
             .extract_if(|_, stored| stored.expires_at <= now)
--- a/crates/tc-policy/src/cold.rs
+++ b/crates/tc-policy/src/cold.rs
@@ -87,7 +87,7 @@
 impl RecentSends {
     /// Records a send.
     pub fn record(&mut self, now: MonoTime) {
-        self.drop_expired(now);
+        self.remove_expired(now);
         self.at.push_back(now);
     }
 
@@ -98,7 +98,7 @@
         recent.take_while(|at| now.since(**at) < WINDOW).count() as u32
     }
 
-    fn drop_expired(&mut self, now: MonoTime) {
+    fn remove_expired(&mut self, now: MonoTime) {
         while let Some(oldest) = self.at.front()
             && now.since(*oldest) >= WINDOW
         {
--- a/crates/tc-policy/src/limit/bucket.rs
+++ b/crates/tc-policy/src/limit/bucket.rs
@@ -120,7 +120,7 @@
 
     /// Starts a request, or returns how long to wait before trying again.
     pub fn try_start(&mut self, now: MonoTime) -> Result<(), Duration> {
-        self.attempts.note(now);
+        self.attempts.record(now);
         let allowed = self.refill(now);
         if let Some(max) = allowed.concurrency
             && f64::from(self.in_flight) + 1.0 > max + 1e-9
@@ -143,7 +143,7 @@
         self.cost.take(self.mean_cost);
         self.charged += self.mean_cost;
         self.in_flight += 1;
-        self.peak.note(now, self.in_flight);
+        self.peak.record(now, self.in_flight);
         Ok(())
     }
 
@@ -156,7 +156,7 @@
         let charged = self.charged / f64::from(self.in_flight);
         self.charged -= charged;
         self.cost.take(cost_units - charged);
-        self.peak.note(now, self.in_flight);
+        self.peak.record(now, self.in_flight);
         self.in_flight -= 1;
         self.mean_cost = if self.mean_cost == 0.0 {
             cost_units
@@ -264,7 +264,7 @@
         self.count * (-windows).exp()
     }
 
-    fn note(&mut self, now: MonoTime) {
+    fn record(&mut self, now: MonoTime) {
         self.count = self.decayed(now) + 1.0;
         self.at = now;
     }
@@ -283,7 +283,7 @@
 }
 
 impl Peak {
-    fn note(&mut self, now: MonoTime, value: u32) {
+    fn record(&mut self, now: MonoTime, value: u32) {
         let age = now.since(self.started);
         if age >= DEMAND_WINDOW {
             self.previous = if age < DEMAND_WINDOW * 2 {
--- a/crates/tc-policy/src/limit/home.rs
+++ b/crates/tc-policy/src/limit/home.rs
@@ -40,7 +40,7 @@
 struct GrantedShares(Vec<(MonoTime, f64)>);
 
 impl GrantedShares {
-    fn expire(&mut self, now: MonoTime) {
+    fn remove_expired(&mut self, now: MonoTime) {
         self.0.retain(|&(until, _)| now < until);
     }
 
@@ -147,7 +147,7 @@
         let concurrency = limits
             .concurrency
             .map(|limit| self.whole_unit_share(now, entry, limit, live));
-        self.note(now, entry, live, requests, concurrency, cost);
+        self.record_grants(now, entry, live, requests, concurrency, cost);
         Share {
             requests_per_s: requests,
             concurrency,
@@ -168,15 +168,15 @@
 
     fn remove_expired(&mut self, now: MonoTime) {
         for entry in self.entries.values_mut() {
-            entry.requests.expire(now);
-            entry.concurrency.expire(now);
-            entry.cost.expire(now);
+            entry.requests.remove_expired(now);
+            entry.concurrency.remove_expired(now);
+            entry.cost.remove_expired(now);
         }
         self.entries
             .retain(|_, e| now.since(e.last_report) < ENTRY_TIMEOUT);
     }
 
-    fn note(
+    fn record_grants(
         &mut self,
         now: MonoTime,
         entry: &InstanceId,
--- a/crates/tc-policy/src/suspect.rs
+++ b/crates/tc-policy/src/suspect.rs
@@ -147,7 +147,7 @@
         incarnation: Incarnation,
         fps: &[Fingerprint],
     ) {
-        self.expire(now);
+        self.remove_expired(now);
         for fp in fps {
             self.trials.remove(fp);
         }
@@ -194,7 +194,7 @@
     /// crashes its second upstream, both would have been in the same two crashes. Either the innocent one would be
     /// quarantined too, or a third upstream would have to crash to tell them apart.
     pub fn try_trial(&mut self, now: MonoTime, fp: Fingerprint) -> Trial {
-        self.expire(now);
+        self.remove_expired(now);
         if self.quarantined.contains_key(&fp) {
             return Trial::Quarantined {
                 retry_after: QUARANTINE_RETRY_AFTER,
@@ -225,7 +225,7 @@
     /// Ends a trial, whatever its result.
     pub fn end_trial(&mut self, now: MonoTime, fp: Fingerprint) {
         self.trials.remove(&fp);
-        self.expire(now);
+        self.remove_expired(now);
     }
 
     /// Clears a fingerprint that ran to a complete result: it is no longer a suspect.
@@ -236,7 +236,7 @@
                 crash.suspects.remove(&fp);
             }
         }
-        self.expire(now);
+        self.remove_expired(now);
     }
 
     /// Returns the quarantined fingerprints.
@@ -246,14 +246,14 @@
 
     /// Adds a quarantine that another instance decided.
     pub fn adopt_quarantine(&mut self, now: MonoTime, fp: Fingerprint) {
-        self.expire(now);
+        self.remove_expired(now);
         self.quarantine(now, fp);
     }
 
     /// Lifts a quarantine on an operator's request. The fingerprint is treated as any other and is quarantined again
     /// after the same number of crashes.
     pub fn lift(&mut self, now: MonoTime, fp: Fingerprint) {
-        self.expire(now);
+        self.remove_expired(now);
         if self.quarantined.remove(&fp).is_some() {
             self.quarantined_order.retain(|other| *other != fp);
         }
@@ -333,7 +333,7 @@
         }
     }
 
-    fn expire(&mut self, now: MonoTime) {
+    fn remove_expired(&mut self, now: MonoTime) {
         self.trials
             .retain(|_, started| now.since(*started) < TRIAL_TIMEOUT);
         if let Some(duration) = self.policy.quarantine_duration {
--- a/crates/tc-policy/tests/backoffs.rs
+++ b/crates/tc-policy/tests/backoffs.rs
@@ -59,7 +59,7 @@
                     });
                 }
                 1 => incarnations[index] += 1,
-                2 => backoffs[sender].expire(now),
+                2 => backoffs[sender].remove_expired(now),
                 _ => {
                     let delay = Duration::from_millis(u64::from(*time) % LONGEST_DELAY_MS);
                     let is_new = !requested.iter().any(|a| a.upstream == id);
--- a/crates/tc-policy/tests/batch/completion.rs
+++ b/crates/tc-policy/tests/batch/completion.rs
@@ -11,7 +11,7 @@
     let key = push(&mut planner, at(0), job("x", 16));
     let call = planner.next_call(at(0)).expect("a call");
     planner.end_call(at(400), call.key, success(&call));
-    let effects = planner.expire(at(3_600));
+    let effects = planner.refuse_late_jobs(at(3_600));
     assert_eq!(effects.finished.len(), 1);
     assert_eq!(effects.finished[0].job, key);
     assert_eq!(effects.finished[0].result, Err(StageRefusal::Late));
--- a/crates/tc-policy/tests/batch/fuzz.rs
+++ b/crates/tc-policy/tests/batch/fuzz.rs
@@ -124,7 +124,7 @@
                 self.now += u64::from(ms) * 4;
                 let now = at(self.now);
                 self.stored.retain(|_, (_, _, until)| *until > now);
-                let effects = self.planner.expire(now);
+                let effects = self.planner.refuse_late_jobs(now);
                 self.apply_effects(effects);
             }
             Op::SetUpstreams(bits) => self.register(bits),
@@ -253,7 +253,7 @@
         self.register(0xF);
         for _ in 0..400 {
             self.now += 100;
-            let effects = self.planner.expire(at(self.now));
+            let effects = self.planner.refuse_late_jobs(at(self.now));
             self.apply_effects(effects);
             let now = at(self.now);
             self.stored.retain(|_, (_, _, until)| *until > now);
--- a/crates/tc-policy/tests/batch/limits.rs
+++ b/crates/tc-policy/tests/batch/limits.rs
@@ -24,7 +24,7 @@
             }
             *ends > now
         });
-        planner.expire(now);
+        planner.refuse_late_jobs(now);
         if planner.backlog().1 < 40 {
             let mut new = job(&format!("r{step}"), 6);
             new.in_time_until = now.after(Duration::from_secs(3));
--- a/crates/tc-policy/tests/batch/order.rs
+++ b/crates/tc-policy/tests/batch/order.rs
@@ -222,7 +222,7 @@
                 due.insert(key, now + 750);
             }
         }
-        planner.expire(at(now));
+        planner.refuse_late_jobs(at(now));
         while let Some(call) = planner.next_call(at(now)) {
             let mut ends = now + 200 + 12 * call.pieces.len() as u64;
             while running.iter().any(|(other, _)| *other == ends) {
--- a/crates/tc-policy/tests/chain/homes.rs
+++ b/crates/tc-policy/tests/chain/homes.rs
@@ -85,7 +85,7 @@
 
     pub(crate) fn check_queues(&mut self, now: MonoTime) {
         for service in 0..SERVICES.len() {
-            let effects = self.homes[service].expire(now);
+            let effects = self.homes[service].refuse_late_jobs(now);
             self.apply_effects(now, service, effects);
             let read = self.homes[service].take_read_inputs(now);
             self.release_inputs(now, service, read);
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -113,7 +113,7 @@
                 .end_call(now, key, CallEnd::Answered(made.collect()));
             over.extend(settled.finished);
         }
-        over.extend(self.planner.expire(now).finished);
+        over.extend(self.planner.refuse_late_jobs(now).finished);
         while let Some(call) = self.planner.next_call(now) {
             let took = ms(200) + ms(6) * call.pieces.len() as u32;
             self.ends
