--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -64,7 +64,7 @@
         input_results,
         result_bytes: ask.result_bytes,
         rank: u32::from(ask.priority),
-        in_time_for_ms: convert::millis(ask.until_latency_target),
+        in_time_for_ms: convert::millis(ask.in_time_for),
         remaining_ms: convert::millis(ask.remaining),
         prefer: ask
             .preferred_domain
@@ -92,7 +92,7 @@
         input,
         result_bytes: message.result_bytes,
         priority: message.rank.min(u32::from(u8::MAX)) as u8,
-        until_latency_target: convert::from_millis(message.in_time_for_ms),
+        in_time_for: convert::from_millis(message.in_time_for_ms),
         remaining: convert::from_millis(message.remaining_ms),
         preferred_domain: (!message.prefer.is_empty()).then(|| message.prefer.as_str().into()),
         held_bytes: message.held_bytes,
--- a/crates/tc-gateway/src/homes/chains.rs
+++ b/crates/tc-gateway/src/homes/chains.rs
@@ -70,7 +70,7 @@
         self.wanted.notify_one();
         match judged {
             Ok(begun) => {
-                ask.until_latency_target = begun.in_time_for;
+                ask.in_time_for = begun.in_time_for;
                 Ok(begun.is_late_return)
             }
             Err(retry_after) => {
--- a/crates/tc-gateway/src/run/home_ask.rs
+++ b/crates/tc-gateway/src/run/home_ask.rs
@@ -47,7 +47,7 @@
 /// An ask with the times that it has left after a while.
 fn later(ask: &StageRequest, elapsed: Duration) -> StageRequest {
     let mut later = ask.clone();
-    later.until_latency_target = later.until_latency_target.saturating_sub(elapsed);
+    later.in_time_for = later.in_time_for.saturating_sub(elapsed);
     later.remaining = later.remaining.saturating_sub(elapsed);
     if let Some(chain) = &mut later.chain {
         chain.until_latency_target = chain.until_latency_target.saturating_sub(elapsed);
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -126,7 +126,7 @@
             let mut ask = ask_for(cx, req, &graph, &held, stage);
             ask.chain = chain.take();
             if is_late_return {
-                ask.until_latency_target = Duration::ZERO;
+                ask.in_time_for = Duration::ZERO;
             }
             let inputs_given_up = ask.is_last_reader;
             running.push(Box::pin(async move {
@@ -177,8 +177,8 @@
     cx.outlooks.expect(&ChainQuery {
         graph,
         call_times: &call_times,
-        until_aim: in_time_for(cx, req, Duration::ZERO),
-        rank: req.rank(),
+        until_latency_target: in_time_for(cx, req, Duration::ZERO),
+        priority: req.rank(),
     })
 }
 
@@ -209,11 +209,7 @@
         input,
         result_bytes: spec.result_bytes,
         priority: req.rank(),
-        until_latency_target: in_time_for(
-            cx,
-            req,
-            graph.critical_path_after(stage, &expected.in_time),
-        ),
+        in_time_for: in_time_for(cx, req, graph.critical_path_after(stage, &expected.in_time)),
         remaining: req
             .time_to_first()
             .saturating_sub(cx.prompt_times.expect(req)),
--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -45,7 +45,7 @@
         pieces,
         input: PieceInput::Request("k".into()),
         result_bytes: RESULT_BYTES,
-        rank: (number % 3) as u8,
+        priority: (number % 3) as u8,
         in_time_until: now().after(Duration::from_millis(60_000 + number as u64 % 700)),
         deadline: now().after(Duration::from_mins(10)),
         preferred_domain: None,
--- a/crates/tc-policy/src/batch/chain_admission.rs
+++ b/crates/tc-policy/src/batch/chain_admission.rs
@@ -41,36 +41,38 @@
 
     /// Admits a request whose first stage is `first`, or returns the time after which to retry.
     ///
-    /// A retry after a refusal keeps the target time of the first attempt, as its caller does. Treated as a new
+    /// A retry after a refusal keeps the due time of the first attempt, as its caller does. Treated as a new
     /// request, it would displace one that can still be on time: in a burst of five seconds, every request was refused
     /// once and then answered late.
     pub fn admit(
         &mut self,
         now: MonoTime,
         chain: &StageChain,
-        rank: u8,
+        priority: u8,
         first: usize,
         call_times: &[Duration],
     ) -> Result<AdmittedChain, Duration> {
-        let aim = self.refused.remove(now, chain.fingerprint);
-        let aim = aim.unwrap_or_else(|| now.after(chain.until_latency_target));
-        let until_aim = aim.since(now).min(chain.until_latency_target);
+        let answer_due = self.refused.remove(now, chain.fingerprint);
+        let answer_due = answer_due.unwrap_or_else(|| now.after(chain.until_latency_target));
+        let until_latency_target = answer_due.since(now).min(chain.until_latency_target);
         let graph = StageGraph::new(&chain.stages, &chain.pieces);
         let request = ChainQuery {
             graph: &graph,
             call_times,
-            until_aim,
-            rank,
+            until_latency_target,
+            priority,
         };
         let expected = self.outlooks.estimate(now, &request);
-        if let Err(retry_after) = graph.check_feasible(&expected, until_aim, chain.remaining) {
-            self.refused.record(now, chain.fingerprint, aim);
+        if let Err(retry_after) =
+            graph.check_feasible(&expected, until_latency_target, chain.remaining)
+        {
+            self.refused.record(now, chain.fingerprint, answer_due);
             return Err(retry_after);
         }
         let after = graph.critical_path_after(first, &expected.in_time);
         Ok(AdmittedChain {
-            in_time_for: until_aim.saturating_sub(after),
-            is_late_return: until_aim.is_zero(),
+            in_time_for: until_latency_target.saturating_sub(after),
+            is_late_return: until_latency_target.is_zero(),
         })
     }
 }
--- a/crates/tc-policy/src/batch/due_histogram.rs
+++ b/crates/tc-policy/src/batch/due_histogram.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Bucket width: the offset between two ranks, and about half a call.
+/// Bucket width: the offset between two priorities, and about half a call.
 const BUCKET_WIDTH: Duration = Duration::from_millis(250);
 /// Number of buckets; everything due in four seconds or later is counted in the last one.
 const BUCKETS: usize = 16;
--- a/crates/tc-policy/src/batch/job.rs
+++ b/crates/tc-policy/src/batch/job.rs
@@ -14,11 +14,11 @@
     pub struct JobKey;
 }
 
-/// Offset added to the due time of a job for each rank below the most urgent.
+/// Offset added to the due time of a job for each priority below the most urgent.
 ///
 /// About half a call of typical services (200 to 370 ms): a more urgent request overtakes jobs that would start up to
-/// one call before it, and no rank starves behind a stream of more urgent requests.
-pub(super) const RANK_OFFSET: Duration = Duration::from_millis(250);
+/// one call before it, and no priority starves behind a stream of more urgent requests.
+pub(super) const PRIORITY_OFFSET: Duration = Duration::from_millis(250);
 /// Subtracted from the due time of a job that has started. It exceeds the spread of due times within a service, so
 /// started jobs are finished first.
 const STARTED_ADVANCE: Duration = Duration::from_secs(5);
@@ -50,8 +50,8 @@
     pub input: PieceInput,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// Priority rank; 0 is the most urgent.
-    pub rank: u8,
+    /// Priority; 0 is the most urgent.
+    pub priority: u8,
     /// Latest time at which the job can finish for the request to be answered on time.
     pub in_time_until: MonoTime,
     /// Time after which the caller no longer waits for an answer.
@@ -72,7 +72,7 @@
 pub(super) struct QueuePosition {
     /// Late jobs go after all jobs that can still be on time.
     pub(super) is_late: bool,
-    /// Due time, adjusted by rank and failure domain.
+    /// Due time, adjusted by priority and failure domain.
     pub(super) due: MonoTime,
 }
 
@@ -181,7 +181,7 @@
         };
         QueuePosition {
             is_late,
-            due: due.after(RANK_OFFSET * u32::from(self.params.rank)),
+            due: due.after(PRIORITY_OFFSET * u32::from(self.params.priority)),
         }
     }
 
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -5,7 +5,7 @@
 use tc_protocol::{MonoTime, ServiceName};
 
 use super::{
-    job::RANK_OFFSET,
+    job::PRIORITY_OFFSET,
     outlook::{FollowingPieces, HomeOutlook},
 };
 use crate::StageGraph;
@@ -43,9 +43,9 @@
     /// Fixed time of a call, for each stage.
     pub call_times: &'a [Duration],
     /// Time until the last stage must be done for the request to be answered on time.
-    pub until_aim: Duration,
-    /// Priority rank; 0 is the most urgent.
-    pub rank: u8,
+    pub until_latency_target: Duration,
+    /// Priority; 0 is the most urgent.
+    pub priority: u8,
 }
 
 /// Expected times of a request's stages, including queueing.
@@ -147,10 +147,10 @@
         until_arrival: Duration,
     ) -> Duration {
         let graph = request.graph;
-        let rank_offset = RANK_OFFSET * u32::from(request.rank);
+        let priority_offset = PRIORITY_OFFSET * u32::from(request.priority);
         let due = |stage: usize| {
             let after = graph.critical_path_after(stage, base_latencies);
-            request.until_aim.saturating_sub(after) + rank_offset
+            request.until_latency_target.saturating_sub(after) + priority_offset
         };
         let incoming: f64 = self
             .incoming(now, graph, stage)
--- a/crates/tc-policy/src/batch/refused.rs
+++ b/crates/tc-policy/src/batch/refused.rs
@@ -11,25 +11,25 @@
 /// Maximum number of remembered refusals: eight seconds at 2,000 refusals per second, in half a megabyte.
 const MAX_ENTRIES: usize = 16_384;
 
-/// Original target times of refused requests.
+/// Original due times of the answers to refused requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RefusedRequests {
-    aims: HashMap<Fingerprint, MonoTime>,
+    answer_due: HashMap<Fingerprint, MonoTime>,
     /// Entries in the order of refusal.
     order: VecDeque<(MonoTime, Fingerprint)>,
 }
 
 impl RefusedRequests {
-    /// Removes and returns the target time that the request had when it first arrived. The entry is used only once,
+    /// Removes and returns the due time that the answer had when the request first arrived. The entry is used only once,
     /// since another request may have the same fingerprint.
     pub(super) fn remove(&mut self, now: MonoTime, request: Fingerprint) -> Option<MonoTime> {
         self.remove_expired(now);
-        self.aims.remove(&request)
+        self.answer_due.remove(&request)
     }
 
-    /// Records the refusal of a request whose answer is due at `aim`.
-    pub(super) fn record(&mut self, now: MonoTime, request: Fingerprint, aim: MonoTime) {
-        self.aims.insert(request, aim);
+    /// Records the refusal of a request whose answer is due at `answer_due`.
+    pub(super) fn record(&mut self, now: MonoTime, request: Fingerprint, answer_due: MonoTime) {
+        self.answer_due.insert(request, answer_due);
         self.order.push_back((now, request));
         if self.order.len() > MAX_ENTRIES {
             self.evict_oldest();
@@ -46,7 +46,7 @@
 
     fn evict_oldest(&mut self) {
         if let Some((_, request)) = self.order.pop_front() {
-            self.aims.remove(&request);
+            self.answer_due.remove(&request);
         }
     }
 }
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -179,17 +179,17 @@
 
     /// Checks whether it is worth starting the stages; otherwise returns a hint for when to retry.
     ///
-    /// A request that can meet its target time is feasible. A request that cannot gets the leftover capacity at every
+    /// A request that can meet its latency target is feasible. A request that cannot gets the leftover capacity at every
     /// stage, so it is feasible only if the stages with the least leftover capacity still allow it. If each stage
     /// decided by itself, such a request would pass the first stage and be refused at the next: in a burst, half of the
     /// requests were refused after half a second of work.
     pub fn check_feasible(
         &self,
         expected: &ExpectedStageTimes,
-        until_aim: Duration,
+        until_latency_target: Duration,
         until_left: Duration,
     ) -> Result<(), Duration> {
-        if self.critical_path(&expected.in_time) <= until_aim {
+        if self.critical_path(&expected.in_time) <= until_latency_target {
             return Ok(());
         }
         if self.critical_path(&expected.late) <= until_left.mul_f64(MAX_LATE_FRACTION) {
--- a/crates/tc-policy/tests/batch/common.rs
+++ b/crates/tc-policy/tests/batch/common.rs
@@ -60,7 +60,7 @@
         pieces,
         input: PieceInput::Request("k".into()),
         result_bytes: 8_000,
-        rank: 0,
+        priority: 0,
         in_time_until: at(900),
         deadline: at(3_600),
         preferred_domain: None,
--- a/crates/tc-policy/tests/batch/fuzz.rs
+++ b/crates/tc-policy/tests/batch/fuzz.rs
@@ -25,7 +25,7 @@
         pieces: u8,
         large: bool,
         due: u8,
-        rank: u8,
+        priority: u8,
     },
     Cancel(u8),
     /// Ends the call in progress with this index.
@@ -96,8 +96,8 @@
                 pieces,
                 large,
                 due,
-                rank,
-            } => self.push(pieces, large, due, rank),
+                priority,
+            } => self.push(pieces, large, due, priority),
             Op::Cancel(index) => {
                 if let Some(key) = nth(self.open_jobs.keys().copied(), index) {
                     self.open_jobs.remove(&key);
@@ -135,14 +135,14 @@
         }
     }
 
-    fn push(&mut self, pieces: u8, large: bool, due: u8, rank: u8) {
+    fn push(&mut self, pieces: u8, large: bool, due: u8, priority: u8) {
         self.last_id += 1;
         let name = format!("r{}", self.last_id);
         let pieces = u32::from(pieces % 10) + 1;
         let result_bytes = if large { LARGE } else { 8_000 };
         let new = NewJob {
             result_bytes,
-            rank: rank % 3,
+            priority: priority % 3,
             in_time_until: at(self.now + u64::from(due) * 8),
             deadline: at(self.now + 4_000),
             ..job(&name, pieces)
--- a/crates/tc-policy/tests/batch/order.rs
+++ b/crates/tc-policy/tests/batch/order.rs
@@ -154,7 +154,7 @@
         &mut planner,
         at(0),
         NewJob {
-            rank: 2,
+            priority: 2,
             ..job("later", 14)
         },
     );
@@ -162,7 +162,7 @@
         &mut planner,
         at(0),
         NewJob {
-            rank: 0,
+            priority: 0,
             ..job("first", 14)
         },
     );
@@ -174,7 +174,7 @@
     );
 }
 
-/// Guards against answers just after their target time in a burst of 1.6 times the capacity. If jobs that will be late
+/// Guards against answers just after their latency target in a burst of 1.6 times the capacity. If jobs that will be late
 /// share the queue with jobs that can be on time, all are made at the last moment.
 ///
 /// The burst lasts six seconds on five upstreams. Calls of 368 ms for 14 pieces on 5 upstreams make 190 pieces a
--- a/crates/tc-policy/tests/chain/load.rs
+++ b/crates/tc-policy/tests/chain/load.rs
@@ -45,9 +45,9 @@
 /// A kind of request.
 pub(crate) struct RequestKind {
     pub(crate) per_s: f64,
-    pub(crate) target_latency: Duration,
+    pub(crate) latency_target: Duration,
     pub(crate) time_limit: Duration,
-    pub(crate) rank: u8,
+    pub(crate) priority: u8,
     pub(crate) stages: Vec<RouteStage>,
     /// Mean number of pieces of each stage, and the fraction of requests that have the stage.
     pub(crate) pieces: Vec<(f64, f64)>,
@@ -75,25 +75,25 @@
     vec![
         RequestKind {
             per_s: 165.0,
-            target_latency: Duration::from_millis(1_800),
+            latency_target: Duration::from_millis(1_800),
             time_limit: Duration::from_secs(6),
-            rank: 0,
+            priority: 0,
             stages: chain(0).to_vec(),
             pieces: vec![(1.0, 1.0), (6.0, 1.0), (10.0, 1.0)],
         },
         RequestKind {
             per_s: 145.0,
-            target_latency: Duration::from_millis(910),
+            latency_target: Duration::from_millis(910),
             time_limit: Duration::from_millis(3_640),
-            rank: 1,
+            priority: 1,
             stages: vec![stage(0, &[], 1_500_000)],
             pieces: vec![(2.5, 0.7)],
         },
         RequestKind {
             per_s: 41.0,
-            target_latency: Duration::from_millis(1_700),
+            latency_target: Duration::from_millis(1_700),
             time_limit: Duration::from_millis(6_800),
-            rank: 2,
+            priority: 2,
             stages: stages_of_third,
             pieces: vec![(1.5, 0.4), (1.0, 1.0), (6.0, 1.0), (10.0, 1.0)],
         },
--- a/crates/tc-policy/tests/chain/main.rs
+++ b/crates/tc-policy/tests/chain/main.rs
@@ -48,7 +48,7 @@
         })
         .sum();
     let slack = kind
-        .target_latency
+        .latency_target
         .saturating_sub(chain + simulation::REQUEST_TIME);
     let length = (BURST.1.saturating_sub(BURST.0) + slack).as_secs_f64();
     SEEDS.len() as f64 * per_s * length / kind.pieces[bottleneck].0
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -184,12 +184,12 @@
             stages: kind.stages.clone(),
             pieces: req.pieces.clone(),
             until_latency_target: kind
-                .target_latency
+                .latency_target
                 .saturating_sub(now.since(req.arrived_at) + REQUEST_TIME),
             remaining: kind.time_limit.saturating_sub(now.since(req.arrived_at)),
         };
         let call_times = vec![Duration::from_millis(200); kind.stages.len()];
-        self.admissions[service].admit(now, &chain, kind.rank, stage, &call_times)
+        self.admissions[service].admit(now, &chain, kind.priority, stage, &call_times)
     }
 
     pub(crate) fn new_job(&self, now: MonoTime, request: usize, stage: usize) -> NewJob {
@@ -201,16 +201,16 @@
                 graph.mark_done(done);
             }
         }
-        let until_aim = kind
-            .target_latency
+        let until_latency_target = kind
+            .latency_target
             .saturating_sub(now.since(req.arrived_at) + REQUEST_TIME);
         let expected = self.outlooks[req.instance].estimate(
             now,
             &ChainQuery {
                 graph: &graph,
                 call_times: &vec![Duration::from_millis(200); kind.stages.len()],
-                until_aim,
-                rank: kind.rank,
+                until_latency_target,
+                priority: kind.priority,
             },
         );
         let spec = &kind.stages[stage];
@@ -225,20 +225,20 @@
             .map(|b| graph.total_result_bytes(*b))
             .sum();
         let preferred_domain = preferred(&inputs, held_bytes * u64::from(req.pieces[stage]));
-        let until_aim = if req.is_late_return {
+        let until_latency_target = if req.is_late_return {
             Duration::ZERO
         } else {
-            until_aim
+            until_latency_target
         };
-        let in_time_for =
-            until_aim.saturating_sub(graph.critical_path_after(stage, &expected.in_time));
+        let in_time_for = until_latency_target
+            .saturating_sub(graph.critical_path_after(stage, &expected.in_time));
         NewJob {
             request: format!("{request}").into(),
             stage: stage as u32,
             pieces: req.pieces[stage],
             input: PieceInput::Results(inputs.into()),
             result_bytes: spec.result_bytes,
-            rank: kind.rank,
+            priority: kind.priority,
             in_time_until: now.after(in_time_for),
             deadline: req
                 .arrived_at
@@ -281,7 +281,7 @@
             return;
         }
         let tally = &mut self.tallies[req.kind];
-        if now.since(req.first_arrived_at) <= self.kinds[req.kind].target_latency {
+        if now.since(req.first_arrived_at) <= self.kinds[req.kind].latency_target {
             tally.in_time += 1;
         } else {
             tally.late += 1;
--- a/crates/tc-policy/tests/judge.rs
+++ b/crates/tc-policy/tests/chain_admission.rs
@@ -9,7 +9,7 @@
 };
 
 const CALL: Duration = Duration::from_millis(200);
-const AIM: Duration = Duration::from_secs(1);
+const LATENCY_TARGET: Duration = Duration::from_secs(1);
 
 const fn at(ms: u64) -> MonoTime {
     MonoTime::from_millis(10_000 + ms)
@@ -25,17 +25,17 @@
         fingerprint: Fingerprint(fingerprint),
         stages: vec![stage("first", vec![]), stage("second", vec![0])],
         pieces: vec![1, 6],
-        until_latency_target: AIM,
-        remaining: 4 * AIM,
+        until_latency_target: LATENCY_TARGET,
+        remaining: 4 * LATENCY_TARGET,
     }
 }
 
-fn judge(
-    judge: &mut ChainAdmission,
+fn admit(
+    admission: &mut ChainAdmission,
     now: MonoTime,
     fingerprint: u64,
 ) -> Result<AdmittedChain, Duration> {
-    judge.admit(now, &chain(fingerprint), 0, 0, &[CALL, CALL])
+    admission.admit(now, &chain(fingerprint), 0, 0, &[CALL, CALL])
 }
 
 /// The outlook of a home that completes 600 pieces per second and has this many waiting that can meet their deadline.
@@ -52,61 +52,61 @@
     }
 }
 
-fn judge_with(second_waiting: u32) -> ChainAdmission {
-    let mut judge = ChainAdmission::default();
-    judge.record(at(0), &"first".into(), outlook(0));
-    judge.record(at(0), &"second".into(), outlook(second_waiting));
-    judge
+fn admission_with(second_waiting: u32) -> ChainAdmission {
+    let mut admission = ChainAdmission::default();
+    admission.record(at(0), &"first".into(), outlook(0));
+    admission.record(at(0), &"second".into(), outlook(second_waiting));
+    admission
 }
 
 #[test]
 fn chain_starts_when_its_last_home_has_capacity() {
-    let begun = judge(&mut judge_with(0), at(0), 1).expect("nothing waits");
-    assert!(!begun.is_late_return);
-    assert_eq!(begun.in_time_for, Duration::from_millis(700));
-    assert!(judge(&mut judge_with(900), at(0), 1).is_err());
+    let admitted = admit(&mut admission_with(0), at(0), 1).expect("nothing waits");
+    assert!(!admitted.is_late_return);
+    assert_eq!(admitted.in_time_for, Duration::from_millis(700));
+    assert!(admit(&mut admission_with(900), at(0), 1).is_err());
 }
 
 /// Guards against a burst of five seconds in which every request is refused once and answered late: a refused request
 /// returns when it was told to, counts as new, and takes the place of a new request that could still meet its deadline.
 #[test]
 fn returning_request_counts_from_its_first_arrival() {
-    let mut home = judge_with(900);
-    assert!(judge(&mut home, at(0), 1).is_err());
+    let mut home = admission_with(900);
+    assert!(admit(&mut home, at(0), 1).is_err());
     home.record(at(400), &"second".into(), outlook(0));
     home.record(at(400), &"first".into(), outlook(0));
-    let again = judge(&mut home, at(300), 1).expect("there is time");
+    let again = admit(&mut home, at(300), 1).expect("there is time");
     assert!(!again.is_late_return);
     assert_eq!(again.in_time_for, Duration::from_millis(400));
 
-    let mut home = judge_with(900);
-    assert!(judge(&mut home, at(0), 1).is_err());
+    let mut home = admission_with(900);
+    assert!(admit(&mut home, at(0), 1).is_err());
     let free = HomeOutlook {
         spare_capacity: 1.0,
         ..outlook(0)
     };
     home.record(at(1_200), &"second".into(), free.clone());
     home.record(at(1_200), &"first".into(), free);
-    let again = judge(&mut home, at(1_200), 1).expect("there are places left");
+    let again = admit(&mut home, at(1_200), 1).expect("there are places left");
     assert!(again.is_late_return);
     assert_eq!(again.in_time_for, Duration::ZERO);
 }
 
 #[test]
 fn other_requests_do_not_count_as_returning() {
-    let mut home = judge_with(900);
-    assert!(judge(&mut home, at(0), 1).is_err());
+    let mut home = admission_with(900);
+    assert!(admit(&mut home, at(0), 1).is_err());
     home.record(at(400), &"second".into(), outlook(0));
-    let other = judge(&mut home, at(400), 2).expect("there is time");
+    let other = admit(&mut home, at(400), 2).expect("there is time");
     assert!(!other.is_late_return);
     // A refusal applies to one return only and expires.
-    let mut home = judge_with(900);
-    assert!(judge(&mut home, at(0), 1).is_err());
+    let mut home = admission_with(900);
+    assert!(admit(&mut home, at(0), 1).is_err());
     let late = at(9_000);
     home.record(late, &"second".into(), outlook(0));
     home.record(late, &"first".into(), outlook(0));
     assert!(
-        !judge(&mut home, late, 1)
+        !admit(&mut home, late, 1)
             .expect("there is time")
             .is_late_return
     );
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -143,7 +143,7 @@
     late: usize,
 }
 
-const AIM: Duration = ms(1_500);
+const LATENCY_TARGET: Duration = ms(1_500);
 const CALLER_TIMEOUT: Duration = ms(6_000);
 
 struct Request {
@@ -183,13 +183,13 @@
                 &ChainQuery {
                     graph: &graph,
                     call_times: &[ms(200); 2],
-                    until_aim: AIM,
-                    rank: 0,
+                    until_latency_target: LATENCY_TARGET,
+                    priority: 0,
                 },
             );
             if checks_feasibility
                 && graph
-                    .check_feasible(&expected, AIM, CALLER_TIMEOUT)
+                    .check_feasible(&expected, LATENCY_TARGET, CALLER_TIMEOUT)
                     .is_err()
             {
                 counts.refused_early += 1;
@@ -220,7 +220,7 @@
                 continue;
             };
             match made {
-                true if now.since(request.arrived_at) <= AIM => counts.in_time += 1,
+                true if now.since(request.arrived_at) <= LATENCY_TARGET => counts.in_time += 1,
                 true => counts.late += 1,
                 false => counts.refused_late += 1,
             }
@@ -236,15 +236,18 @@
     arrived_at: MonoTime,
     following: Duration,
 ) -> NewJob {
-    let aim = arrived_at.after(AIM).since(now).saturating_sub(following);
+    let in_time_for = arrived_at
+        .after(LATENCY_TARGET)
+        .since(now)
+        .saturating_sub(following);
     NewJob {
         request: "r".into(),
         stage,
         pieces,
         input: PieceInput::Request("k".into()),
         result_bytes: 8_000,
-        rank: 0,
-        in_time_until: now.after(aim),
+        priority: 0,
+        in_time_until: now.after(in_time_for),
         deadline: arrived_at.after(CALLER_TIMEOUT),
         preferred_domain: None,
         held_bytes: 0,
@@ -306,11 +309,11 @@
             &ChainQuery {
                 graph: &graph,
                 call_times: &[ms(200); 2],
-                until_aim: AIM,
-                rank: u8::MAX,
+                until_latency_target: LATENCY_TARGET,
+                priority: u8::MAX,
             },
         );
         // Any decision is accepted, as long as there is no panic.
-        let _ = graph.check_feasible(&expected, AIM, CALLER_TIMEOUT);
+        let _ = graph.check_feasible(&expected, LATENCY_TARGET, CALLER_TIMEOUT);
     }
 }
--- a/crates/tc-protocol/src/routing/piece.rs
+++ b/crates/tc-protocol/src/routing/piece.rs
@@ -66,7 +66,7 @@
     /// Priority of the request, 0 most urgent.
     pub priority: u8,
     /// Time until the stage must complete for the request to meet its latency target; zero if that time has passed.
-    pub until_latency_target: Duration,
+    pub in_time_for: Duration,
     /// Time until the caller no longer waits for the response.
     pub remaining: Duration,
     /// Failure domain in which the results will be read, if known and relevant.
