--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -57,12 +57,12 @@
 
 /// Creates a planner whose upstreams all have one full call in progress, or whose result memory is full.
 fn planner(upstreams: usize, jobs: usize, busy: bool) -> BatchPlanner {
-    let repeats = RetryBudget::new(RetryLimits {
+    let retry_budget = RetryBudget::new(RetryLimits {
         ratio: 0.2,
         extra: 20.0,
         window: Duration::from_secs(10),
     });
-    let mut planner = BatchPlanner::new(spec(), repeats);
+    let mut planner = BatchPlanner::new(spec(), retry_budget);
     let upstream = |i: usize| BatchUpstream {
         id: format!("u{i}").into(),
         domain: format!("d{}", i % 6).into(),
--- a/crates/tc-policy/src/backoffs.rs
+++ b/crates/tc-policy/src/backoffs.rs
@@ -33,11 +33,11 @@
 }
 
 impl Backoffs {
-    /// Records a backoff that starts now, unless a recorded one ends later; `chance` from 0 to 1 scales the jitter.
-    pub fn extend(&mut self, now: MonoTime, id: &UpstreamId, backoff: Duration, chance: f64) {
+    /// Records a backoff that starts now, unless a recorded one ends later; `random`, from 0 to 1, scales the jitter.
+    pub fn extend(&mut self, now: MonoTime, id: &UpstreamId, backoff: Duration, random: f64) {
         let backoff = backoff.min(MAX_BACKOFF);
         let jitter = backoff.mul_f64(JITTER_FRACTION).min(MAX_JITTER);
-        let until = now.after(backoff + jitter.mul_f64(chance.clamp(0.0, 1.0)));
+        let until = now.after(backoff + jitter.mul_f64(random.clamp(0.0, 1.0)));
         let known = self.until.entry(id.clone()).or_default();
         *known = (*known).max(until);
     }
--- a/crates/tc-policy/src/batch/completion.rs
+++ b/crates/tc-policy/src/batch/completion.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Requeues a piece that reached an upstream and was not made, if the repeat budget allows it.
+    /// Requeues a piece that reached an upstream and was not made, if the retry budget allows it.
     fn retry_piece(
         &mut self,
         now: MonoTime,
@@ -201,7 +201,7 @@
             return;
         };
         job.failures += u32::from(failed);
-        if job.failures > MAX_FAILURES || !self.repeats.try_spend(now) {
+        if job.failures > MAX_FAILURES || !self.retry_budget.try_spend(now) {
             self.refuse(key, StageRefusal::Failed, effects);
             return;
         }
--- a/crates/tc-policy/src/batch/dispatch.rs
+++ b/crates/tc-policy/src/batch/dispatch.rs
@@ -15,7 +15,7 @@
 /// Added to the timeout, since a call may wait at the upstream for a call from another home.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 /// Maximum number of pieces in a call after a refused one; it probes whether upstreams accept calls again. Each refused
-/// piece spends a repeat, so full calls to full upstreams would use up several seconds of the repeat budget at once.
+/// piece spends a retry, so full calls to full upstreams would use up several seconds of the retry budget at once.
 const PROBE_PIECES: usize = 1;
 /// Fraction of an upstream's result memory that is used for planning. Result sizes are only known as averages, and a
 /// released result occupies memory until its upstream is notified.
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -68,7 +68,7 @@
     pub(super) result_memory: ResultMemory,
     pub(super) input_hold_time: InputHoldTime,
     pub(super) piece_times: PieceTimes,
-    pub(super) repeats: RetryBudget,
+    pub(super) retry_budget: RetryBudget,
     /// Moving average of the duration of a call, in seconds.
     pub(super) typical_call_s: f64,
     /// Arrival rate of work that can be done on time.
@@ -79,9 +79,9 @@
 }
 
 impl BatchPlanner {
-    /// Creates a planner without upstreams. `repeats` limits how often pieces are sent again.
+    /// Creates a planner without upstreams. `retry_budget` limits how often pieces are sent again.
     #[must_use]
-    pub fn new(spec: BatchSpec, repeats: RetryBudget) -> Self {
+    pub fn new(spec: BatchSpec, retry_budget: RetryBudget) -> Self {
         Self {
             spec,
             jobs: SlotMap::with_key(),
@@ -90,7 +90,7 @@
             result_memory: ResultMemory::default(),
             input_hold_time: InputHoldTime::default(),
             piece_times: PieceTimes::default(),
-            repeats,
+            retry_budget,
             demand: Demand::default(),
             last_refused: false,
             typical_call_s: spec.call_overhead.as_secs_f64() * INITIAL_CALL_FACTOR,
@@ -161,7 +161,7 @@
         if !self.can_meet_deadline(now, &job, wait, MAX_WAIT_FRACTION) {
             return Err(self.overloaded(now));
         }
-        self.repeats.record_request(now);
+        self.retry_budget.record_request(now);
         if !job.expected_late {
             self.demand.add(now, self.remaining_work(&job));
         }
--- a/crates/tc-policy/src/batch/upstream.rs
+++ b/crates/tc-policy/src/batch/upstream.rs
@@ -7,13 +7,13 @@
 use crate::SendPacer;
 
 /// Pause after an upstream refused a call because it was full: about half a call, since calls from another home, or
-/// from this one before a restart, must end first. Each refused call spends as many repeats as it has pieces, so a
+/// from this one before a restart, must end first. Each refused call spends as many retries as it has pieces, so a
 /// shorter pause would use up the budget before the upstream is free.
 const FULL_PAUSE: Duration = Duration::from_millis(150);
-/// Pause after the first failed call; doubles with each consecutive failure.
-const INITIAL_PAUSE: Duration = Duration::from_millis(250);
-/// Maximum pause; a recovered upstream is used again within this time.
-const MAX_PAUSE: Duration = Duration::from_secs(3);
+/// Backoff after the first failed call; doubles with each consecutive failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Maximum backoff; a recovered upstream is used again within this time.
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
 /// Weight of the latest call in the slowdown average. Three calls change it by two thirds: a call takes a third of a
 /// second, and an upstream stays slow for seconds.
 const SLOWDOWN_WEIGHT: f64 = 0.3;
@@ -103,12 +103,12 @@
         self.not_before = self.not_before.max(self.backoff_until);
     }
 
-    /// Records a failed or timed-out call: starts a pause that grows with consecutive failures, and updates the
+    /// Records a failed or timed-out call: starts a backoff that grows with consecutive failures, and updates the
     /// slowdown if the call was slow.
     pub(super) fn record_failure(&mut self, now: MonoTime, took: Duration, expected: Duration) {
-        let pause = INITIAL_PAUSE * 2u32.pow(self.failures.min(8));
+        let backoff = INITIAL_BACKOFF * 2u32.pow(self.failures.min(8));
         self.failures += 1;
-        self.not_before = now.after(pause.min(MAX_PAUSE)).max(self.backoff_until);
+        self.not_before = now.after(backoff.min(MAX_BACKOFF)).max(self.backoff_until);
         // For a call that timed out, this ratio is a lower bound.
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(0.001);
         if ratio > self.slowdown {
--- a/crates/tc-policy/src/cold.rs
+++ b/crates/tc-policy/src/cold.rs
@@ -33,12 +33,12 @@
 }
 
 impl ColdLimit {
-    /// Creates the limit for an upstream that can serve `cold_per_s` requests per second while it is cold, with
+    /// Creates the limit for an upstream that can serve `max_requests_per_s` requests per second while it is cold, with
     /// `excess` as a multiplier and `slack` additional requests per second.
     #[must_use]
-    pub fn new(cold_per_s: f64, excess: f64, slack: f64) -> Self {
+    pub fn new(max_requests_per_s: f64, excess: f64, slack: f64) -> Self {
         Self {
-            total: (cold_per_s * excess + slack).max(0.0) as u32,
+            total: (max_requests_per_s * excess + slack).max(0.0) as u32,
         }
     }
 
--- a/crates/tc-policy/src/engines/engine.rs
+++ b/crates/tc-policy/src/engines/engine.rs
@@ -8,7 +8,7 @@
 use crate::{ColdLimit, RecentSends, SendPacer};
 
 /// Backoff after the first failed run; doubles with each consecutive failure.
-const FIRST_BACKOFF: Duration = Duration::from_millis(300);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 /// Maximum backoff: a recovered engine is used again within this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 /// Weight of the newest run in the slowdown: an engine may slow down for seconds, in which it reads about ten prompts.
@@ -108,7 +108,7 @@
     }
 
     pub(super) fn record_failure(&mut self, now: MonoTime) {
-        let backoff = FIRST_BACKOFF * 2u32.pow(self.failures.min(8));
+        let backoff = INITIAL_BACKOFF * 2u32.pow(self.failures.min(8));
         self.failures += 1;
         self.retry_at = now.after(backoff.min(MAX_BACKOFF));
     }
--- a/crates/tc-policy/tests/backoffs.rs
+++ b/crates/tc-policy/tests/backoffs.rs
@@ -48,8 +48,8 @@
             match action % 4 {
                 0 => {
                     let backoff = Duration::from_millis(u64::from(*time) % 5_000);
-                    let chance = f64::from(*selector) / 255.0;
-                    backoffs[sender].extend(now, &id, backoff, chance);
+                    let random = f64::from(*selector) / 255.0;
+                    backoffs[sender].extend(now, &id, backoff, random);
                     let until = now.after(backoff);
                     requested.push(RequestedBackoff {
                         sender,
@@ -106,9 +106,9 @@
 #[test]
 fn jitter_extends_backoffs_within_bounds() {
     let now = MonoTime::from_millis(1_000);
-    let backoff_of = |backoff: Duration, chance: f64| {
+    let backoff_of = |backoff: Duration, random: f64| {
         let mut backoffs = Backoffs::default();
-        backoffs.extend(now, &"u".into(), backoff, chance);
+        backoffs.extend(now, &"u".into(), backoff, random);
         backoffs.remaining(now, &"u".into()).unwrap_or_default()
     };
     let seconds = Duration::from_secs;
--- a/crates/tc-policy/tests/batch/common.rs
+++ b/crates/tc-policy/tests/batch/common.rs
@@ -25,7 +25,7 @@
     }
 }
 
-pub(crate) fn repeat_budget(extra: f64) -> RetryBudget {
+pub(crate) fn retry_budget(extra: f64) -> RetryBudget {
     RetryBudget::new(RetryLimits {
         ratio: 0.2,
         extra,
@@ -34,7 +34,7 @@
 }
 
 pub(crate) fn planner(domains: &[&str]) -> BatchPlanner {
-    let mut planner = BatchPlanner::new(spec(), repeat_budget(20.0));
+    let mut planner = BatchPlanner::new(spec(), retry_budget(20.0));
     planner.set_upstreams(&upstreams(domains));
     planner
 }
--- a/crates/tc-policy/tests/batch/completion.rs
+++ b/crates/tc-policy/tests/batch/completion.rs
@@ -3,7 +3,7 @@
 use tc_policy::{BatchPlanner, CallEnd};
 use tc_protocol::routing::{PieceFailure, StageRefusal};
 
-use crate::common::{at, handle, job, planner, push, repeat_budget, spec, success, upstreams};
+use crate::common::{at, handle, job, planner, push, retry_budget, spec, success, upstreams};
 
 #[test]
 fn expired_jobs_are_refused_and_their_results_freed() {
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn retries_are_limited_by_the_repeat_budget() {
-    let mut planner = BatchPlanner::new(spec(), repeat_budget(2.0));
+fn retries_are_limited_by_the_retry_budget() {
+    let mut planner = BatchPlanner::new(spec(), retry_budget(2.0));
     planner.set_upstreams(&upstreams(&["a", "a", "a", "a"]));
     push(&mut planner, at(0), job("x", 3));
     let call = planner.next_call(at(0)).expect("a call");
@@ -56,11 +56,11 @@
 }
 
 /// Guards against stages refused as failed for two seconds after a restart of all instances. Upstreams still run calls
-/// of the previous processes and refuse new ones, and each refusal spends as many repeats as the call has pieces. A
+/// of the previous processes and refuse new ones, and each refusal spends as many retries as the call has pieces. A
 /// full upstream must not be asked repeatedly before its calls can have ended.
 #[test]
-fn full_upstreams_do_not_exhaust_the_repeat_budget() {
-    let mut planner = BatchPlanner::new(spec(), repeat_budget(60.0));
+fn full_upstreams_do_not_exhaust_the_retry_budget() {
+    let mut planner = BatchPlanner::new(spec(), retry_budget(60.0));
     planner.set_upstreams(&upstreams(&["a", "a", "a", "a", "a"]));
     let mut finished = Vec::new();
     for name in ["x", "y", "z"] {
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn an_unsent_call_costs_no_repeat() {
-    let mut planner = BatchPlanner::new(spec(), repeat_budget(0.0));
+fn an_unsent_call_costs_no_retry() {
+    let mut planner = BatchPlanner::new(spec(), retry_budget(0.0));
     planner.set_upstreams(&upstreams(&["a", "a"]));
     push(&mut planner, at(0), job("x", 3));
     let call = planner.next_call(at(0)).expect("a call");
--- a/crates/tc-policy/tests/batch/fuzz.rs
+++ b/crates/tc-policy/tests/batch/fuzz.rs
@@ -13,7 +13,7 @@
     routing::{BatchSpec, PieceFailure, ResultHandle},
 };
 
-use crate::common::{at, job, repeat_budget, spec, upstreams};
+use crate::common::{at, job, retry_budget, spec, upstreams};
 
 /// Size of a large result; eight of them fill an upstream.
 const LARGE: u64 = 1_000_000;
@@ -64,7 +64,7 @@
             ..spec()
         };
         let mut oracle = Self {
-            planner: BatchPlanner::new(spec, repeat_budget(200.0)),
+            planner: BatchPlanner::new(spec, retry_budget(200.0)),
             spec,
             now: 0,
             open_jobs: BTreeMap::new(),
--- a/crates/tc-policy/tests/batch/inputs.rs
+++ b/crates/tc-policy/tests/batch/inputs.rs
@@ -5,7 +5,7 @@
 use tc_policy::{BatchCall, BatchPlanner, CallEnd, NewJob};
 use tc_protocol::routing::{PieceFailure, PieceInput, ResultHandle, StageRefusal};
 
-use crate::common::{at, handle, job, push, repeat_budget, spec, success, upstreams};
+use crate::common::{at, handle, job, push, retry_budget, spec, success, upstreams};
 
 /// A stage that is the last reader of four results of 60 KB.
 fn reader(name: &str, pieces: u32) -> NewJob {
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_piece_that_fails_before_input_release_is_retried() {
-    let mut planner = BatchPlanner::new(spec(), repeat_budget(20.0));
+    let mut planner = BatchPlanner::new(spec(), retry_budget(20.0));
     planner.set_upstreams(&upstreams(&["a", "a"]));
     push(&mut planner, at(0), reader("x", 2));
     let call = planner.next_call(at(0)).expect("a call");
