--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{DueHistogram, FollowingPieces, HomeOutlook};
+use tc_policy::{DependentPieces, DueHistogram, HomeOutlook};
 use tc_protocol::{
     Fingerprint, InstanceId, ServiceName,
     routing::{
@@ -73,7 +73,7 @@
             .unwrap_or_default(),
         held_bytes: ask.held_bytes,
         is_last_reader: ask.is_last_reader,
-        following: following_to_wire(&ask.dependents),
+        following: following_to_wire(&ask.dependent_pieces),
         chain: ask.chain.as_ref().map(chain_to_wire),
     }
 }
@@ -97,7 +97,7 @@
         preferred_domain: (!message.prefer.is_empty()).then(|| message.prefer.as_str().into()),
         held_bytes: message.held_bytes,
         is_last_reader: message.is_last_reader,
-        dependents: following_from_wire(&message.following),
+        dependent_pieces: following_from_wire(&message.following),
         chain: message.chain.as_ref().and_then(chain_from_wire),
     }
 }
@@ -252,7 +252,7 @@
 }
 
 pub(super) fn outlook_to_wire(outlook: &HomeOutlook) -> wire::HomeOutlook {
-    let coming = |(service, coming): (&ServiceName, &FollowingPieces)| wire::ComingPieces {
+    let coming = |(service, coming): (&ServiceName, &DependentPieces)| wire::ComingPieces {
         service: service.to_string(),
         in_time: coming.in_time.counts().to_vec(),
         all: coming.total,
@@ -263,13 +263,13 @@
         waiting: outlook.waiting,
         pieces_per_s: outlook.pieces_per_s as f32,
         free: outlook.spare_capacity as f32,
-        coming: outlook.following.iter().map(coming).collect(),
+        coming: outlook.dependent_pieces.iter().map(coming).collect(),
     }
 }
 
 pub(super) fn outlook_from_wire(outlook: &wire::HomeOutlook) -> HomeOutlook {
     let coming = |coming: &wire::ComingPieces| {
-        let pieces = FollowingPieces {
+        let pieces = DependentPieces {
             in_time: DueHistogram::from_counts(&coming.in_time),
             total: coming.all,
         };
@@ -281,7 +281,7 @@
         waiting: outlook.waiting,
         pieces_per_s: f64::from(outlook.pieces_per_s),
         spare_capacity: f64::from(outlook.free),
-        following: outlook.coming.iter().map(coming).collect(),
+        dependent_pieces: outlook.coming.iter().map(coming).collect(),
     }
 }
 
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -248,7 +248,7 @@
         preferred_domain: ask.preferred_domain,
         held_bytes: ask.held_bytes,
         is_last_reader: ask.is_last_reader,
-        following: ask.dependents,
+        dependent_pieces: ask.dependent_pieces,
     }
 }
 
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -220,7 +220,7 @@
             .map(|before| graph.total_result_bytes(*before))
             .sum(),
         is_last_reader: graph.is_last_reader(stage),
-        dependents: graph.following(stage),
+        dependent_pieces: graph.dependent_pieces(stage),
         chain: None,
     }
 }
--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -51,7 +51,7 @@
         preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
-        following: vec![("next".into(), 2)],
+        dependent_pieces: vec![("next".into(), 2)],
     }
 }
 
--- a/crates/tc-policy/src/batch/chain_admission.rs
+++ b/crates/tc-policy/src/batch/chain_admission.rs
@@ -26,7 +26,7 @@
     pub is_late_return: bool,
 }
 
-/// Admission state at the home of a first stage: outlooks of the following homes and recent refusals.
+/// Admission state at the home of a first stage: outlooks of the homes of all stages and recent refusals.
 #[derive(Clone, Debug, Default)]
 pub struct ChainAdmission {
     outlooks: StageOutlooks,
--- a/crates/tc-policy/src/batch/job.rs
+++ b/crates/tc-policy/src/batch/job.rs
@@ -64,7 +64,7 @@
     /// them.
     pub is_last_reader: bool,
     /// Number of pieces of the stages that read its results, by service.
-    pub following: Vec<(ServiceName, u32)>,
+    pub dependent_pieces: Vec<(ServiceName, u32)>,
 }
 
 /// Sort key of a job in the queue; the lowest value goes first.
@@ -199,13 +199,18 @@
         }
     }
 
-    /// Bytes that all readers of the results fetch together: each piece of a following stage reads all results.
+    /// Bytes that all readers of the results fetch together: each piece of a dependent stage reads all results.
     ///
     /// Four results of 60 KB that six pieces read are 1.4 MB of transfers, more than two results of 500 KB that one
     /// engine reads.
     fn total_read_bytes(&self) -> u64 {
         let results = self.params.result_bytes * u64::from(self.params.pieces);
-        let readers: u32 = self.params.following.iter().map(|(_, pieces)| pieces).sum();
+        let readers: u32 = self
+            .params
+            .dependent_pieces
+            .iter()
+            .map(|(_, pieces)| pieces)
+            .sum();
         results.saturating_mul(u64::from(readers.max(1)))
     }
 
--- a/crates/tc-policy/src/batch/mod.rs
+++ b/crates/tc-policy/src/batch/mod.rs
@@ -26,7 +26,7 @@
 pub use completion::{CallEnd, FinishedJob, PlannerEffects};
 pub use due_histogram::DueHistogram;
 pub use job::{JobKey, NewJob};
-pub use outlook::{FollowingPieces, HomeOutlook};
+pub use outlook::{DependentPieces, HomeOutlook};
 pub use outlooks::{ChainQuery, ExpectedStageTimes, StageOutlooks};
 pub use planner::{BatchCall, BatchPlanner, CallKey};
 pub use upstream::BatchUpstream;
--- a/crates/tc-policy/src/batch/outlook.rs
+++ b/crates/tc-policy/src/batch/outlook.rs
@@ -20,12 +20,12 @@
     /// Fraction of that rate left over by the incoming on-time work.
     pub spare_capacity: f64,
     /// Pieces that will be submitted to other services once the jobs here are done.
-    pub following: BTreeMap<ServiceName, FollowingPieces>,
+    pub dependent_pieces: BTreeMap<ServiceName, DependentPieces>,
 }
 
 /// Pieces on their way to the home of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct FollowingPieces {
+pub struct DependentPieces {
     /// Pieces of requests that can be on time, by the due time of their current stage.
     pub in_time: DueHistogram,
     /// Pieces of all requests.
@@ -52,11 +52,11 @@
                 outlook.in_time.add(due, waiting);
             }
             let is_late = position.is_late || job.expected_late;
-            for (service, pieces) in &job.params.following {
-                let following = outlook.following.entry(service.clone()).or_default();
-                following.total = following.total.saturating_add(*pieces);
+            for (service, pieces) in &job.params.dependent_pieces {
+                let dependent_pieces = outlook.dependent_pieces.entry(service.clone()).or_default();
+                dependent_pieces.total = dependent_pieces.total.saturating_add(*pieces);
                 if !is_late {
-                    following.in_time.add(due, *pieces);
+                    dependent_pieces.in_time.add(due, *pieces);
                 }
             }
         }
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -6,7 +6,7 @@
 
 use super::{
     job::PRIORITY_OFFSET,
-    outlook::{FollowingPieces, HomeOutlook},
+    outlook::{DependentPieces, HomeOutlook},
 };
 use crate::StageGraph;
 
@@ -29,7 +29,7 @@
 ///
 /// The most loaded stage limits the whole chain. Without outlooks, a request would pass its first stages, use their
 /// capacity and memory, and be refused at the last stage, wasting work under overload. A home sees a burst only after
-/// the stage before it, half a second later, so each home also reports the pieces on their way to the following stages.
+/// the stage before it, half a second later, so each home also reports the pieces on their way to the dependent stages.
 #[derive(Clone, Debug, Default)]
 pub struct StageOutlooks {
     latest: BTreeMap<ServiceName, (MonoTime, HomeOutlook)>,
@@ -126,12 +126,12 @@
         now: MonoTime,
         graph: &'a StageGraph<'a>,
         stage: usize,
-    ) -> impl Iterator<Item = (usize, &'a FollowingPieces)> + 'a {
+    ) -> impl Iterator<Item = (usize, &'a DependentPieces)> + 'a {
         let service = &graph.stages()[stage].service;
         let before = graph.stages()[stage].depends_on.iter().copied();
         before.filter_map(move |before| {
             let outlook = self.outlook_of(now, graph, before)?;
-            Some((before, outlook.following.get(service)?))
+            Some((before, outlook.dependent_pieces.get(service)?))
         })
     }
 
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -28,7 +28,7 @@
 pub use backoffs::Backoffs;
 pub use batch::{
     AdmittedChain, BatchCall, BatchPlanner, BatchUpstream, CallEnd, CallKey, ChainAdmission,
-    ChainQuery, DueHistogram, ExpectedStageTimes, FinishedJob, FollowingPieces, HomeOutlook,
+    ChainQuery, DependentPieces, DueHistogram, ExpectedStageTimes, FinishedJob, HomeOutlook,
     JobKey, NewJob, PlannerEffects, StageOutlooks,
 };
 pub use budget::ExtraCallBudget;
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -115,7 +115,7 @@
 
     /// Returns the services and piece counts of the unfinished stages that read a stage's results.
     #[must_use]
-    pub fn following(&self, stage: usize) -> Vec<(ServiceName, u32)> {
+    pub fn dependent_pieces(&self, stage: usize) -> Vec<(ServiceName, u32)> {
         let next = self
             .dependents(stage)
             .filter(|next| !self.is_complete(*next));
@@ -220,7 +220,7 @@
         if self.states[stage] == StageState::Omitted {
             return 0;
         }
-        let following = self.dependents(stage).map(|next| self.chain_length(next));
-        1 + following.max().unwrap_or(0)
+        let dependents = self.dependents(stage).map(|next| self.chain_length(next));
+        1 + dependents.max().unwrap_or(0)
     }
 }
--- a/crates/tc-policy/tests/batch/common.rs
+++ b/crates/tc-policy/tests/batch/common.rs
@@ -66,7 +66,7 @@
         preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
-        following: Vec::new(),
+        dependent_pieces: Vec::new(),
     }
 }
 
--- a/crates/tc-policy/tests/batch/handover.rs
+++ b/crates/tc-policy/tests/batch/handover.rs
@@ -33,20 +33,20 @@
 
 /// The outlook contains the waiting pieces by due time and the pieces that will follow at other services.
 #[test]
-fn outlook_reports_waiting_and_following_pieces() {
+fn outlook_reports_waiting_and_dependent_pieces() {
     let mut planner = planner(&["a"]);
-    let following = vec![("behind".into(), 4)];
+    let dependent_pieces = vec![("behind".into(), 4)];
     for (name, due) in [("soon", 400), ("later", 900)] {
         let new = NewJob {
             in_time_until: at(due),
-            following: following.clone(),
+            dependent_pieces: dependent_pieces.clone(),
             ..job(name, 3)
         };
         push(&mut planner, at(0), new);
     }
     let late = NewJob {
         in_time_until: at(0),
-        following,
+        dependent_pieces,
         ..job("late", 2)
     };
     push(&mut planner, at(0), late);
@@ -59,11 +59,8 @@
     );
     let soon = outlook.in_time.due_before(Duration::from_millis(500));
     assert!((soon - 3.0).abs() < 1e-9, "{soon}");
-    let following_pieces = &outlook.following[&ServiceName::from("behind")];
-    assert_eq!(
-        (following_pieces.in_time.total(), following_pieces.total),
-        (8, 12)
-    );
+    let reported = &outlook.dependent_pieces[&ServiceName::from("behind")];
+    assert_eq!((reported.in_time.total(), reported.total), (8, 12));
     let sent = DueHistogram::from_counts(outlook.in_time.counts());
     assert_eq!(sent, outlook.in_time);
 }
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -246,7 +246,7 @@
             preferred_domain,
             held_bytes,
             is_last_reader: graph.is_last_reader(stage),
-            following: graph.following(stage),
+            dependent_pieces: graph.dependent_pieces(stage),
         }
     }
 
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -195,10 +195,10 @@
                 counts.refused_early += 1;
                 continue;
             }
-            let following = graph.critical_path_after(0, &expected.in_time);
+            let time_after = graph.critical_path_after(0, &expected.in_time);
             match services[0]
                 .planner
-                .push(now, job(0, 1, now, now, following))
+                .push(now, job(0, 1, now, now, time_after))
             {
                 Ok(key) => drop(running[0].insert(key, Request { arrived_at: now })),
                 Err(_) => counts.refused_early += 1,
@@ -234,12 +234,12 @@
     pieces: u32,
     now: MonoTime,
     arrived_at: MonoTime,
-    following: Duration,
+    time_after: Duration,
 ) -> NewJob {
     let in_time_for = arrived_at
         .after(LATENCY_TARGET)
         .since(now)
-        .saturating_sub(following);
+        .saturating_sub(time_after);
     NewJob {
         request: "r".into(),
         stage,
@@ -252,7 +252,7 @@
         preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
-        following: match stage {
+        dependent_pieces: match stage {
             0 => vec![("second".into(), 4)],
             _ => Vec::new(),
         },
--- a/crates/tc-protocol/src/routing/piece.rs
+++ b/crates/tc-protocol/src/routing/piece.rs
@@ -76,7 +76,7 @@
     /// Whether no other stage will read the inputs, so that they are freed as soon as the pieces have read them.
     pub is_last_reader: bool,
     /// Service and number of pieces of each stage that reads the results.
-    pub dependents: Vec<(ServiceName, u32)>,
+    pub dependent_pieces: Vec<(ServiceName, u32)>,
     /// All stages of the request, if this is the first one: the home decides whether to admit them.
     pub chain: Option<StageChain>,
 }
