--- a/crates/tc-fleet/src/homes/slot.rs
+++ b/crates/tc-fleet/src/homes/slot.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use tc_policy::{
-    HeldPermit, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+    HeldPermit, Home, HomeConfig, HomeEvent, HomePermitRequest, PermitDecision, QueuedRequestKey,
 };
 use tc_protocol::{
     Cost, Fingerprint, InstanceId, MonoTime, PermitId, RefusalReason, Release, ServiceName,
@@ -344,8 +344,8 @@
     }
 }
 
-fn new_ask(ask: HomeAsk) -> PermitRequest {
-    PermitRequest {
+fn new_ask(ask: HomeAsk) -> HomePermitRequest {
+    HomePermitRequest {
         entry: ask.entry,
         workspace: ask.workspace,
         weight: ask.weight,
--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -1,4 +1,4 @@
-//! Cost of one ask at the home of a batch service, by the number of its upstreams and waiting jobs.
+//! Cost of one stage request at the home of a batch service, by the number of its upstreams and waiting jobs.
 //!
 //! `cargo bench -p tc-policy --bench batch_home`. Covers two overload states: all upstreams busy, and all upstreams
 //! free but without result memory. In the latter, the home checks every upstream in vain on each event.
@@ -89,7 +89,7 @@
     planner
 }
 
-fn one_ask(c: &mut Criterion) {
+fn one_request(c: &mut Criterion) {
     for (state, busy) in [("at_work", true), ("without_room", false)] {
         let mut group = c.benchmark_group(format!("one_ask/{state}"));
         group.sample_size(20);
@@ -113,5 +113,5 @@
     }
 }
 
-criterion_group!(benches, one_ask);
+criterion_group!(benches, one_request);
 criterion_main!(benches);
--- a/crates/tc-policy/examples/decision_rate.rs
+++ b/crates/tc-policy/examples/decision_rate.rs
@@ -6,13 +6,16 @@
 };
 
 use rand::{SeedableRng, rngs::StdRng};
-use tc_policy::{Home, HomeConfig, HomeEvent, PermitDecision, UpstreamCandidate, choose_upstream};
+use tc_policy::{
+    Home, HomeConfig, HomeEvent, HomePermitRequest, PermitDecision, UpstreamCandidate,
+    choose_upstream,
+};
 use tc_protocol::{
     Attempt, Cost, Fingerprint, MonoTime, Outcome, PermitId, PermitRequest, Release, RunState,
     Upstream, UpstreamState, UpstreamSummary, WorkspaceName,
 };
 
-/// Number of workspaces that send asks.
+/// Number of workspaces that send requests.
 const WORKSPACES: usize = 10;
 /// Number of candidate upstreams.
 const CANDIDATES: usize = 12;
@@ -22,8 +25,8 @@
 const ROUNDS: u32 = 1_000_000;
 
 fn main() {
-    print_rate("ask and release, free slots", free_slots());
-    print_rate("ask and release, backlog of 10 workspaces", backlog());
+    print_rate("request and release, free slots", free_slots());
+    print_rate("request and release, backlog of 10 workspaces", backlog());
     print_rate("choose of 12, by wait", choices(false));
     print_rate("choose of 12, by prefix", choices(true));
 }
@@ -42,9 +45,9 @@
     })
 }
 
-fn new_asks() -> Vec<tc_policy::PermitRequest> {
+fn home_requests() -> Vec<HomePermitRequest> {
     (0..WORKSPACES)
-        .map(|i| tc_policy::PermitRequest {
+        .map(|i| HomePermitRequest {
             entry: "entry-1".into(),
             workspace: WorkspaceName::from(format!("workspace-{i}")),
             weight: 1,
@@ -76,14 +79,14 @@
     }
 }
 
-/// Measures one ask that is granted immediately, one release and one poll per round.
+/// Measures one request that is granted immediately, one release and one poll per round.
 fn free_slots() -> Duration {
-    let (mut home, asks) = (new_home(), new_asks());
+    let (mut home, requests) = (new_home(), home_requests());
     let mut now = MonoTime(1);
     let started = Instant::now();
     for round in 0..ROUNDS as usize {
         now = now.after(Duration::from_micros(10));
-        let verdict = home.request_permit(now, asks[round % WORKSPACES].clone());
+        let verdict = home.request_permit(now, requests[round % WORKSPACES].clone());
         let PermitDecision::Granted { permit, .. } = verdict else {
             panic!("a slot is free");
         };
@@ -93,14 +96,14 @@
     started.elapsed()
 }
 
-/// Measures one queued ask, one release and one poll that grants another ask per round.
+/// Measures one queued request, one release and one poll that grants another request per round.
 fn backlog() -> Duration {
-    let (mut home, asks) = (new_home(), new_asks());
+    let (mut home, requests) = (new_home(), home_requests());
     let mut now = MonoTime(1);
     let mut running = Vec::new();
     for round in 0..20 * WORKSPACES {
         if let PermitDecision::Granted { permit, .. } =
-            home.request_permit(now, asks[round % WORKSPACES].clone())
+            home.request_permit(now, requests[round % WORKSPACES].clone())
         {
             running.push(permit);
         }
@@ -111,7 +114,7 @@
         let oldest = running.swap_remove(0);
         home.release(now, &release(oldest));
         if let PermitDecision::Granted { permit, .. } =
-            home.request_permit(now, asks[round % WORKSPACES].clone())
+            home.request_permit(now, requests[round % WORKSPACES].clone())
         {
             running.push(permit);
         }
@@ -138,7 +141,7 @@
             distance_ms: (i % 4) as f64,
         })
         .collect();
-    let mut ask = PermitRequest {
+    let mut request = PermitRequest {
         request: "kl-a-1-1-1".into(),
         attempt: Attempt(0),
         workspace: "workspace-1".into(),
@@ -154,8 +157,8 @@
     let mut random = StdRng::seed_from_u64(1);
     let started = Instant::now();
     for round in 0..ROUNDS {
-        ask.prefix = with_prefix.then_some(u64::from(round));
-        black_box(choose_upstream(&candidates, &ask, &mut random));
+        request.prefix = with_prefix.then_some(u64::from(round));
+        black_box(choose_upstream(&candidates, &request, &mut random));
     }
     started.elapsed()
 }
--- a/crates/tc-policy/src/batch/dispatch.rs
+++ b/crates/tc-policy/src/batch/dispatch.rs
@@ -66,7 +66,7 @@
     /// Finds the smallest result of all waiting jobs, by domain.
     ///
     /// When result memory is the bottleneck, most upstreams are free but have no memory left on every event. Sorting
-    /// all jobs for each of them just to find that out took 12 ms per ask at a home with 100 upstreams and 1,000
+    /// all jobs for each of them just to find that out took 12 ms per request at a home with 100 upstreams and 1,000
     /// waiting jobs, so this check comes first.
     fn smallest_results(&self, now: MonoTime) -> SmallestResults<'_> {
         let mut smallest = SmallestResults::default();
--- a/crates/tc-policy/src/choice.rs
+++ b/crates/tc-policy/src/choice.rs
@@ -51,9 +51,9 @@
     pub why: &'static str,
 }
 
-/// Selects an upstream for `ask`, or returns `None` if no upstream is usable.
+/// Selects an upstream for `request`, or returns `None` if no upstream is usable.
 ///
-/// Upstreams that are leaving, have no home or are listed in `ask.excluded` are excluded, and ejected ones too while
+/// Upstreams that are leaving, have no home or are listed in `request.excluded` are excluded, and ejected ones too while
 /// others remain. A call with a prefix goes to the upstream that rendezvous hashing assigns to the prefix, unless that
 /// upstream is busier than the others. Any other call goes to the better of two random upstreams by wait and speed, and
 /// leaves the nearest failure domain only if the wait it saves exceeds the added distance.
@@ -63,17 +63,17 @@
 /// temporary slowdown.
 pub fn choose_upstream(
     candidates: &[UpstreamCandidate<'_>],
-    ask: &PermitRequest,
+    request: &PermitRequest,
     random: &mut impl rand::Rng,
 ) -> Option<UpstreamChoice> {
     let usable: Vec<usize> = (0..candidates.len())
-        .filter(|&i| is_usable(&candidates[i], ask))
+        .filter(|&i| is_usable(&candidates[i], request))
         .collect();
     let nearest = nearest_distance_ms(candidates, &usable)?;
     if usable.len() == 1 {
         return Some(choice(usable[0], "only one usable"));
     }
-    if ask.attempt.0 == 0 && random.random_ratio(1, EXPLORE_ONE_IN) {
+    if request.attempt.0 == 0 && random.random_ratio(1, EXPLORE_ONE_IN) {
         let near = within(candidates, &usable, nearest + PREFIX_EXTRA_DISTANCE_MS);
         return Some(choice(random_index(&near, random), "measured at random"));
     }
@@ -84,7 +84,7 @@
         .collect();
     let pool = if healthy.is_empty() { usable } else { healthy };
     let view = PoolView::new(candidates, &pool);
-    if let Some(prefix) = ask.prefix
+    if let Some(prefix) = request.prefix
         && let Some(index) = choose_by_prefix(&view, prefix)
     {
         return Some(choice(index, "holds the prefix"));
@@ -96,9 +96,9 @@
     UpstreamChoice { index, why }
 }
 
-fn is_usable(candidate: &UpstreamCandidate<'_>, ask: &PermitRequest) -> bool {
+fn is_usable(candidate: &UpstreamCandidate<'_>, request: &PermitRequest) -> bool {
     let state = candidate.state;
-    !candidate.leaving && state.home.is_some() && !ask.excluded.contains(&state.upstream.id)
+    !candidate.leaving && state.home.is_some() && !request.excluded.contains(&state.upstream.id)
 }
 
 fn is_ejected(candidate: &UpstreamCandidate<'_>) -> bool {
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -141,9 +141,9 @@
     }
 
     /// Selects an engine as the home of the service; returns `None` if no engine may get the request.
-    pub fn choose(&mut self, now: MonoTime, ask: &EngineRequest) -> Option<EngineChoice> {
+    pub fn choose(&mut self, now: MonoTime, request: &EngineRequest) -> Option<EngineChoice> {
         let cold_limit = self.cold_limit;
-        self.choose_among(now, ask, |_, engine| {
+        self.choose_among(now, request, |_, engine| {
             let is_warm_enough =
                 !engine.is_cold(now) || engine.is_within_cold_limit(now, cold_limit);
             is_warm_enough && engine.is_within_rate_limit(now)
@@ -154,30 +154,30 @@
     pub fn choose_without_home(
         &mut self,
         now: MonoTime,
-        ask: &EngineRequest,
+        request: &EngineRequest,
         may: impl Fn(&UpstreamId) -> bool,
     ) -> Option<EngineChoice> {
-        self.choose_among(now, ask, |id, engine| !engine.is_cold(now) && may(id))
+        self.choose_among(now, request, |id, engine| !engine.is_cold(now) && may(id))
     }
 
     fn choose_among(
         &mut self,
         now: MonoTime,
-        ask: &EngineRequest,
+        request: &EngineRequest,
         may: impl Fn(&UpstreamId, &Engine) -> bool,
     ) -> Option<EngineChoice> {
         self.drop_lost_runs(now);
-        let best = self.best_engine(now, ask, may)?;
+        let best = self.best_engine(now, request, may)?;
         let upstream = best.id.clone();
         let fetch_from = best.source.cloned();
         let run = Run {
             upstream: upstream.clone(),
-            parts: ask.prompt.parts.clone(),
+            parts: request.prompt.parts.clone(),
             prefill_tokens: best.prefill_tokens,
             expected: best.own_time,
             was_queued: best.is_queued,
             is_prefilled: false,
-            expires_at: now.after(ask.remaining + LOST_RUN_GRACE),
+            expires_at: now.after(request.remaining + LOST_RUN_GRACE),
         };
         Some(EngineChoice {
             upstream,
@@ -228,25 +228,27 @@
     fn best_engine<'a>(
         &'a self,
         now: MonoTime,
-        ask: &EngineRequest,
+        request: &EngineRequest,
         may: impl Fn(&UpstreamId, &Engine) -> bool,
     ) -> Option<EngineCost<'a>> {
         let candidates: Vec<(Availability, &UpstreamId, &Engine)> = self
             .engines
             .iter()
-            .filter(|(id, engine)| engine.ready && !ask.excluded.contains(id) && may(id, engine))
+            .filter(|(id, engine)| {
+                engine.ready && !request.excluded.contains(id) && may(id, engine)
+            })
             .map(|(id, engine)| (self.availability(now, engine), id, engine))
             .collect();
         let best_availability = candidates
             .iter()
             .map(|(availability, ..)| *availability)
             .min()?;
-        let sources = self.sources(now, &ask.prompt.parts);
+        let sources = self.sources(now, &request.prompt.parts);
         candidates
             .into_iter()
             .filter(|(availability, ..)| *availability == best_availability)
             .map(|(_, id, engine)| (id, engine))
-            .map(|(id, engine)| self.evaluate(now, ask, id, engine, &sources))
+            .map(|(id, engine)| self.evaluate(now, request, id, engine, &sources))
             .min_by_key(|option| (option.cost, option.tie_score))
     }
 
@@ -277,15 +279,15 @@
     fn evaluate<'a>(
         &self,
         now: MonoTime,
-        ask: &EngineRequest,
+        request: &EngineRequest,
         id: &'a UpstreamId,
         engine: &Engine,
         sources: &[(u32, &'a UpstreamId)],
     ) -> EngineCost<'a> {
-        let tokens = ask.prompt.tokens_in;
+        let tokens = request.prompt.tokens_in;
         let cached_here = engine
             .prefix_cache
-            .cached_tokens(&ask.prompt.parts)
+            .cached_tokens(&request.prompt.parts)
             .min(tokens);
         let source = sources.iter().find(|(fetchable, source)| {
             *source != id && *fetchable >= cached_here.saturating_add(MIN_FETCH_TOKENS)
@@ -300,7 +302,7 @@
             .times
             .estimate(tokens.saturating_sub(available))
             .saturating_sub(self.times.estimate(tokens - best_available.max(available)));
-        let cross_domain_bytes: u64 = ask
+        let cross_domain_bytes: u64 = request
             .inputs
             .iter()
             .filter(|(domain, _)| *domain != engine.domain)
@@ -311,7 +313,7 @@
             + reread_time.mul_f64(REREAD_WEIGHT)
             + FETCH_COST_PER_TOKEN * (available - cached_here.min(available))
             + CROSS_DOMAIN_COST_PER_MB.mul_f64(cross_domain_bytes as f64 / BYTES_PER_MB);
-        let key = ask.prompt.shared_prefix_id().unwrap_or_default();
+        let key = request.prompt.shared_prefix_id().unwrap_or_default();
         EngineCost {
             id,
             prefill_tokens,
--- a/crates/tc-policy/src/home/mod.rs
+++ b/crates/tc-policy/src/home/mod.rs
@@ -32,9 +32,9 @@
     pub first_permit: u64,
 }
 
-/// A request for a permit.
+/// A request to the home of an upstream for a permit to call it.
 #[derive(Clone, Debug)]
-pub struct PermitRequest {
+pub struct HomePermitRequest {
     /// The instance that will call the upstream.
     pub entry: InstanceId,
     /// The workspace that is charged.
--- a/crates/tc-policy/src/home/queue.rs
+++ b/crates/tc-policy/src/home/queue.rs
@@ -12,7 +12,7 @@
 use slotmap::SlotMap;
 use tc_protocol::{MonoTime, WorkspaceName};
 
-use super::{PermitRequest, concurrency::millis};
+use super::{HomePermitRequest, concurrency::millis};
 
 slotmap::new_key_type! {
     /// Key of a waiting request at one home.
@@ -54,7 +54,7 @@
 /// A waiting request.
 #[derive(Debug)]
 pub(super) struct QueuedRequest {
-    pub(super) request: PermitRequest,
+    pub(super) request: HomePermitRequest,
     pub(super) flow: FlowKey,
     pub(super) since: MonoTime,
     pub(super) slack_ends: MonoTime,
@@ -169,7 +169,7 @@
         &mut self,
         now: MonoTime,
         flow: FlowKey,
-        request: PermitRequest,
+        request: HomePermitRequest,
     ) -> QueuedRequestKey {
         let slack_ends = now.after(request.slack);
         let priority = request.priority;
@@ -374,7 +374,10 @@
     }
 
     /// Returns the waiting requests that match `wanted`.
-    pub(super) fn keys(&self, wanted: impl Fn(&PermitRequest) -> bool) -> Vec<QueuedRequestKey> {
+    pub(super) fn keys(
+        &self,
+        wanted: impl Fn(&HomePermitRequest) -> bool,
+    ) -> Vec<QueuedRequestKey> {
         self.requests
             .iter()
             .filter(|(_, w)| wanted(&w.request))
--- a/crates/tc-policy/src/home/state.rs
+++ b/crates/tc-policy/src/home/state.rs
@@ -5,7 +5,7 @@
 use tc_protocol::{Cost, Incarnation, MonoTime, Outcome, PermitId, RefusalReason, Release};
 
 use super::{
-    HeldPermit, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+    HeldPermit, HomeConfig, HomeEvent, HomePermitRequest, PermitDecision, QueuedRequestKey,
     concurrency::{Limiter, millis},
     foreign::ForeignLoad,
     health::{EndedCall, Health, HealthAction},
@@ -29,7 +29,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use tc_policy::{PermitDecision, Home, HomeConfig, PermitRequest};
+/// use tc_policy::{PermitDecision, Home, HomeConfig, HomePermitRequest};
 /// use tc_protocol::{Cost, Fingerprint, MonoTime};
 /// let mut home = Home::new(HomeConfig {
 ///     slots: 1,
@@ -37,7 +37,7 @@
 ///     grace: Duration::from_secs(1),
 ///     first_permit: 1,
 /// });
-/// let request = PermitRequest {
+/// let request = HomePermitRequest {
 ///     entry: "kl-a-1".into(),
 ///     workspace: "lintas".into(),
 ///     weight: 1,
@@ -95,7 +95,7 @@
     }
 
     /// Handles a request for a permit.
-    pub fn request_permit(&mut self, now: MonoTime, request: PermitRequest) -> PermitDecision {
+    pub fn request_permit(&mut self, now: MonoTime, request: HomePermitRequest) -> PermitDecision {
         self.advance(now);
         if self.is_leaving() {
             return redirect_or_refuse(&request, RefusalReason::NoUpstream, Duration::ZERO);
@@ -265,7 +265,7 @@
         }
     }
 
-    fn grant(&mut self, flow: FlowKey, request: &PermitRequest) -> (PermitId, Duration) {
+    fn grant(&mut self, flow: FlowKey, request: &HomePermitRequest) -> (PermitId, Duration) {
         let expires_in = request.run_for + self.grace;
         let permit = self.permits.grant(PermitState {
             entry: request.entry.clone(),
@@ -320,7 +320,7 @@
     }
 
     /// Estimates how long a new request would wait, based on the median service time.
-    fn expected_wait(&self, flow: FlowKey, request: &PermitRequest) -> Duration {
+    fn expected_wait(&self, flow: FlowKey, request: &HomePermitRequest) -> Duration {
         if self.health.is_ejected() {
             let probe = self.health.next_probe().unwrap_or(self.now);
             return probe.since(self.now).max(MIN_RETRY_AFTER);
@@ -391,7 +391,7 @@
 
 /// Redirects a request if it may be redirected and is not too late, and refuses it otherwise.
 fn redirect_or_refuse(
-    request: &PermitRequest,
+    request: &HomePermitRequest,
     reason: RefusalReason,
     wait: Duration,
 ) -> PermitDecision {
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -37,7 +37,7 @@
 pub use engines::{EngineCandidate, EnginePlanner};
 pub use estimate::{Estimators, SizeClass, StageEstimate};
 pub use home::{
-    HeldPermit, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+    HeldPermit, Home, HomeConfig, HomeEvent, HomePermitRequest, PermitDecision, QueuedRequestKey,
 };
 pub use limit::{Demand, LimitHome, Share, ShareBucket};
 pub use pick::{PickCandidate, PickPreference, pick_upstream};
--- a/crates/tc-policy/tests/chain/simulation.rs
+++ b/crates/tc-policy/tests/chain/simulation.rs
@@ -15,7 +15,7 @@
     load::{Random, RequestKind, SERVICES, UPSTREAMS, kinds, spec},
 };
 
-/// Number of instances that receive requests; each knows the homes only from the answers to its own asks.
+/// Number of instances that receive requests; each knows the homes only from the answers to its own requests.
 pub(crate) const INSTANCES: usize = 78;
 /// Latency of a message between an instance and a home.
 pub(crate) const NETWORK_LATENCY: Duration = Duration::from_millis(3);
--- a/crates/tc-policy/tests/choice.rs
+++ b/crates/tc-policy/tests/choice.rs
@@ -8,7 +8,7 @@
     Attempt, Cost, Fingerprint, PermitRequest, Upstream, UpstreamState, UpstreamSummary,
 };
 
-fn ask() -> PermitRequest {
+fn request() -> PermitRequest {
     PermitRequest {
         request: "kl-a-1-1-1".into(),
         // Not a first attempt, as those go to a random upstream now and then.
@@ -48,7 +48,7 @@
 }
 
 /// Returns how often each upstream is selected in 1,000 tries; distances in milliseconds by index.
-fn counts(states: &[UpstreamState], distances_ms: &[f64], ask: &PermitRequest) -> Vec<u32> {
+fn counts(states: &[UpstreamState], distances_ms: &[f64], request: &PermitRequest) -> Vec<u32> {
     let candidates: Vec<UpstreamCandidate<'_>> = states
         .iter()
         .zip(distances_ms.iter().cycle())
@@ -64,7 +64,7 @@
     let mut random = StdRng::seed_from_u64(1);
     let mut counts = vec![0; states.len()];
     for _ in 0..1_000 {
-        if let Some(choice) = choose_upstream(&candidates, ask, &mut random) {
+        if let Some(choice) = choose_upstream(&candidates, request, &mut random) {
             counts[choice.index] += 1;
         }
     }
@@ -83,8 +83,8 @@
     let table: [(&str, Change); 4] = [
         ("leaving", |state, _| state.leaving = true),
         ("without home", |state, _| state.home = None),
-        ("to avoid", |state, ask| {
-            ask.excluded.push(state.upstream.id.clone());
+        ("to avoid", |state, request| {
+            request.excluded.push(state.upstream.id.clone());
         }),
         ("ejected", |state, _| {
             state.summary = Some(UpstreamSummary {
@@ -95,18 +95,18 @@
     ];
     for (what, change) in table {
         for prefix in [None, Some(7)] {
-            let (mut states, mut ask) = (idle_states(3), ask());
-            ask.prefix = prefix;
-            change(&mut states[1], &mut ask);
-            let counts = counts(&states, &[0.0], &ask);
+            let (mut states, mut request) = (idle_states(3), request());
+            request.prefix = prefix;
+            change(&mut states[1], &mut request);
+            let counts = counts(&states, &[0.0], &request);
             assert_eq!(counts[1], 0, "{what}");
             assert_eq!(counts.iter().sum::<u32>(), 1_000, "{what}");
         }
-        let (mut states, mut ask) = (idle_states(2), ask());
+        let (mut states, mut request) = (idle_states(2), request());
         for state in &mut states {
-            change(state, &mut ask);
+            change(state, &mut request);
         }
-        let chosen: u32 = counts(&states, &[0.0], &ask).iter().sum();
+        let chosen: u32 = counts(&states, &[0.0], &request).iter().sum();
         let expected = if what == "ejected" { 1_000 } else { 0 };
         assert_eq!(chosen, expected, "all are {what}");
     }
@@ -146,7 +146,7 @@
     for (what, summary, expected) in table {
         let mut states = idle_states(4);
         states[2] = state(2, summary);
-        let counts = counts(&states, &[0.0], &ask());
+        let counts = counts(&states, &[0.0], &request());
         assert!(expected.contains(&counts[2]), "{what}: {counts:?}");
     }
 }
@@ -165,7 +165,7 @@
         for near in &mut states[..2] {
             near.summary = Some(UpstreamSummary { wait_ms, ..idle() });
         }
-        let counts = counts(&states, &[0.0, 0.0, distance_ms, distance_ms], &ask());
+        let counts = counts(&states, &[0.0, 0.0, distance_ms, distance_ms], &request());
         assert_eq!(
             counts[2] + counts[3],
             expected,
@@ -176,10 +176,10 @@
 
 #[test]
 fn prefix_stays_on_one_upstream_until_that_is_busier_than_others() {
-    let mut ask = ask();
-    ask.prefix = Some(42);
+    let mut request = request();
+    request.prefix = Some(42);
     let mut states = idle_states(6);
-    let first = counts(&states, &[0.0], &ask);
+    let first = counts(&states, &[0.0], &request);
     let holder = first
         .iter()
         .position(|&n| n == 1_000)
@@ -191,7 +191,7 @@
         ..idle()
     };
     states[holder].summary = Some(busy);
-    let second = counts(&states, &[0.0], &ask);
+    let second = counts(&states, &[0.0], &request);
     assert_eq!(second[holder], 0);
     assert!(
         second.contains(&1_000),
@@ -201,8 +201,8 @@
     states = idle_states(6);
     let mut used = [false; 6];
     for prefix in 0..100 {
-        ask.prefix = Some(prefix);
-        let counts = counts(&states, &[0.0], &ask);
+        request.prefix = Some(prefix);
+        let counts = counts(&states, &[0.0], &request);
         used[counts.iter().position(|&n| n == 1_000).expect("one holder")] = true;
     }
     assert_eq!(used, [true; 6]);
@@ -212,8 +212,8 @@
 /// its recovery is never measured.
 #[test]
 fn first_attempts_sometimes_measure_every_near_upstream() {
-    let mut ask = ask();
-    ask.attempt = Attempt(0);
+    let mut request = request();
+    request.attempt = Attempt(0);
     let mut states = idle_states(4);
     states[1].summary = Some(UpstreamSummary {
         ejected: true,
@@ -223,7 +223,7 @@
         service_ms: 5_000.0,
         ..idle()
     });
-    let counts = counts(&states, &[0.0, 0.0, 0.0, 20.0], &ask);
+    let counts = counts(&states, &[0.0, 0.0, 0.0, 20.0], &request);
     assert!((1..=20).contains(&counts[1]), "{counts:?}");
     assert!((1..=20).contains(&counts[2]), "{counts:?}");
     assert_eq!(counts[3], 0, "another region is not near");
@@ -247,7 +247,7 @@
                 distance_ms: 0.0,
             })
             .collect();
-        let choice = choose_upstream(&candidates, &ask(), &mut random).expect("all are usable");
+        let choice = choose_upstream(&candidates, &request(), &mut random).expect("all are usable");
         own[choice.index] += 1;
     }
     assert!(
--- a/crates/tc-policy/tests/cold.rs
+++ b/crates/tc-policy/tests/cold.rs
@@ -25,7 +25,7 @@
     ColdLimit::new(15.0, 1.5, 5.0)
 }
 
-fn ask(family: u64) -> EngineRequest {
+fn request(family: u64) -> EngineRequest {
     let parts = [(family, 6_300), (1_000 + family, 500)];
     EngineRequest {
         service: "model".into(),
@@ -86,7 +86,7 @@
         engine(1, MonoTime::default()),
     ]);
     let cold: UpstreamId = "e0".into();
-    let chosen = (0..200).filter_map(|family| planner.choose(start, &ask(family)));
+    let chosen = (0..200).filter_map(|family| planner.choose(start, &request(family)));
     let cold_count = chosen.filter(|choice| choice.upstream == cold).count();
     assert_eq!(cold_count as u32, limit().home_share());
 }
@@ -98,15 +98,15 @@
     let start = MonoTime::from_millis(10_000);
     let until = start.after(Duration::from_secs(3));
     let mut planner = home(&[engine(0, until), engine(1, until)]);
-    let chosen = (0..200).filter_map(|family| planner.choose(start, &ask(family)));
+    let chosen = (0..200).filter_map(|family| planner.choose(start, &request(family)));
     assert_eq!(chosen.count() as u32, 2 * limit().home_share());
-    assert!(planner.choose(start, &ask(0)).is_none());
-    let alone = planner.choose_without_home(start, &ask(0), |_| true);
+    assert!(planner.choose(start, &request(0)).is_none());
+    let alone = planner.choose_without_home(start, &request(0), |_| true);
     assert!(
         alone.is_none(),
         "without the home, cold engines are not chosen"
     );
-    assert!(planner.choose(until, &ask(0)).is_some());
+    assert!(planner.choose(until, &request(0)).is_some());
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let mut planner = EnginePlanner::new(SPEC);
     planner.set_engines(SPEC, &[engine(0, MonoTime::from_millis(60_000))]);
     let now = MonoTime::from_millis(1_000);
-    let chosen = (0..200).filter_map(|family| planner.choose(now, &ask(family)));
+    let chosen = (0..200).filter_map(|family| planner.choose(now, &request(family)));
     assert_eq!(chosen.count(), 200);
 }
 
@@ -167,7 +167,7 @@
     /// favour another engine.
     fn send_by_home(&mut self, which: usize, now: MonoTime, family: u8, delay_ms: u8) {
         let home = &mut self.homes[which];
-        if let Some(choice) = home.choose(now, &ask(u64::from(family))) {
+        if let Some(choice) = home.choose(now, &request(u64::from(family))) {
             home.record(now, choice.run, RunProgress::FirstEvent(READ));
             home.record(now, choice.run, RunProgress::Ended);
             let at = now.after(Duration::from_millis(delay_ms.into()));
@@ -184,7 +184,8 @@
             let recent = own.map_or(0, |(_, sends)| sends.count(now));
             recent == 0 && may_send_without_home(&me, members, id, limit().senders_without_home())
         };
-        let Some(choice) = planner.choose_without_home(now, &ask(u64::from(family)), may) else {
+        let Some(choice) = planner.choose_without_home(now, &request(u64::from(family)), may)
+        else {
             return;
         };
         let mut recent = RecentSends::default();
--- a/crates/tc-policy/tests/engines/choice.rs
+++ b/crates/tc-policy/tests/engines/choice.rs
@@ -3,13 +3,13 @@
 use tc_policy::EnginePlanner;
 use tc_protocol::routing::{EngineRequest, RunProgress};
 
-use crate::common::{ask, at, candidates, choose, id, ms, planner, read, spec, time_of};
+use crate::common::{at, candidates, choose, id, ms, planner, read, request, spec, time_of};
 
 #[test]
 fn prompts_go_to_the_free_engine_that_cached_their_shared_part() {
     let mut planner = planner(&["a", "a", "a"]);
-    let holder = read(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
-    let next = choose(&mut planner, at(200), &ask(&[(1, 5_000), (3, 500)]));
+    let holder = read(&mut planner, at(100), &request(&[(1, 5_000), (2, 500)]));
+    let next = choose(&mut planner, at(200), &request(&[(1, 5_000), (3, 500)]));
     assert_eq!(next.upstream, holder);
     assert_eq!(next.fetch_from, None);
 }
@@ -20,10 +20,10 @@
 #[test]
 fn busy_engine_is_avoided_and_its_cached_part_fetched() {
     let mut planner = planner(&["a", "a", "a"]);
-    let holder = read(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
-    let long = choose(&mut planner, at(200), &ask(&[(1, 5_000), (3, 40_000)]));
+    let holder = read(&mut planner, at(100), &request(&[(1, 5_000), (2, 500)]));
+    let long = choose(&mut planner, at(200), &request(&[(1, 5_000), (3, 40_000)]));
     assert_eq!(long.upstream, holder);
-    let next = choose(&mut planner, at(210), &ask(&[(1, 5_000), (4, 500)]));
+    let next = choose(&mut planner, at(210), &request(&[(1, 5_000), (4, 500)]));
     assert_ne!(next.upstream, holder);
     assert_eq!(next.fetch_from, Some(holder));
 }
@@ -31,8 +31,8 @@
 #[test]
 fn a_part_that_is_being_read_cannot_be_fetched_yet() {
     let mut planner = planner(&["a", "a"]);
-    let first = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
-    let mut other = ask(&[(1, 5_000), (3, 500)]);
+    let first = choose(&mut planner, at(100), &request(&[(1, 5_000), (2, 500)]));
+    let mut other = request(&[(1, 5_000), (3, 500)]);
     other.excluded = vec![first.upstream.clone()];
     assert_eq!(choose(&mut planner, at(110), &other).fetch_from, None);
     let mut planner = self::planner_after_first_event();
@@ -40,12 +40,12 @@
     assert!(again.fetch_from.is_some());
 }
 
-/// Returns a planner whose first engine has read a shared part, and an ask that must go to another engine.
+/// Returns a planner whose first engine has read a shared part, and a request that must go to another engine.
 fn planner_after_first_event() -> (EnginePlanner, EngineRequest) {
     let mut planner = planner(&["a", "a"]);
-    let first = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
+    let first = choose(&mut planner, at(100), &request(&[(1, 5_000), (2, 500)]));
     planner.record(at(190), first.run, RunProgress::FirstEvent(time_of(5_500)));
-    let mut other = ask(&[(1, 5_000), (3, 500)]);
+    let mut other = request(&[(1, 5_000), (3, 500)]);
     other.excluded = vec![first.upstream];
     (planner, other)
 }
@@ -61,32 +61,32 @@
     assert_eq!(choose(&mut planner, at(200), &other).fetch_from, None);
 
     let mut planner = self::planner(&["a", "a"]);
-    let failed = choose(&mut planner, at(100), &ask(&[(1, 5_000), (2, 500)]));
+    let failed = choose(&mut planner, at(100), &request(&[(1, 5_000), (2, 500)]));
     planner.record(at(150), failed.run, RunProgress::Failed);
-    let next = choose(&mut planner, at(5_000), &ask(&[(1, 5_000), (3, 500)]));
+    let next = choose(&mut planner, at(5_000), &request(&[(1, 5_000), (3, 500)]));
     assert_eq!(next.fetch_from, None);
 }
 
 #[test]
 fn failed_engine_backs_off_while_there_is_another() {
     let mut planner = planner(&["a", "a"]);
-    let failed = choose(&mut planner, at(100), &ask(&[(1, 500)]));
+    let failed = choose(&mut planner, at(100), &request(&[(1, 500)]));
     planner.record(at(110), failed.run, RunProgress::Failed);
     for part in 0..6 {
-        let choice = choose(&mut planner, at(120), &ask(&[(10 + part, 500)]));
+        let choice = choose(&mut planner, at(120), &request(&[(10 + part, 500)]));
         assert_ne!(choice.upstream, failed.upstream);
     }
     planner.set_engines(spec(), &[]);
-    assert_eq!(planner.choose(at(120), &ask(&[(30, 500)])), None);
+    assert_eq!(planner.choose(at(120), &request(&[(30, 500)])), None);
 }
 
 #[test]
 fn large_inputs_decide_between_engines_that_are_equally_free() {
     let mut planner = planner(&["a", "b", "c"]);
     for part in 0..9 {
-        let mut ask = ask(&[(100 + part, 2_000)]);
-        ask.inputs = vec![("b".into(), 2_000_000)];
-        let choice = choose(&mut planner, at(100 + part * 1_000), &ask);
+        let mut request = request(&[(100 + part, 2_000)]);
+        request.inputs = vec![("b".into(), 2_000_000)];
+        let choice = choose(&mut planner, at(100 + part * 1_000), &request);
         assert_eq!(choice.upstream, id(1));
         let run = choice.run;
         let read = at(150 + part * 1_000);
@@ -100,12 +100,12 @@
     let mut planner = planner(&["a", "a"]);
     let mut chosen = std::collections::HashMap::new();
     for part in 0..16 {
-        let choice = choose(&mut planner, at(100), &ask(&[(50 + part, 100)]));
+        let choice = choose(&mut planner, at(100), &request(&[(50 + part, 100)]));
         *chosen.entry(choice.upstream).or_insert(0) += 1;
     }
     assert_eq!(chosen.values().max(), Some(&8), "{chosen:?}");
     assert!(
-        planner.choose(at(100), &ask(&[(99, 100)])).is_some(),
+        planner.choose(at(100), &request(&[(99, 100)])).is_some(),
         "a full engine refuses by itself"
     );
 }
@@ -113,9 +113,9 @@
 #[test]
 fn runs_without_news_expire() {
     let mut planner = planner(&["a"]);
-    choose(&mut planner, at(100), &ask(&[(1, 500)]));
+    choose(&mut planner, at(100), &request(&[(1, 500)]));
     assert_eq!(planner.size(), (1, 1));
-    let last = choose(&mut planner, at(12_000), &ask(&[(2, 500)]));
+    let last = choose(&mut planner, at(12_000), &request(&[(2, 500)]));
     assert_eq!(planner.size(), (1, 1));
     planner.record(at(12_100), last.run, RunProgress::Ended);
     planner.record(at(12_100), last.run, RunProgress::Ended);
--- a/crates/tc-policy/tests/engines/common.rs
+++ b/crates/tc-policy/tests/engines/common.rs
@@ -47,7 +47,7 @@
     planner.set_engines(spec(), &candidates(domains));
     for round in 0..20 {
         let tokens = if round % 2 == 0 { 600 } else { 6_000 };
-        let choice = choose(&mut planner, at(0), &ask(&[(1_000 + round, tokens)]));
+        let choice = choose(&mut planner, at(0), &request(&[(1_000 + round, tokens)]));
         planner.record(at(0), choice.run, RunProgress::FirstEvent(time_of(tokens)));
         planner.record(at(0), choice.run, RunProgress::Ended);
     }
@@ -58,8 +58,8 @@
     ms(20 + u64::from(tokens / TOKENS_PER_MS))
 }
 
-/// Returns an ask for a prompt of these parts, given as (identifier, tokens).
-pub(crate) fn ask(parts: &[(u64, u32)]) -> EngineRequest {
+/// Returns a request for a prompt of these parts, given as (identifier, tokens).
+pub(crate) fn request(parts: &[(u64, u32)]) -> EngineRequest {
     EngineRequest {
         service: "model".into(),
         prompt: Prompt {
@@ -83,15 +83,19 @@
 pub(crate) fn choose(
     planner: &mut EnginePlanner,
     now: MonoTime,
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> EngineChoice {
-    planner.choose(now, ask).expect("there are engines")
+    planner.choose(now, request).expect("there are engines")
 }
 
 /// Runs a prompt to its end and returns the engine that read it.
-pub(crate) fn read(planner: &mut EnginePlanner, now: MonoTime, ask: &EngineRequest) -> UpstreamId {
-    let choice = choose(planner, now, ask);
-    let took = time_of(ask.prompt.tokens_in);
+pub(crate) fn read(
+    planner: &mut EnginePlanner,
+    now: MonoTime,
+    request: &EngineRequest,
+) -> UpstreamId {
+    let choice = choose(planner, now, request);
+    let took = time_of(request.prompt.tokens_in);
     planner.record(now, choice.run, RunProgress::FirstEvent(took));
     planner.record(now, choice.run, RunProgress::Ended);
     choice.upstream
--- a/crates/tc-policy/tests/engines/fuzz.rs
+++ b/crates/tc-policy/tests/engines/fuzz.rs
@@ -6,7 +6,7 @@
 use tc_policy::EnginePlanner;
 use tc_protocol::{UpstreamId, routing::RunProgress};
 
-use crate::common::{ask, at, candidates, ms, spec};
+use crate::common::{at, candidates, ms, request, spec};
 
 const DOMAINS: [&str; 4] = ["a", "a", "b", "c"];
 
@@ -29,7 +29,7 @@
 }
 
 /// Guards against requests that go to an engine that left or was already tried, and engines that count as full for
-/// good, because the run and engine counts are wrong: asks in any order, news that arrive late, twice or never, and
+/// good, because the run and engine counts are wrong: requests in any order, news that arrive late, twice or never, and
 /// engines that leave and return.
 #[test]
 fn choices_are_listed_engines_and_counts_return_to_zero() {
@@ -47,23 +47,23 @@
                     cross_domain,
                     except,
                 } => {
-                    let mut ask = ask(&[
+                    let mut request = request(&[
                         (u64::from(family % 8), u32::from(family) * 20),
                         (u64::from(own) + 1_000, u32::from(own)),
                     ]);
-                    ask.inputs = vec![(
+                    request.inputs = vec![(
                         DOMAINS[usize::from(cross_domain % 4)].into(),
                         u64::from(cross_domain) << 14,
                     )];
-                    ask.excluded = vec![all[usize::from(except % 4)].id.clone()];
-                    let choice = planner.choose(at(now), &ask);
+                    request.excluded = vec![all[usize::from(except % 4)].id.clone()];
+                    let choice = planner.choose(at(now), &request);
                     let is_available = listed
                         .iter()
-                        .any(|engine| !ask.excluded.contains(&engine.id));
+                        .any(|engine| !request.excluded.contains(&engine.id));
                     assert_eq!(choice.is_some(), is_available);
                     let Some(choice) = choice else { continue };
                     assert!(listed.iter().any(|engine| engine.id == choice.upstream));
-                    assert!(!ask.excluded.contains(&choice.upstream));
+                    assert!(!request.excluded.contains(&choice.upstream));
                     assert_ne!(choice.fetch_from.as_ref(), Some(&choice.upstream));
                     if let Some(source) = &choice.fetch_from {
                         assert!(listed.iter().any(|engine| engine.id == *source));
@@ -105,7 +105,7 @@
         }
         planner.set_engines(spec(), &all);
         // Later than any run can last.
-        planner.choose(at(now + 20_000), &ask(&[(1, 10)]));
+        planner.choose(at(now + 20_000), &request(&[(1, 10)]));
         assert_eq!(planner.size(), (1, 4));
     });
 }
--- a/crates/tc-policy/tests/engines/load.rs
+++ b/crates/tc-policy/tests/engines/load.rs
@@ -4,7 +4,7 @@
 
 use tc_protocol::{UpstreamId, routing::RunProgress};
 
-use crate::common::{TOKENS_PER_MS, ask, at, choose, ms, planner};
+use crate::common::{TOKENS_PER_MS, at, choose, ms, planner, request};
 
 /// Guards against the longest tenth of the prompts meeting their deadline only half as often as the others, because
 /// prompts queue at the engine that has their shared part cached while other engines are idle. Nine engines read 60
@@ -36,7 +36,7 @@
         let choice = choose(
             &mut planner,
             at(now),
-            &ask(&[(family, shared), (10_000 + number, own as u32)]),
+            &request(&[(family, shared), (10_000 + number, own as u32)]),
         );
         let here = cached.contains_key(&(choice.upstream.clone(), family));
         let fetched = choice
--- a/crates/tc-policy/tests/fairness.rs
+++ b/crates/tc-policy/tests/fairness.rs
@@ -142,7 +142,7 @@
     );
 }
 
-fn patient_request(workspace: &str) -> tc_policy::PermitRequest {
+fn patient_request(workspace: &str) -> tc_policy::HomePermitRequest {
     let mut new = request(workspace);
     new.slack = ms(60_000);
     new
--- a/crates/tc-policy/tests/home_fuzz/oracle.rs
+++ b/crates/tc-policy/tests/home_fuzz/oracle.rs
@@ -6,7 +6,7 @@
 };
 
 use tc_policy::{
-    HeldPermit, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+    HeldPermit, Home, HomeConfig, HomeEvent, HomePermitRequest, PermitDecision, QueuedRequestKey,
 };
 use tc_protocol::{
     Fingerprint, Incarnation, InstanceId, MonoTime, Outcome, PermitId, RefusalReason, Release,
@@ -183,7 +183,7 @@
         assert!(self.home.release(self.now, &release).is_none());
     }
 
-    fn request_permit(&mut self, new: PermitRequest, workspace: &'static str) {
+    fn request_permit(&mut self, new: HomePermitRequest, workspace: &'static str) {
         let waiter = WaitingRequest {
             entry: new.entry.clone(),
             workspace,
--- a/crates/tc-policy/tests/memory.rs
+++ b/crates/tc-policy/tests/memory.rs
@@ -6,8 +6,8 @@
 use tc_policy::{PermitDecision, Suspects};
 use tc_protocol::{Fingerprint, Incarnation, MonoTime};
 
-/// Guards against memory that grows with the number of requests served, because state per permit, ask or workspace is
-/// not released: a million asks and releases from workspaces and entries that come and go.
+/// Guards against memory that grows with the number of requests served, because state per permit, request or workspace
+/// is not released: a million requests and releases from workspaces and entries that come and go.
 #[test]
 fn home_memory_is_bounded_over_a_million_cycles() {
     let mut home = home(4);
--- a/crates/tc-policy/tests/support/mod.rs
+++ b/crates/tc-policy/tests/support/mod.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{Home, HomeConfig, PermitDecision, PermitRequest};
+use tc_policy::{Home, HomeConfig, HomePermitRequest, PermitDecision};
 use tc_protocol::{
     Cost, Fingerprint, Incarnation, Member, MemberState, MonoTime, Outcome, PermitId, Release,
     RunState,
@@ -46,8 +46,8 @@
     })
 }
 
-pub fn request(workspace: &str) -> PermitRequest {
-    PermitRequest {
+pub fn request(workspace: &str) -> HomePermitRequest {
+    HomePermitRequest {
         entry: "entry-1".into(),
         workspace: workspace.into(),
         weight: 1,
@@ -84,7 +84,7 @@
 
 /// Returns the permit of a request that must be granted immediately.
 #[track_caller]
-pub fn granted(home: &mut Home, now: MonoTime, request: PermitRequest) -> PermitId {
+pub fn granted(home: &mut Home, now: MonoTime, request: HomePermitRequest) -> PermitId {
     match home.request_permit(now, request) {
         PermitDecision::Granted { permit, .. } => permit,
         other => panic!("not granted: {other:?}"),
--- a/crates/tc-policy/tests/upstream_limit/simulation.rs
+++ b/crates/tc-policy/tests/upstream_limit/simulation.rs
@@ -24,7 +24,7 @@
 const STEP: Duration = Duration::from_millis(10);
 const GOSSIP_EVERY: Duration = Duration::from_millis(200);
 const LIMITS_PER_DATAGRAM: usize = 4;
-const LIMITS_PER_ASK: usize = 32;
+const LIMITS_PER_REQUEST: usize = 32;
 const REPORT_DELAY: Duration = Duration::from_millis(10);
 
 /// How the fleet limits requests to the upstream.
@@ -317,14 +317,16 @@
     }
 
     fn send_through_home(&mut self, sender: usize) -> Option<Permission> {
-        let (now, ask) = (self.now, ask());
+        let (now, request) = (self.now, request());
         let home = self.instances[sender].home;
         if !self.is_silent(home) {
-            let limits = self.instances[sender].known.in_force(now, LIMITS_PER_ASK);
+            let limits = self.instances[sender]
+                .known
+                .in_force(now, LIMITS_PER_REQUEST);
             self.receive(home, &limits);
             let instance = &mut self.instances[home];
             instance.update_planner_limits(now);
-            let choice = instance.planner.choose(now, &ask)?;
+            let choice = instance.planner.choose(now, &request)?;
             let run = choice.run;
             if let Some(news) = instance.known.news_of(now, &choice.upstream) {
                 self.receive(sender, &[news]);
@@ -340,7 +342,7 @@
             &instance.member.id,
         );
         let uncoordinated = std::cell::RefCell::new(uncoordinated);
-        let choice = instance.planner.choose_without_home(now, &ask, |id| {
+        let choice = instance.planner.choose_without_home(now, &request, |id| {
             known.get(id).is_none_or(|limit| {
                 let share = UncoordinatedShare::with_home_unreachable(limit);
                 uncoordinated
@@ -387,7 +389,7 @@
     }
 }
 
-fn ask() -> EngineRequest {
+fn request() -> EngineRequest {
     EngineRequest {
         service: "model".into(),
         prompt: Prompt {
