--- a/crates/tc-gateway/src/cold.rs
+++ b/crates/tc-gateway/src/cold.rs
@@ -6,7 +6,7 @@
 };
 
 use tc_fleet::Mesh;
-use tc_policy::{ColdLimit, RecentSends, may_send_without_home};
+use tc_policy::{ColdLimit, RecentSends, may_send_uncoordinated};
 use tc_protocol::{
     MonoTime, UpstreamId,
     routing::{RegisteredUpstream, RoutedService},
@@ -51,7 +51,7 @@
         };
         let is_cold = upstream.cold_until > MonoTime::now();
         if service.engine.is_some() {
-            return !is_cold && self.has_share(mesh, &upstream.id, limit.senders_without_home());
+            return !is_cold && self.has_share(mesh, &upstream.id, limit.uncoordinated_senders());
         }
         !is_cold || self.has_share(mesh, &upstream.id, limit.total())
     }
@@ -63,7 +63,7 @@
             .lock()
             .get(upstream)
             .map_or(0, |sends| sends.count(now));
-        recent == 0 && may_send_without_home(&mesh.me().id, &mesh.members(), upstream, most)
+        recent == 0 && may_send_uncoordinated(&mesh.me().id, &mesh.members(), upstream, most)
     }
 
     /// Counts a request that this instance sends by itself.
--- a/crates/tc-gateway/src/engines/homes.rs
+++ b/crates/tc-gateway/src/engines/homes.rs
@@ -60,11 +60,11 @@
         let service = config.service(ask.service.as_str())?;
         let limit = self.cold.limit(service);
         let may = |id: &UpstreamId| {
-            limit.is_none_or(|limit| self.cold.has_share(mesh, id, limit.senders_without_home()))
+            limit.is_none_or(|limit| self.cold.has_share(mesh, id, limit.uncoordinated_senders()))
                 && self.limits.may_send_beside_home(mesh, id)
         };
         let choice = self.choose_by(ask, |planner| {
-            planner.choose_without_home(MonoTime::now(), ask, may)
+            planner.choose_uncoordinated(MonoTime::now(), ask, may)
         })?;
         self.cold.note(service, &choice.upstream);
         self.limits.record(&choice.upstream);
--- a/crates/tc-policy/src/cold.rs
+++ b/crates/tc-policy/src/cold.rs
@@ -25,7 +25,7 @@
 /// ```
 /// use tc_policy::ColdLimit;
 /// let limit = ColdLimit::new(15.0, 1.5, 5.0);
-/// assert_eq!((limit.total(), limit.home_share(), limit.senders_without_home()), (27, 9, 9));
+/// assert_eq!((limit.total(), limit.home_share(), limit.uncoordinated_senders()), (27, 9, 9));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdLimit {
@@ -59,12 +59,12 @@
     /// yet. Beyond it, upstreams that received fewer requests are preferred.
     #[must_use]
     pub fn home_share_if_warm(self) -> u32 {
-        self.total - self.senders_without_home()
+        self.total - self.uncoordinated_senders()
     }
 
-    /// Returns how many instances may send one request per second each without the home while it does not answer.
+    /// Returns how many instances may send one uncoordinated request per second each while the home does not answer.
     #[must_use]
-    pub const fn senders_without_home(self) -> u32 {
+    pub const fn uncoordinated_senders(self) -> u32 {
         self.total / SHARES
     }
 }
@@ -112,7 +112,7 @@
 /// Instances with the same member list agree on the selection. Each upstream has a different one, so that every
 /// upstream is reachable through some instances.
 #[must_use]
-pub fn may_send_without_home(
+pub fn may_send_uncoordinated(
     me: &InstanceId,
     members: &[Member],
     upstream: &UpstreamId,
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -151,7 +151,7 @@
     }
 
     /// Selects an engine for an instance that cannot reach the home, among the warm ones that `may` allows.
-    pub fn choose_without_home(
+    pub fn choose_uncoordinated(
         &mut self,
         now: MonoTime,
         request: &EngineRequest,
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -33,7 +33,7 @@
 };
 pub use budget::ExtraCallBudget;
 pub use choice::{UpstreamCandidate, UpstreamChoice, choose_upstream};
-pub use cold::{ColdLimit, RecentSends, may_send_without_home};
+pub use cold::{ColdLimit, RecentSends, may_send_uncoordinated};
 pub use engines::{EngineCandidate, EnginePlanner};
 pub use estimate::{Estimators, SizeClass, StageEstimate};
 pub use home::{
--- a/crates/tc-policy/src/upstream_limit/uncoordinated.rs
+++ b/crates/tc-policy/src/upstream_limit/uncoordinated.rs
@@ -1,11 +1,11 @@
-//! Limits sends that a home did not grant.
+//! Limits uncoordinated sends: those that no home granted.
 
 use std::collections::HashMap;
 
 use tc_protocol::{InstanceId, Member, MonoTime, UpstreamId, routing::RateLimit};
 
 use super::pacer::{SendPacer, paced_rate};
-use crate::may_send_without_home;
+use crate::may_send_uncoordinated;
 
 /// Part of the limit for instances that cannot reach the home. The home may still be granting sends at the full limit.
 const PART_BESIDE_HOME: f64 = 0.25;
@@ -72,7 +72,7 @@
             .entry(upstream.clone())
             .or_insert_with(|| SendPacer::new(now, share.per_s_each));
         pacer.set_rate(now, share.per_s_each);
-        pacer.may_send(now) && may_send_without_home(me, members, upstream, share.senders)
+        pacer.may_send(now) && may_send_uncoordinated(me, members, upstream, share.senders)
     }
 
     /// Records a send.
--- a/crates/tc-policy/tests/cold.rs
+++ b/crates/tc-policy/tests/cold.rs
@@ -5,7 +5,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bolero::{TypeGenerator, generator::produce};
-use tc_policy::{ColdLimit, EngineCandidate, EnginePlanner, RecentSends, may_send_without_home};
+use tc_policy::{ColdLimit, EngineCandidate, EnginePlanner, RecentSends, may_send_uncoordinated};
 use tc_protocol::{
     InstanceId, Member, MonoTime, UpstreamId,
     routing::{EngineRequest, EngineSpec, Prompt, PromptPart, RunProgress},
@@ -101,7 +101,7 @@
     let chosen = (0..200).filter_map(|family| planner.choose(start, &request(family)));
     assert_eq!(chosen.count() as u32, 2 * limit().home_share());
     assert!(planner.choose(start, &request(0)).is_none());
-    let alone = planner.choose_without_home(start, &request(0), |_| true);
+    let alone = planner.choose_uncoordinated(start, &request(0), |_| true);
     assert!(
         alone.is_none(),
         "without the home, cold engines are not chosen"
@@ -131,7 +131,7 @@
         delay_ms: u8,
     },
     /// An instance that cannot reach a home chooses.
-    WithoutHome {
+    Uncoordinated {
         who: u8,
         family: u8,
         delay_ms: u8,
@@ -147,7 +147,7 @@
 struct Fleet {
     homes: [EnginePlanner; 2],
     members: Vec<Member>,
-    without_home: Vec<(EnginePlanner, Vec<(UpstreamId, RecentSends)>)>,
+    uncoordinated: Vec<(EnginePlanner, Vec<(UpstreamId, RecentSends)>)>,
     arrivals: Vec<(UpstreamId, MonoTime)>,
 }
 
@@ -156,7 +156,7 @@
         Self {
             homes: [home(engines), home(engines)],
             members: members(),
-            without_home: (0..INSTANCES)
+            uncoordinated: (0..INSTANCES)
                 .map(|_| (home(engines), Vec::new()))
                 .collect(),
             arrivals: Vec::new(),
@@ -175,16 +175,16 @@
         }
     }
 
-    fn send_without_home(&mut self, who: usize, now: MonoTime, family: u8, delay_ms: u8) {
+    fn send_uncoordinated(&mut self, who: usize, now: MonoTime, family: u8, delay_ms: u8) {
         let me: InstanceId = self.members[who].id.clone();
         let members = &self.members;
-        let (planner, sends) = &mut self.without_home[who];
+        let (planner, sends) = &mut self.uncoordinated[who];
         let may = |id: &UpstreamId| {
             let own = sends.iter().find(|(of, _)| of == id);
             let recent = own.map_or(0, |(_, sends)| sends.count(now));
-            recent == 0 && may_send_without_home(&me, members, id, limit().senders_without_home())
+            recent == 0 && may_send_uncoordinated(&me, members, id, limit().uncoordinated_senders())
         };
-        let Some(choice) = planner.choose_without_home(now, &request(u64::from(family)), may)
+        let Some(choice) = planner.choose_uncoordinated(now, &request(u64::from(family)), may)
         else {
             return;
         };
@@ -221,12 +221,12 @@
             match op {
                 Op::FirstHome { family, delay_ms } => fleet.send_by_home(0, now, family, delay_ms),
                 Op::SecondHome { family, delay_ms } => fleet.send_by_home(1, now, family, delay_ms),
-                Op::WithoutHome {
+                Op::Uncoordinated {
                     who,
                     family,
                     delay_ms,
                 } => {
-                    fleet.send_without_home(usize::from(who) % INSTANCES, now, family, delay_ms);
+                    fleet.send_uncoordinated(usize::from(who) % INSTANCES, now, family, delay_ms);
                 }
                 // Only once: three homes within a second would require two moves in that second.
                 Op::SecondHomeRestarts if !has_restarted => {
@@ -257,7 +257,7 @@
     for step in 0..2_000_u64 {
         let now = start.after(Duration::from_micros(1_100 * step));
         if step % 3 == 0 {
-            fleet.send_without_home((step % INSTANCES as u64) as usize, now, 7, 0);
+            fleet.send_uncoordinated((step % INSTANCES as u64) as usize, now, 7, 0);
         } else {
             fleet.send_by_home(0, now, 7, (step % 200) as u8);
         }
@@ -274,7 +274,7 @@
     let members = members();
     let who = |upstream: &str| -> Vec<&InstanceId> {
         let ids = members.iter().map(|member| &member.id);
-        ids.filter(|id| may_send_without_home(id, &members, &upstream.into(), 9))
+        ids.filter(|id| may_send_uncoordinated(id, &members, &upstream.into(), 9))
             .collect()
     };
     assert_eq!(who("e1").len(), 9);
--- a/crates/tc-policy/tests/upstream_limit/simulation.rs
+++ b/crates/tc-policy/tests/upstream_limit/simulation.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Permission {
     Granted(Grant),
-    Ungranted,
+    Uncoordinated,
 }
 
 pub(crate) struct Instance {
@@ -305,7 +305,7 @@
             Strategy::HomePaced => self.send_through_home(sender),
             _ => self
                 .send_uncoordinated(sender)
-                .then_some(Permission::Ungranted),
+                .then_some(Permission::Uncoordinated),
         };
         match sent {
             Some(permission) => {
@@ -342,7 +342,7 @@
             &instance.member.id,
         );
         let uncoordinated = std::cell::RefCell::new(uncoordinated);
-        let choice = instance.planner.choose_without_home(now, &request, |id| {
+        let choice = instance.planner.choose_uncoordinated(now, &request, |id| {
             known.get(id).is_none_or(|limit| {
                 let share = UncoordinatedShare::with_home_unreachable(limit);
                 uncoordinated
@@ -352,7 +352,7 @@
         })?;
         instance.planner.record(now, choice.run, RunProgress::Ended);
         instance.uncoordinated.record(now, &choice.upstream);
-        Some(Permission::Ungranted)
+        Some(Permission::Uncoordinated)
     }
 
     fn send_uncoordinated(&mut self, sender: usize) -> bool {
