--- a/crates/tc-fleet/src/mesh/limits.rs
+++ b/crates/tc-fleet/src/mesh/limits.rs
@@ -43,7 +43,7 @@
             }
         };
         let mut known = self.lock();
-        if let Some(change) = known.observe(upstream, limit, MonoTime::now()) {
+        if let Some(change) = known.record(upstream, limit, MonoTime::now()) {
             log_change(&known, upstream, change, "answer");
         }
     }
@@ -77,7 +77,7 @@
         let mut known = self.lock();
         for news in news {
             let at = now.before(news.age);
-            if let Some(change) = known.observe(&news.upstream, news.limit, at) {
+            if let Some(change) = known.record(&news.upstream, news.limit, at) {
                 log_change(&known, &news.upstream, change, "instance");
             }
         }
@@ -98,13 +98,13 @@
 
     /// Returns limits for an ask, which the home goes by even if it has just started.
     pub(super) fn to_ask(&self) -> Vec<wire::UpstreamLimit> {
-        let news = self.lock().in_force(MonoTime::now(), LIMITS_PER_ASK);
+        let news = self.lock().active(MonoTime::now(), LIMITS_PER_ASK);
         news.iter().map(limit_to_wire).collect()
     }
 
     /// Returns the limit of an engine that an asker is to use.
     pub(super) fn to_asker(&self, upstream: &UpstreamId) -> Option<wire::UpstreamLimit> {
-        let news = self.lock().news_of(MonoTime::now(), upstream);
+        let news = self.lock().update_of(MonoTime::now(), upstream);
         news.as_ref().map(limit_to_wire)
     }
 
--- a/crates/tc-fleet/src/orders/desk.rs
+++ b/crates/tc-fleet/src/orders/desk.rs
@@ -87,7 +87,7 @@
         let guard = guards
             .entry(upstream.clone())
             .or_insert_with(|| OrderGuard::new(plan_fence));
-        guard.observe(plan_fence);
+        guard.record(plan_fence);
         guard.check(fence).map_err(|stale| stale.highest)
     }
 
--- a/crates/tc-membership/src/lib.rs
+++ b/crates/tc-membership/src/lib.rs
@@ -11,7 +11,7 @@
 mod pause;
 mod placement;
 mod plan;
-mod rank;
+mod rendezvous;
 mod shuffle_shard;
 mod store_source;
 mod view_sync;
--- a/crates/tc-membership/src/order.rs
+++ b/crates/tc-membership/src/order.rs
@@ -33,7 +33,7 @@
     }
 
     /// Records a fencing token seen in the plan.
-    pub fn observe(&mut self, fence: u64) {
+    pub fn record(&mut self, fence: u64) {
         self.highest = self.highest.max(fence);
     }
 
--- a/crates/tc-membership/src/placement.rs
+++ b/crates/tc-membership/src/placement.rs
@@ -3,7 +3,7 @@
 
 use tc_protocol::{FailureDomain, Member, Region};
 
-use crate::rank::{rank, usable};
+use crate::rendezvous::{rendezvous_score, usable};
 
 /// Members with less than `1 / WEAK_DIVISOR` of the greatest strength are weak: a home that moved
 /// there would take four times as long for each call.
@@ -75,12 +75,13 @@
 /// Mbit/s.
 pub(crate) fn weighted_score(key: &str, member: &Member) -> f64 {
     // Uniformly distributed between 0 and 1, both exclusive.
-    let uniform = (rank(HOME_ROLE, key, member.id.as_str()) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+    let uniform = (rendezvous_score(HOME_ROLE, key, member.id.as_str()) as f64 + 1.0)
+        / (u64::MAX as f64 + 2.0);
     f64::from(member.strength.max(1)) / -uniform.min(1.0 - f64::EPSILON).ln()
 }
 
 /// Returns the `count` instances of a failure domain that watch the platform for new
-/// configurations, highest rank first.
+/// configurations, highest score first.
 ///
 /// ```
 /// use tc_membership::config_watchers;
@@ -96,7 +97,11 @@
     ranked.retain(|m| m.failure_domain == *domain);
     ranked.sort_by_key(|m| {
         (
-            std::cmp::Reverse(rank(WATCHER_ROLE, domain.as_str(), m.id.as_str())),
+            std::cmp::Reverse(rendezvous_score(
+                WATCHER_ROLE,
+                domain.as_str(),
+                m.id.as_str(),
+            )),
             &m.id,
         )
     });
--- a/crates/tc-membership/src/rank.rs
+++ b/crates/tc-membership/src/rendezvous.rs
@@ -3,10 +3,10 @@
 use tc_protocol::{Member, MemberState};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Returns the rank of `candidate` for `key` in `role`. The highest rank wins.
+/// Returns the score of `candidate` for `key` in `role`. The highest score wins.
 ///
 /// Each part is prefixed with its length, so that no two different triples hash the same bytes.
-pub(crate) fn rank(role: &str, key: &str, candidate: &str) -> u64 {
+pub(crate) fn rendezvous_score(role: &str, key: &str, candidate: &str) -> u64 {
     let mut hasher = Xxh3::new();
     for part in [role, key, candidate] {
         hasher.update(&(part.len() as u64).to_le_bytes());
--- a/crates/tc-membership/src/shuffle_shard.rs
+++ b/crates/tc-membership/src/shuffle_shard.rs
@@ -7,7 +7,7 @@
 
 use tc_protocol::{FailureDomain, Member, WorkspaceName};
 
-use crate::rank::{rank, usable};
+use crate::rendezvous::{rendezvous_score, usable};
 
 const INSTANCE_ROLE: &str = "shard-instance";
 const DOMAIN_ROLE: &str = "shard-domain";
@@ -52,15 +52,23 @@
     shard
 }
 
-/// Returns the usable members of each failure domain by rank, with the domains ordered by rank.
+/// Returns the usable members of each failure domain by score, with the domains ordered by score.
 fn by_domain<'a>(workspace: &WorkspaceName, members: &'a [Member]) -> Vec<VecDeque<&'a Member>> {
     let key = workspace.as_str();
     let mut ranked = usable(members);
-    ranked.sort_by_cached_key(|m| (Reverse(rank(INSTANCE_ROLE, key, m.id.as_str())), &m.id));
+    ranked.sort_by_cached_key(|m| {
+        (
+            Reverse(rendezvous_score(INSTANCE_ROLE, key, m.id.as_str())),
+            &m.id,
+        )
+    });
     let mut domains: BTreeMap<(Reverse<u64>, &FailureDomain), VecDeque<&Member>> = BTreeMap::new();
     for member in ranked {
         let domain = &member.failure_domain;
-        let domain_order = (Reverse(rank(DOMAIN_ROLE, key, domain.as_str())), domain);
+        let domain_order = (
+            Reverse(rendezvous_score(DOMAIN_ROLE, key, domain.as_str())),
+            domain,
+        );
         domains.entry(domain_order).or_default().push_back(member);
     }
     domains.into_values().collect()
--- a/crates/tc-membership/src/store_source.rs
+++ b/crates/tc-membership/src/store_source.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     placement::{min_strength, weighted_score},
-    rank::{rank, usable},
+    rendezvous::{rendezvous_score, usable},
 };
 
 /// Number of instances that watch the store. With four, at least one remains to relay changes in 99
@@ -168,7 +168,7 @@
             let own_domain = own_domain.map(|me| &me.failure_domain);
             candidates.sort_by_key(|member| {
                 let in_other_domain = Some(&member.failure_domain) != own_domain;
-                let score = rank(SOURCE_ROLE, self.me.as_str(), member.id.as_str());
+                let score = rendezvous_score(SOURCE_ROLE, self.me.as_str(), member.id.as_str());
                 (in_other_domain, Reverse(score))
             });
         }
--- a/crates/tc-policy/src/engines/planner.rs
+++ b/crates/tc-policy/src/engines/planner.rs
@@ -203,10 +203,10 @@
         self.runs.insert(run).data().as_ffi()
     }
 
-    /// Records news of a run. News of unknown runs is ignored.
-    pub fn record(&mut self, now: MonoTime, run: u64, news: RunProgress) {
+    /// Records progress of a run. Progress of unknown runs is ignored.
+    pub fn record(&mut self, now: MonoTime, run: u64, progress: RunProgress) {
         let key = RunKey::from(KeyData::from_ffi(run));
-        match news {
+        match progress {
             RunProgress::FirstEvent(took) => self.record_first_event(now, key, took),
             RunProgress::Ended => self.end_run(now, key),
             RunProgress::Failed => {
--- a/crates/tc-policy/src/estimate.rs
+++ b/crates/tc-policy/src/estimate.rs
@@ -68,7 +68,7 @@
 pub struct Estimators {
     pairs: HashMap<ServiceName, HashMap<SizeClass, DecayingHistogram>>,
     now: MonoTime,
-    last_sweep: MonoTime,
+    last_removal: MonoTime,
 }
 
 impl Estimators {
@@ -81,8 +81,8 @@
     /// Advances the time without a record; see [`Estimators::stage`] for the reason.
     pub fn advance(&mut self, now: MonoTime) {
         self.now = self.now.max(now);
-        if self.now.since(self.last_sweep) >= GENERATION {
-            self.last_sweep = self.now;
+        if self.now.since(self.last_removal) >= GENERATION {
+            self.last_removal = self.now;
             let now = self.now;
             self.pairs.retain(|_, classes| {
                 classes.retain(|_, histogram| now.since(histogram.last_record) < EXPIRE_AFTER);
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -187,12 +187,12 @@
         &self,
         expected: &ExpectedStageTimes,
         until_latency_target: Duration,
-        until_left: Duration,
+        remaining: Duration,
     ) -> Result<(), Duration> {
         if self.critical_path(&expected.in_time) <= until_latency_target {
             return Ok(());
         }
-        if self.critical_path(&expected.late) <= until_left.mul_f64(MAX_LATE_FRACTION) {
+        if self.critical_path(&expected.late) <= remaining.mul_f64(MAX_LATE_FRACTION) {
             return Ok(());
         }
         Err(expected.in_time.iter().max().copied().unwrap_or_default())
--- a/crates/tc-policy/src/upstream_limit/known.rs
+++ b/crates/tc-policy/src/upstream_limit/known.rs
@@ -35,10 +35,10 @@
 /// let mut known = KnownLimits::default();
 /// let now = MonoTime::from_millis(1_000);
 /// let limit = RateLimit::new(2.0);
-/// let change = known.observe(&"engine-1".into(), limit, now).expect("it is new");
+/// let change = known.record(&"engine-1".into(), limit, now).expect("it is new");
 /// assert_eq!((change.before, change.after), (None, limit));
 /// assert_eq!(known.get(&"engine-1".into()), limit);
-/// known.observe(&"engine-1".into(), None, now.after(Duration::from_secs(1)));
+/// known.record(&"engine-1".into(), None, now.after(Duration::from_secs(1)));
 /// assert_eq!(known.get(&"engine-1".into()), None);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -51,7 +51,7 @@
     /// Records that an answer at `at` announced `limit`, or no limit. Returns the change if there is one.
     ///
     /// Announcements older than the recorded one are ignored.
-    pub fn observe(
+    pub fn record(
         &mut self,
         upstream: &UpstreamId,
         limit: Option<RateLimit>,
@@ -108,27 +108,34 @@
 
     /// Returns the upstream's announcement for other instances.
     #[must_use]
-    pub fn news_of(&self, now: MonoTime, upstream: &UpstreamId) -> Option<RateLimitUpdate> {
+    pub fn update_of(&self, now: MonoTime, upstream: &UpstreamId) -> Option<RateLimitUpdate> {
         let known = self.by_upstream.get(upstream)?;
-        Some(known.news(now, upstream))
+        Some(known.update(now, upstream))
     }
 
-    /// Returns at most `most` announcements of the last `max_age`, newest first.
+    /// Returns at most `max_count` announcements of the last `max_age`, newest first.
     #[must_use]
-    pub fn recent(&self, now: MonoTime, max_age: Duration, most: usize) -> Vec<RateLimitUpdate> {
-        self.newest(now, most, |known| now.since(known.announced_at) < max_age)
+    pub fn recent(
+        &self,
+        now: MonoTime,
+        max_age: Duration,
+        max_count: usize,
+    ) -> Vec<RateLimitUpdate> {
+        self.newest(now, max_count, |known| {
+            now.since(known.announced_at) < max_age
+        })
     }
 
-    /// Returns at most `most` limits in force, newest first.
+    /// Returns at most `max_count` active limits, newest first.
     #[must_use]
-    pub fn in_force(&self, now: MonoTime, most: usize) -> Vec<RateLimitUpdate> {
-        self.newest(now, most, |known| known.limit.is_some())
+    pub fn active(&self, now: MonoTime, max_count: usize) -> Vec<RateLimitUpdate> {
+        self.newest(now, max_count, |known| known.limit.is_some())
     }
 
     fn newest(
         &self,
         now: MonoTime,
-        most: usize,
+        max_count: usize,
         is_wanted: impl Fn(&Known) -> bool,
     ) -> Vec<RateLimitUpdate> {
         let wanted = self
@@ -137,26 +144,27 @@
             .filter(|(_, known)| is_wanted(known));
         let mut wanted: Vec<(&UpstreamId, &Known)> = wanted.collect();
         wanted.sort_by_key(|(_, known)| std::cmp::Reverse(known.announced_at));
-        wanted.truncate(most);
-        let news = wanted.into_iter();
-        news.map(|(id, known)| known.news(now, id)).collect()
+        wanted.truncate(max_count);
+        let updates = wanted.into_iter();
+        updates.map(|(id, known)| known.update(now, id)).collect()
     }
 
-    /// Returns at most `most` announcements to gossip, least recently gossiped first.
-    pub fn to_gossip(&mut self, now: MonoTime, most: usize) -> Vec<RateLimitUpdate> {
+    /// Returns at most `max_count` announcements to gossip, least recently gossiped first.
+    pub fn to_gossip(&mut self, now: MonoTime, max_count: usize) -> Vec<RateLimitUpdate> {
         let mut due: Vec<(&UpstreamId, &mut Known)> = self
             .by_upstream
             .iter_mut()
             .filter(|(_, known)| known.should_gossip(now))
             .collect();
         due.sort_by_key(|(_, known)| known.gossiped_at);
-        due.truncate(most);
-        let news = due.into_iter();
-        news.map(|(id, known)| {
-            known.gossiped_at = now;
-            known.news(now, id)
-        })
-        .collect()
+        due.truncate(max_count);
+        let updates = due.into_iter();
+        updates
+            .map(|(id, known)| {
+                known.gossiped_at = now;
+                known.update(now, id)
+            })
+            .collect()
     }
 
     /// Drops upstreams that are no longer registered.
@@ -170,7 +178,7 @@
         self.limit.is_some() || now.since(self.announced_at) < LIFTED_LIMIT_GOSSIP_TIME
     }
 
-    fn news(&self, now: MonoTime, upstream: &UpstreamId) -> RateLimitUpdate {
+    fn update(&self, now: MonoTime, upstream: &UpstreamId) -> RateLimitUpdate {
         RateLimitUpdate {
             upstream: upstream.clone(),
             limit: self.limit,
--- a/crates/tc-policy/tests/chain/load.rs
+++ b/crates/tc-policy/tests/chain/load.rs
@@ -46,7 +46,7 @@
 pub(crate) struct RequestKind {
     pub(crate) per_s: f64,
     pub(crate) latency_target: Duration,
-    pub(crate) time_limit: Duration,
+    pub(crate) timeout: Duration,
     pub(crate) priority: u8,
     pub(crate) stages: Vec<RouteStage>,
     /// Mean number of pieces of each stage, and the fraction of requests that have the stage.
@@ -76,7 +76,7 @@
         RequestKind {
             per_s: 165.0,
             latency_target: Duration::from_millis(1_800),
-            time_limit: Duration::from_secs(6),
+            timeout: Duration::from_secs(6),
             priority: 0,
             stages: chain(0).to_vec(),
             pieces: vec![(1.0, 1.0), (6.0, 1.0), (10.0, 1.0)],
@@ -84,7 +84,7 @@
         RequestKind {
             per_s: 145.0,
             latency_target: Duration::from_millis(910),
-            time_limit: Duration::from_millis(3_640),
+            timeout: Duration::from_millis(3_640),
             priority: 1,
             stages: vec![stage(0, &[], 1_500_000)],
             pieces: vec![(2.5, 0.7)],
@@ -92,7 +92,7 @@
         RequestKind {
             per_s: 41.0,
             latency_target: Duration::from_millis(1_700),
-            time_limit: Duration::from_millis(6_800),
+            timeout: Duration::from_millis(6_800),
             priority: 2,
             stages: stages_of_third,
             pieces: vec![(1.5, 0.4), (1.0, 1.0), (6.0, 1.0), (10.0, 1.0)],
--- a/crates/tc-policy/tests/chain/requests.rs
+++ b/crates/tc-policy/tests/chain/requests.rs
@@ -54,7 +54,7 @@
         let is_first = req.arrived_at == req.first_arrived_at;
         if is_first {
             let left = self.kinds[req.kind]
-                .time_limit
+                .timeout
                 .saturating_sub(now.since(req.arrived_at));
             let when = now.after(retry_after.min(left / 3) + 2 * NETWORK_LATENCY);
             self.schedule(when, Event::Retry { request });
@@ -186,7 +186,7 @@
             until_latency_target: kind
                 .latency_target
                 .saturating_sub(now.since(req.arrived_at) + REQUEST_TIME),
-            remaining: kind.time_limit.saturating_sub(now.since(req.arrived_at)),
+            remaining: kind.timeout.saturating_sub(now.since(req.arrived_at)),
         };
         let call_times = vec![Duration::from_millis(200); kind.stages.len()];
         self.admissions[service].admit(now, &chain, kind.priority, stage, &call_times)
@@ -242,7 +242,7 @@
             in_time_until: now.after(in_time_for),
             deadline: req
                 .arrived_at
-                .after(kind.time_limit.saturating_sub(REQUEST_TIME)),
+                .after(kind.timeout.saturating_sub(REQUEST_TIME)),
             preferred_domain,
             held_bytes,
             is_last_reader: graph.is_last_reader(stage),
--- a/crates/tc-policy/tests/upstream_limit/simulation.rs
+++ b/crates/tc-policy/tests/upstream_limit/simulation.rs
@@ -80,7 +80,7 @@
     },
     Report {
         home: usize,
-        news: Vec<RateLimitUpdate>,
+        updates: Vec<RateLimitUpdate>,
     },
 }
 
@@ -206,9 +206,9 @@
                     limit,
                     permission,
                 } => self.answer(sender, limit, permission),
-                Event::Report { home, news } => {
+                Event::Report { home, updates } => {
                     if !self.is_silent(home) {
-                        self.receive(home, &news);
+                        self.receive(home, &updates);
                     }
                 }
             }
@@ -252,22 +252,22 @@
         }
         let upstream = self.upstream.clone();
         let instance = &mut self.instances[sender];
-        instance.known.observe(&upstream, limit, now);
+        instance.known.record(&upstream, limit, now);
         if limit.is_some() {
             instance.informed_at.get_or_insert(now);
         }
-        let news = instance.known.recent(now, Duration::from_secs(1), 16);
+        let updates = instance.known.recent(now, Duration::from_secs(1), 16);
         let home = instance.home;
-        self.at(REPORT_DELAY, Event::Report { home, news });
+        self.at(REPORT_DELAY, Event::Report { home, updates });
     }
 
-    fn receive(&mut self, number: usize, news: &[RateLimitUpdate]) {
+    fn receive(&mut self, number: usize, updates: &[RateLimitUpdate]) {
         let now = self.now;
-        for news in news {
-            let at = now.before(news.age);
+        for update in updates {
+            let at = now.before(update.age);
             self.instances[number]
                 .known
-                .observe(&news.upstream, news.limit, at);
+                .record(&update.upstream, update.limit, at);
         }
     }
 
@@ -280,11 +280,11 @@
             }
             let to = self.rng.next_u32() as usize % self.instances.len();
             let now = self.now;
-            let news = self.instances[number]
+            let updates = self.instances[number]
                 .known
                 .to_gossip(now, LIMITS_PER_DATAGRAM);
             if !self.is_silent(to) {
-                self.receive(to, &news);
+                self.receive(to, &updates);
             }
         }
     }
@@ -320,16 +320,14 @@
         let (now, request) = (self.now, request());
         let home = self.instances[sender].home;
         if !self.is_silent(home) {
-            let limits = self.instances[sender]
-                .known
-                .in_force(now, LIMITS_PER_REQUEST);
+            let limits = self.instances[sender].known.active(now, LIMITS_PER_REQUEST);
             self.receive(home, &limits);
             let instance = &mut self.instances[home];
             instance.update_planner_limits(now);
             let choice = instance.planner.choose(now, &request)?;
             let run = choice.run;
-            if let Some(news) = instance.known.news_of(now, &choice.upstream) {
-                self.receive(sender, &[news]);
+            if let Some(update) = instance.known.update_of(now, &choice.upstream) {
+                self.receive(sender, &[update]);
             }
             return Some(Permission::Granted(Grant { home, run }));
         }
