--- a/crates/tc-policy/src/batch/chain_admission.rs
+++ b/crates/tc-policy/src/batch/chain_admission.rs
@@ -1,10 +1,10 @@
 //! Admission control for a request's whole chain of stages, at the home of its first stage.
 //!
 //! That home knows its own queue exactly, including every request admitted a moment ago, and receives the outlooks of
-//! the other homes many times a second. An instance that decides from the answers to its own requests has information that
-//! is a quarter of a second old on average. With 78 instances in a burst, all of them admitted requests until their
-//! information expired and then refused requests while the homes had capacity: a third fewer requests were on time at
-//! four times the usual load than at twice.
+//! the other homes many times a second. An instance that decides from the answers to its own requests has information
+//! that is a quarter of a second old on average. With 78 instances in a burst, all of them admitted requests until
+//! their information expired and then refused requests while the homes had capacity: a third fewer requests were on
+//! time at four times the usual load than at twice.
 
 use std::time::Duration;
 
--- a/crates/tc-policy/src/batch/planner.rs
+++ b/crates/tc-policy/src/batch/planner.rs
@@ -231,8 +231,8 @@
     /// Refuses every job that has not started, after another home has taken over the service.
     ///
     /// If two homes worked off a backlog at the same time, each upstream would get twice the calls that it can run.
-    /// Each call then waits at the upstream for one of the other home, so that calls take twice their usual time until the
-    /// old home is done, seconds later.
+    /// Each call then waits at the upstream for one of the other home, so that calls take twice their usual time until
+    /// the old home is done, seconds later.
     pub fn hand_over(&mut self) -> PlannerEffects {
         let mut effects = PlannerEffects::default();
         let unstarted: Vec<JobKey> = self
--- a/crates/tc-policy/src/batch/refused.rs
+++ b/crates/tc-policy/src/batch/refused.rs
@@ -20,8 +20,8 @@
 }
 
 impl RefusedRequests {
-    /// Removes and returns the due time that the answer had when the request first arrived. The entry is used only once,
-    /// since another request may have the same fingerprint.
+    /// Removes and returns the due time that the answer had when the request first arrived. The entry is used only
+    /// once, since another request may have the same fingerprint.
     pub(super) fn remove(&mut self, now: MonoTime, request: Fingerprint) -> Option<MonoTime> {
         self.remove_expired(now);
         self.answer_due.remove(&request)
--- a/crates/tc-policy/src/choice.rs
+++ b/crates/tc-policy/src/choice.rs
@@ -53,10 +53,10 @@
 
 /// Selects an upstream for `request`, or returns `None` if no upstream is usable.
 ///
-/// Upstreams that are leaving, have no home or are listed in `request.excluded` are excluded, and ejected ones too while
-/// others remain. A call with a prefix goes to the upstream that rendezvous hashing assigns to the prefix, unless that
-/// upstream is busier than the others. Any other call goes to the better of two random upstreams by wait and speed, and
-/// leaves the nearest failure domain only if the wait it saves exceeds the added distance.
+/// Upstreams that are leaving, have no home or are listed in `request.excluded` are excluded, and ejected ones too
+/// while others remain. A call with a prefix goes to the upstream that rendezvous hashing assigns to the prefix, unless
+/// that upstream is busier than the others. Any other call goes to the better of two random upstreams by wait and
+/// speed, and leaves the nearest failure domain only if the wait it saves exceeds the added distance.
 ///
 /// One in 64 first attempts goes to a random near upstream, which may be an ejected one. Otherwise an upstream that was
 /// once measured as slow would never be measured again, and the number of upstreams in use would shrink with every
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -179,8 +179,8 @@
 
     /// Checks whether it is worth starting the stages; otherwise returns a hint for when to retry.
     ///
-    /// A request that can meet its latency target is feasible. A request that cannot gets the leftover capacity at every
-    /// stage, so it is feasible only if the stages with the least leftover capacity still allow it. If each stage
+    /// A request that can meet its latency target is feasible. A request that cannot gets the leftover capacity at
+    /// every stage, so it is feasible only if the stages with the least leftover capacity still allow it. If each stage
     /// decided by itself, such a request would pass the first stage and be refused at the next: in a burst, half of the
     /// requests were refused after half a second of work.
     pub fn check_feasible(
--- a/crates/tc-policy/tests/batch/order.rs
+++ b/crates/tc-policy/tests/batch/order.rs
@@ -174,8 +174,8 @@
     );
 }
 
-/// Guards against answers just after their latency target in a burst of 1.6 times the capacity. If jobs that will be late
-/// share the queue with jobs that can be on time, all are made at the last moment.
+/// Guards against answers just after their latency target in a burst of 1.6 times the capacity. If jobs that will be
+/// late share the queue with jobs that can be on time, all are made at the last moment.
 ///
 /// The burst lasts six seconds on five upstreams. Calls of 368 ms for 14 pieces on 5 upstreams make 190 pieces a
 /// second, which is 95 jobs of two pieces; the bound allows a fifth less for calls that are not full.
--- a/crates/tc-policy/tests/chain/simulation.rs
+++ b/crates/tc-policy/tests/chain/simulation.rs
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Simulates `length`. Between `burst.0` and `burst.1`, requests of the first kind arrive `load_factor` times as often, and
-    /// only requests that arrive then are counted.
+    /// Simulates `length`. Between `burst.0` and `burst.1`, requests of the first kind arrive `load_factor` times as
+    /// often, and only requests that arrive then are counted.
     pub(crate) fn run(&mut self, length: Duration, burst: (Duration, Duration), load_factor: f64) {
         let end = START.after(length);
         let (from, until) = (START.after(burst.0), START.after(burst.1));
--- a/crates/tc-policy/tests/cold.rs
+++ b/crates/tc-policy/tests/cold.rs
@@ -165,7 +165,7 @@
 
     /// Sends through a home. Each request is answered immediately, so that neither queued prompts nor occupied slots
     /// favour another engine.
-    fn send_through_home(&mut self, which: usize, now: MonoTime, family: u8, delay_ms: u8) {
+    fn send_by_home(&mut self, which: usize, now: MonoTime, family: u8, delay_ms: u8) {
         let home = &mut self.homes[which];
         if let Some(choice) = home.choose(now, &request(u64::from(family))) {
             home.record(now, choice.run, RunProgress::FirstEvent(READ));
@@ -219,12 +219,8 @@
         let mut has_restarted = false;
         for &op in ops {
             match op {
-                Op::FirstHome { family, delay_ms } => {
-                    fleet.send_through_home(0, now, family, delay_ms)
-                }
-                Op::SecondHome { family, delay_ms } => {
-                    fleet.send_through_home(1, now, family, delay_ms)
-                }
+                Op::FirstHome { family, delay_ms } => fleet.send_by_home(0, now, family, delay_ms),
+                Op::SecondHome { family, delay_ms } => fleet.send_by_home(1, now, family, delay_ms),
                 Op::Uncoordinated {
                     who,
                     family,
@@ -263,7 +259,7 @@
         if step % 3 == 0 {
             fleet.send_uncoordinated((step % INSTANCES as u64) as usize, now, 7, 0);
         } else {
-            fleet.send_through_home(0, now, 7, (step % 200) as u8);
+            fleet.send_by_home(0, now, 7, (step % 200) as u8);
         }
     }
     let max_per_second = fleet.max_per_second_at_one_upstream();
--- a/crates/tc-policy/tests/upstream_limit/simulation.rs
+++ b/crates/tc-policy/tests/upstream_limit/simulation.rs
@@ -302,7 +302,7 @@
 
     fn request(&mut self, sender: usize) {
         let sent = match self.strategy {
-            Strategy::HomePaced => self.send_through_home(sender),
+            Strategy::HomePaced => self.send_by_home(sender),
             _ => self
                 .send_uncoordinated(sender)
                 .then_some(Permission::Uncoordinated),
@@ -316,7 +316,7 @@
         }
     }
 
-    fn send_through_home(&mut self, sender: usize) -> Option<Permission> {
+    fn send_by_home(&mut self, sender: usize) -> Option<Permission> {
         let (now, request) = (self.now, request());
         let home = self.instances[sender].home;
         if !self.is_silent(home) {
