--- a/crates/tc-fleet/src/homes/local_home.rs
+++ b/crates/tc-fleet/src/homes/local_home.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use tc_policy::{
-    HeldPermit, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+    HeldPermit, Home, HomeConfig, HomeEvent, HomePermitRequest, PermitDecision, QueuedRequestKey,
 };
 use tc_protocol::{
     Cost, Fingerprint, InstanceId, MonoTime, PermitId, RefusalReason, Release, ServiceName,
@@ -344,8 +344,8 @@
     }
 }
 
-fn to_permit_request(request: HomeRequest) -> PermitRequest {
-    PermitRequest {
+fn to_permit_request(request: HomeRequest) -> HomePermitRequest {
+    HomePermitRequest {
         entry: request.entry,
         workspace: request.workspace,
         weight: request.weight,
--- a/crates/tc-fleet/src/mesh/limits.rs
+++ b/crates/tc-fleet/src/mesh/limits.rs
@@ -43,7 +43,7 @@
             }
         };
         let mut known = self.lock();
-        if let Some(change) = known.observe(upstream, limit, MonoTime::now()) {
+        if let Some(change) = known.record(upstream, limit, MonoTime::now()) {
             log_change(&known, upstream, change, "answer");
         }
     }
@@ -77,7 +77,7 @@
         let mut known = self.lock();
         for update in updates {
             let at = now.before(update.age);
-            if let Some(change) = known.observe(&update.upstream, update.limit, at) {
+            if let Some(change) = known.record(&update.upstream, update.limit, at) {
                 log_change(&known, &update.upstream, change, "instance");
             }
         }
@@ -104,13 +104,13 @@
     pub(super) fn to_engine_request(&self) -> Vec<wire::UpstreamLimit> {
         let updates = self
             .lock()
-            .in_force(MonoTime::now(), MAX_LIMITS_PER_REQUEST);
+            .active(MonoTime::now(), MAX_LIMITS_PER_REQUEST);
         updates.iter().map(limit_to_wire).collect()
     }
 
     /// Returns the limit to add to the reply to an engine request that selected this engine.
     pub(super) fn for_engine(&self, upstream: &UpstreamId) -> Option<wire::UpstreamLimit> {
-        let update = self.lock().news_of(MonoTime::now(), upstream);
+        let update = self.lock().update_of(MonoTime::now(), upstream);
         update.as_ref().map(limit_to_wire)
     }
 
--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tc_policy::{DueHistogram, FollowingPieces, HomeOutlook};
+use tc_policy::{DependentPieces, DueHistogram, HomeOutlook};
 use tc_protocol::{
     Fingerprint, InstanceId, ServiceName,
     routing::{
@@ -64,7 +64,7 @@
         input_results,
         result_bytes: request.result_bytes,
         rank: u32::from(request.priority),
-        in_time_for_ms: convert::millis(request.until_latency_target),
+        in_time_for_ms: convert::millis(request.in_time_for),
         remaining_ms: convert::millis(request.remaining),
         prefer: request
             .preferred_domain
@@ -73,7 +73,7 @@
             .unwrap_or_default(),
         held_bytes: request.held_bytes,
         is_last_reader: request.is_last_reader,
-        following: dependents_to_wire(&request.dependents),
+        following: dependents_to_wire(&request.dependent_pieces),
         chain: request.chain.as_ref().map(chain_to_wire),
     }
 }
@@ -92,12 +92,12 @@
         input,
         result_bytes: message.result_bytes,
         priority: message.rank.min(u32::from(u8::MAX)) as u8,
-        until_latency_target: convert::from_millis(message.in_time_for_ms),
+        in_time_for: convert::from_millis(message.in_time_for_ms),
         remaining: convert::from_millis(message.remaining_ms),
         preferred_domain: (!message.prefer.is_empty()).then(|| message.prefer.as_str().into()),
         held_bytes: message.held_bytes,
         is_last_reader: message.is_last_reader,
-        dependents: dependents_from_wire(&message.following),
+        dependent_pieces: dependents_from_wire(&message.following),
         chain: message.chain.as_ref().and_then(chain_from_wire),
     }
 }
@@ -258,7 +258,7 @@
 }
 
 pub(super) fn outlook_to_wire(outlook: &HomeOutlook) -> wire::HomeOutlook {
-    let coming = |(service, coming): (&ServiceName, &FollowingPieces)| wire::ComingPieces {
+    let coming = |(service, coming): (&ServiceName, &DependentPieces)| wire::ComingPieces {
         service: service.to_string(),
         in_time: coming.in_time.counts().to_vec(),
         all: coming.total,
@@ -269,13 +269,13 @@
         waiting: outlook.waiting,
         pieces_per_s: outlook.pieces_per_s as f32,
         free: outlook.spare_capacity as f32,
-        coming: outlook.following.iter().map(coming).collect(),
+        coming: outlook.dependent_pieces.iter().map(coming).collect(),
     }
 }
 
 pub(super) fn outlook_from_wire(outlook: &wire::HomeOutlook) -> HomeOutlook {
     let coming = |coming: &wire::ComingPieces| {
-        let pieces = FollowingPieces {
+        let pieces = DependentPieces {
             in_time: DueHistogram::from_counts(&coming.in_time),
             total: coming.all,
         };
@@ -287,7 +287,7 @@
         waiting: outlook.waiting,
         pieces_per_s: f64::from(outlook.pieces_per_s),
         spare_capacity: f64::from(outlook.free),
-        following: outlook.coming.iter().map(coming).collect(),
+        dependent_pieces: outlook.coming.iter().map(coming).collect(),
     }
 }
 
--- a/crates/tc-fleet/src/node/actor.rs
+++ b/crates/tc-fleet/src/node/actor.rs
@@ -184,7 +184,7 @@
         let records = std::iter::once(&message.from).chain(&message.changes);
         for record in records {
             self.config_puller
-                .note_peer_revision(now, &record.member.id, record.revision);
+                .record_peer_revision(now, &record.member.id, record.revision);
         }
         let outgoing = self.membership.handle(now, &message);
         self.send(outgoing);
@@ -196,7 +196,7 @@
     fn merge_records(&mut self, now: MonoTime, records: &[Record]) {
         for record in records {
             self.config_puller
-                .note_peer_revision(now, &record.member.id, record.revision);
+                .record_peer_revision(now, &record.member.id, record.revision);
         }
         self.membership.merge_records(now, records);
         self.tick(now, None);
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -242,13 +242,13 @@
         pieces: ask.pieces,
         input: ask.input,
         result_bytes: ask.result_bytes,
-        rank: ask.priority,
-        in_time_until: now.after(ask.until_latency_target),
+        priority: ask.priority,
+        in_time_until: now.after(ask.in_time_for),
         deadline: now.after(ask.remaining),
         preferred_domain: ask.preferred_domain,
         held_bytes: ask.held_bytes,
         is_last_reader: ask.is_last_reader,
-        following: ask.dependents,
+        dependent_pieces: ask.dependent_pieces,
     }
 }
 
@@ -291,7 +291,7 @@
         // Woken early or not, the planner is looked at.
         let _ = timeout(wait, home.wake.notified()).await;
         let now = MonoTime::now();
-        home.step(|planner| planner.expire(now));
+        home.step(|planner| planner.refuse_late_jobs(now));
         let read = home.lock().planner.take_read_inputs(now);
         home.give_up_inputs(&read);
         home.drive();
--- a/crates/tc-gateway/src/world/follow.rs
+++ b/crates/tc-gateway/src/world/follow.rs
@@ -209,7 +209,7 @@
         let confirmed = news.confirmed_ms.map_or_else(MonoTime::default, |ms| {
             store_read.started_at.offset_by_millis(ms).min(now)
         });
-        self.source.note_confirmation(now, from, confirmed);
+        self.source.record_confirmation(now, from, confirmed);
         if !self.cell.apply_news(news) {
             log::info!(from = from.as_str(); "relayed store changes do not apply to the local state; following the source again");
             self.stream = None;
--- a/crates/tc-policy/benches/batch_home.rs
+++ b/crates/tc-policy/benches/batch_home.rs
@@ -1,4 +1,4 @@
-//! Cost of one ask at the home of a batch service, by the number of its upstreams and waiting jobs.
+//! Cost of one stage request at the home of a batch service, by the number of its upstreams and waiting jobs.
 //!
 //! `cargo bench -p tc-policy --bench batch_home`. Covers two overload states: all upstreams busy, and all upstreams
 //! free but without result memory. In the latter, the home checks every upstream in vain on each event.
@@ -45,24 +45,24 @@
         pieces,
         input: PieceInput::Request("k".into()),
         result_bytes: RESULT_BYTES,
-        rank: (number % 3) as u8,
+        priority: (number % 3) as u8,
         in_time_until: now().after(Duration::from_millis(60_000 + number as u64 % 700)),
         deadline: now().after(Duration::from_mins(10)),
         preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
-        following: vec![("next".into(), 2)],
+        dependent_pieces: vec![("next".into(), 2)],
     }
 }
 
 /// Creates a planner whose upstreams all have one full call in progress, or whose result memory is full.
 fn planner(upstreams: usize, jobs: usize, busy: bool) -> BatchPlanner {
-    let repeats = RetryBudget::new(RetryLimits {
+    let retry_budget = RetryBudget::new(RetryLimits {
         ratio: 0.2,
         extra: 20.0,
         window: Duration::from_secs(10),
     });
-    let mut planner = BatchPlanner::new(spec(), repeats);
+    let mut planner = BatchPlanner::new(spec(), retry_budget);
     let upstream = |i: usize| BatchUpstream {
         id: format!("u{i}").into(),
         domain: format!("d{}", i % 6).into(),
@@ -89,7 +89,7 @@
     planner
 }
 
-fn one_ask(c: &mut Criterion) {
+fn one_request(c: &mut Criterion) {
     for (state, busy) in [("at_work", true), ("without_room", false)] {
         let mut group = c.benchmark_group(format!("one_ask/{state}"));
         group.sample_size(20);
@@ -113,5 +113,5 @@
     }
 }
 
-criterion_group!(benches, one_ask);
+criterion_group!(benches, one_request);
 criterion_main!(benches);
--- a/crates/tc-policy/src/batch/outlooks.rs
+++ b/crates/tc-policy/src/batch/outlooks.rs
@@ -5,8 +5,8 @@
 use tc_protocol::{MonoTime, ServiceName};
 
 use super::{
-    job::RANK_OFFSET,
-    outlook::{FollowingPieces, HomeOutlook},
+    job::PRIORITY_OFFSET,
+    outlook::{DependentPieces, HomeOutlook},
 };
 use crate::StageGraph;
 
@@ -29,7 +29,7 @@
 ///
 /// The most loaded stage limits the whole chain. Without outlooks, a request would pass its first stages, use their
 /// capacity and memory, and be refused at the last stage, wasting work under overload. A home sees a burst only after
-/// the stage before it, half a second later, so each home also reports the pieces on their way to the following stages.
+/// the stage before it, half a second later, so each home also reports the pieces on their way to the dependent stages.
 #[derive(Clone, Debug, Default)]
 pub struct StageOutlooks {
     latest: BTreeMap<ServiceName, (MonoTime, HomeOutlook)>,
@@ -43,9 +43,9 @@
     /// Fixed time of a call, for each stage.
     pub call_times: &'a [Duration],
     /// Time until the last stage must be done for the request to be answered on time.
-    pub until_aim: Duration,
-    /// Priority rank; 0 is the most urgent.
-    pub rank: u8,
+    pub until_latency_target: Duration,
+    /// Priority; 0 is the most urgent.
+    pub priority: u8,
 }
 
 /// Expected times of a request's stages, including queueing.
@@ -126,12 +126,12 @@
         now: MonoTime,
         graph: &'a StageGraph<'a>,
         stage: usize,
-    ) -> impl Iterator<Item = (usize, &'a FollowingPieces)> + 'a {
+    ) -> impl Iterator<Item = (usize, &'a DependentPieces)> + 'a {
         let service = &graph.stages()[stage].service;
         let before = graph.stages()[stage].depends_on.iter().copied();
         before.filter_map(move |before| {
             let outlook = self.outlook_of(now, graph, before)?;
-            Some((before, outlook.following.get(service)?))
+            Some((before, outlook.dependent_pieces.get(service)?))
         })
     }
 
@@ -147,10 +147,10 @@
         until_arrival: Duration,
     ) -> Duration {
         let graph = request.graph;
-        let rank_offset = RANK_OFFSET * u32::from(request.rank);
+        let priority_offset = PRIORITY_OFFSET * u32::from(request.priority);
         let due = |stage: usize| {
             let after = graph.critical_path_after(stage, base_latencies);
-            request.until_aim.saturating_sub(after) + rank_offset
+            request.until_latency_target.saturating_sub(after) + priority_offset
         };
         let incoming: f64 = self
             .incoming(now, graph, stage)
--- a/crates/tc-policy/tests/batch/common.rs
+++ b/crates/tc-policy/tests/batch/common.rs
@@ -25,7 +25,7 @@
     }
 }
 
-pub(crate) fn repeat_budget(extra: f64) -> RetryBudget {
+pub(crate) fn retry_budget(extra: f64) -> RetryBudget {
     RetryBudget::new(RetryLimits {
         ratio: 0.2,
         extra,
@@ -34,7 +34,7 @@
 }
 
 pub(crate) fn planner(domains: &[&str]) -> BatchPlanner {
-    let mut planner = BatchPlanner::new(spec(), repeat_budget(20.0));
+    let mut planner = BatchPlanner::new(spec(), retry_budget(20.0));
     planner.set_upstreams(&upstreams(domains));
     planner
 }
@@ -60,13 +60,13 @@
         pieces,
         input: PieceInput::Request("k".into()),
         result_bytes: 8_000,
-        rank: 0,
+        priority: 0,
         in_time_until: at(900),
         deadline: at(3_600),
         preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
-        following: Vec::new(),
+        dependent_pieces: Vec::new(),
     }
 }
 
--- a/crates/tc-policy/tests/batch/order.rs
+++ b/crates/tc-policy/tests/batch/order.rs
@@ -154,7 +154,7 @@
         &mut planner,
         at(0),
         NewJob {
-            rank: 2,
+            priority: 2,
             ..job("later", 14)
         },
     );
@@ -162,7 +162,7 @@
         &mut planner,
         at(0),
         NewJob {
-            rank: 0,
+            priority: 0,
             ..job("first", 14)
         },
     );
@@ -174,8 +174,8 @@
     );
 }
 
-/// Guards against answers just after their target time in a burst of 1.6 times the capacity. If jobs that will be late
-/// share the queue with jobs that can be on time, all are made at the last moment.
+/// Guards against answers just after their latency target in a burst of 1.6 times the capacity. If jobs that will be
+/// late share the queue with jobs that can be on time, all are made at the last moment.
 ///
 /// The burst lasts six seconds on five upstreams. Calls of 368 ms for 14 pieces on 5 upstreams make 190 pieces a
 /// second, which is 95 jobs of two pieces; the bound allows a fifth less for calls that are not full.
@@ -222,7 +222,7 @@
                 due.insert(key, now + 750);
             }
         }
-        planner.expire(at(now));
+        planner.refuse_late_jobs(at(now));
         while let Some(call) = planner.next_call(at(now)) {
             let mut ends = now + 200 + 12 * call.pieces.len() as u64;
             while running.iter().any(|(other, _)| *other == ends) {
