--- a/crates/tc-fleet/src/mesh/limits.rs
+++ b/crates/tc-fleet/src/mesh/limits.rs
@@ -102,9 +102,7 @@
 
     /// Returns the limits to add to an engine request, so that a home that has just started knows them too.
     pub(super) fn to_engine_request(&self) -> Vec<wire::UpstreamLimit> {
-        let updates = self
-            .lock()
-            .active(MonoTime::now(), MAX_LIMITS_PER_REQUEST);
+        let updates = self.lock().active(MonoTime::now(), MAX_LIMITS_PER_REQUEST);
         updates.iter().map(limit_to_wire).collect()
     }
 
