--- a/crates/tc-gateway/src/backoffs.rs
+++ b/crates/tc-gateway/src/backoffs.rs
@@ -8,7 +8,7 @@
 use tc_policy::Backoffs;
 use tc_protocol::{MonoTime, UpstreamId};
 
-use crate::call::{AnnouncedBackoff, AnswerHead, Taken};
+use crate::call::{Acceptance, AnnouncedBackoff, AnswerHead};
 
 /// Backoffs requested by upstreams, shared by all senders of this instance.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
     ///
     /// Answers from another process than the addressed upstream are ignored.
     pub(crate) fn observe(&self, id: &UpstreamId, head: &AnswerHead) -> Option<Duration> {
-        if head.taken == Taken::OtherProcess {
+        if head.acceptance == Acceptance::OtherProcess {
             return None;
         }
         match head.backoff {
--- a/crates/tc-gateway/src/call.rs
+++ b/crates/tc-gateway/src/call.rs
@@ -13,7 +13,7 @@
 
 /// What a caller's request says in its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallHead {
+pub struct RequestHead {
     /// The caller's name for this attempt of its request.
     pub request: Arc<str>,
     /// How long the caller waits.
@@ -43,7 +43,7 @@
 
 /// What the system tells an upstream besides the caller's own headers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UpstreamHead<'a> {
+pub struct UpstreamRequestHead<'a> {
     /// How long the upstream has.
     pub remaining: Duration,
     /// The life of the upstream's process that is meant; another one at its address must not run the request.
@@ -60,7 +60,7 @@
 
 /// Whether an upstream took a request, as its answer says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Taken {
+pub enum Acceptance {
     /// It did, or does not say otherwise.
     #[default]
     Yes,
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerHead {
     /// Whether the upstream took the request.
-    pub taken: Taken,
+    pub acceptance: Acceptance,
     /// The request that the answer names.
     pub request: Option<Arc<str>>,
     /// It bears the upstream's mark of a genuine answer.
@@ -103,15 +103,15 @@
     /// An answer of another process at the same address does not count.
     ///
     /// ```
-    /// use tc_gateway::{AnswerHead, Lifecycle, Taken};
+    /// use tc_gateway::{AnswerHead, Lifecycle, Acceptance};
     /// let mut head = AnswerHead { lifecycle: Lifecycle::Leaving, ..AnswerHead::default() };
     /// assert!(head.announces_leaving());
-    /// head.taken = Taken::OtherProcess;
+    /// head.acceptance = Acceptance::OtherProcess;
     /// assert!(!head.announces_leaving());
     /// ```
     #[must_use]
     pub fn announces_leaving(&self) -> bool {
-        self.lifecycle == Lifecycle::Leaving && self.taken != Taken::OtherProcess
+        self.lifecycle == Lifecycle::Leaving && self.acceptance != Acceptance::OtherProcess
     }
 
     /// Returns what the answer says of the upstream's rate limit; `None` if it says nothing.
@@ -123,13 +123,13 @@
     /// use tc_gateway::AnswerHead;
     /// use tc_protocol::routing::AnnouncedLimit;
     /// let head = AnswerHead::default();
-    /// assert_eq!(head.limit_news(StatusCode::OK), Some(AnnouncedLimit::None));
-    /// assert_eq!(head.limit_news(StatusCode::SERVICE_UNAVAILABLE), None);
+    /// assert_eq!(head.announced_limit(StatusCode::OK), Some(AnnouncedLimit::None));
+    /// assert_eq!(head.announced_limit(StatusCode::SERVICE_UNAVAILABLE), None);
     /// ```
     #[must_use]
-    pub fn limit_news(&self, status: StatusCode) -> Option<AnnouncedLimit> {
-        let is_success = self.taken == Taken::Yes && status.is_success();
-        let is_of_upstream = self.taken != Taken::OtherProcess;
+    pub fn announced_limit(&self, status: StatusCode) -> Option<AnnouncedLimit> {
+        let is_success = self.acceptance == Acceptance::Yes && status.is_success();
+        let is_of_upstream = self.acceptance != Acceptance::OtherProcess;
         let says_it = is_success || self.rate_limit != AnnouncedLimit::None;
         (is_of_upstream && says_it).then_some(self.rate_limit)
     }
--- a/crates/tc-gateway/src/edges.rs
+++ b/crates/tc-gateway/src/codec.rs
@@ -12,11 +12,11 @@
     routing::{PieceRequest, PieceResult, RegisteredUpstream, ResultHandle, RoutingConfig},
 };
 
-use crate::call::{AnswerHead, CallHead, HeadError, UpstreamHead};
+use crate::call::{AnswerHead, HeadError, RequestHead, UpstreamRequestHead};
 
 /// Where a caller that asks for addresses is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DirectoryQuestion {
+pub struct DirectoryQuery {
     /// Its failure domain, if told.
     pub domain: Option<FailureDomain>,
     /// Its region, if told.
@@ -40,11 +40,11 @@
 
 /// The outside's spelling. Functions only translate: they keep no state and decide nothing.
 #[derive(Clone, Copy)]
-pub struct Edges {
+pub struct PlatformCodec {
     /// Decodes a caller's headers.
-    pub read_request: fn(&request::Parts) -> Result<CallHead, HeadError>,
+    pub read_request: fn(&request::Parts) -> Result<RequestHead, HeadError>,
     /// Headers of a request to an upstream, from the caller's headers and the system's own.
-    pub upstream_headers: fn(&HeaderMap, &UpstreamHead<'_>) -> HeaderMap,
+    pub upstream_headers: fn(&HeaderMap, &UpstreamRequestHead<'_>) -> HeaderMap,
     /// Decodes an upstream's answer.
     pub read_answer: fn(&response::Parts) -> AnswerHead,
     /// Headers of an upstream's answer that go on to the caller.
@@ -66,9 +66,9 @@
     /// Names in the store.
     pub kinds: StoreKinds,
     /// Reads a caller's question for addresses; `None` when it is another request.
-    pub read_directory: fn(&Uri) -> Option<DirectoryQuestion>,
+    pub parse_directory_query: fn(&Uri) -> Option<DirectoryQuery>,
     /// Answers it with addresses and how many seconds they may be kept.
-    pub directory_answer: fn(&[SocketAddr], u32) -> Bytes,
+    pub encode_directory: fn(&[SocketAddr], u32) -> Bytes,
     /// Whether a request asks if this instance is ready.
-    pub is_ready_question: fn(&Uri) -> bool,
+    pub is_readiness_check: fn(&Uri) -> bool,
 }
--- a/crates/tc-gateway/src/homes/calls.rs
+++ b/crates/tc-gateway/src/homes/calls.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use super::{HomeContext, home::address_of};
-use crate::call::Taken;
+use crate::call::Acceptance;
 
 /// Longest time for a call that frees results; it is answered at once, and repeating it is harmless.
 const FREE_LIMIT: Duration = Duration::from_millis(500);
@@ -28,7 +28,7 @@
     let raw = RawCall {
         upstream: call.upstream.clone(),
         address,
-        request: (cx.edges.batch_call)(&call.pieces, &call.upstream),
+        request: (cx.codec.batch_call)(&call.pieces, &call.upstream),
         remaining: call.timeout,
         // An answer names no call, so a late second one on a kept connection would be taken for the next call's.
         reuse: false,
@@ -43,21 +43,21 @@
             };
         }
     };
-    let head = (cx.edges.read_answer)(&reply.head);
+    let head = (cx.codec.read_answer)(&reply.head);
     cx.unknown_headers.record(&call.upstream, &head.unknown);
     if head.announces_leaving() {
         cx.world.mark_leaving(&call.upstream);
     }
-    if let Some(announced) = head.limit_news(reply.head.status) {
+    if let Some(announced) = head.announced_limit(reply.head.status) {
         cx.limits.observe(&call.upstream, announced);
     }
     let backoff = cx.backoffs.observe(&call.upstream, &head);
-    if head.taken != Taken::Yes {
+    if head.acceptance != Acceptance::Yes {
         log::debug!(service = service.as_str(), upstream = call.upstream.as_str(), status = reply.head.status.as_u16(); "a batch call was not taken");
         return backoff.map_or(CallEnd::NotRun, CallEnd::RefusedWithBackoff);
     }
     let body = reply.body.collect().await.ok();
-    let results = body.and_then(|body| (cx.edges.read_batch)(&body));
+    let results = body.and_then(|body| (cx.codec.read_batch)(&body));
     match results {
         Some(results) if reply.head.status.is_success() && results.len() == call.pieces.len() => {
             CallEnd::Answered(results)
@@ -107,7 +107,7 @@
     let raw = RawCall {
         upstream: maker.to_string().into(),
         address: maker,
-        request: (cx.edges.free_call)(&handles),
+        request: (cx.codec.free_call)(&handles),
         remaining: FREE_LIMIT,
         reuse: true,
     };
--- a/crates/tc-gateway/src/homes/mod.rs
+++ b/crates/tc-gateway/src/homes/mod.rs
@@ -19,7 +19,7 @@
 use tc_upstream::UpstreamClient;
 
 use crate::{
-    backoffs::UpstreamBackoffs, budgets::RepeatBudgets, edges::Edges,
+    backoffs::UpstreamBackoffs, budgets::RepeatBudgets, codec::PlatformCodec,
     unknown_headers::UnknownHeaders, world::WorldCell,
 };
 
@@ -33,7 +33,7 @@
 
 /// What every home needs.
 pub(crate) struct HomeContext {
-    pub(crate) edges: Edges,
+    pub(crate) codec: PlatformCodec,
     pub(crate) client: UpstreamClient,
     pub(crate) world: Arc<WorldCell>,
     pub(crate) budgets: Arc<RepeatBudgets>,
--- a/crates/tc-gateway/src/join.rs
+++ b/crates/tc-gateway/src/join.rs
@@ -13,7 +13,7 @@
     time::{sleep, timeout},
 };
 
-use crate::{edges::Edges, settings::GatewaySettings};
+use crate::{codec::PlatformCodec, settings::GatewaySettings};
 
 /// Shortest and longest wait of an instance that knows no other before it looks again: those that start together find
 /// each other within moments, and one that is alone for good costs the store little.
@@ -64,7 +64,7 @@
 #[derive(Clone)]
 pub(crate) struct Finder {
     pub(crate) settings: GatewaySettings,
-    pub(crate) edges: Edges,
+    pub(crate) codec: PlatformCodec,
     pub(crate) store: Store,
     pub(crate) mesh: Mesh,
     pub(crate) settled: Settled,
@@ -184,8 +184,8 @@
     }
 
     async fn listed(&self, freshness: Freshness) -> Option<Vec<SocketAddr>> {
-        let kind = self.edges.kinds.members;
-        let dialect = &self.edges.store;
+        let kind = self.codec.kinds.members;
+        let dialect = &self.codec.store;
         let listed = self
             .store
             .list_kind(Purpose::Members, dialect, kind, freshness);
@@ -200,8 +200,8 @@
     async fn register(&self) -> bool {
         let address = self.settings.me.fleet_address.to_string();
         let value = serde_json::json!({ "fleet": address });
-        let kind = self.edges.kinds.members;
-        let dialect = &self.edges.store;
+        let kind = self.codec.kinds.members;
+        let dialect = &self.codec.store;
         let name = &self.settings.machine;
         let put = self
             .store
--- a/crates/tc-gateway/src/lib.rs
+++ b/crates/tc-gateway/src/lib.rs
@@ -2,13 +2,13 @@
 //! route names, and the upstream's answer comes back as it is.
 //!
 //! The rules, limits, retries and recovery live here. How headers, configuration and the store spell things is told
-//! by [`Edges`], plain functions that the crate speaking to the outside provides.
+//! by [`PlatformCodec`], plain functions that the crate speaking to the outside provides.
 
 mod backoffs;
 mod budgets;
 mod call;
+mod codec;
 mod cold;
-mod edges;
 mod engines;
 mod events;
 mod freeze;
@@ -28,9 +28,10 @@
 mod world;
 
 pub use call::{
-    AnnouncedBackoff, AnswerHead, CallHead, HeadError, Lifecycle, Taken, UpstreamHead, UpstreamLoad,
+    Acceptance, AnnouncedBackoff, AnswerHead, HeadError, Lifecycle, RequestHead, UpstreamLoad,
+    UpstreamRequestHead,
 };
-pub use edges::{DirectoryQuestion, Edges, StoreKinds};
+pub use codec::{DirectoryQuery, PlatformCodec, StoreKinds};
 pub use events::{Event, EventSplitter};
 pub use freeze::{SuspendedTime, suspended_time};
 pub use routing::{RouteTable, RouteTableError};
--- a/crates/tc-gateway/src/routing.rs
+++ b/crates/tc-gateway/src/routing.rs
@@ -20,7 +20,7 @@
 pub enum RouteTableError {
     /// Two routes claim the same requests.
     #[error("routes {0} and {1} have the same host and prefix")]
-    Twice(Arc<str>, Arc<str>),
+    DuplicatePrefix(Arc<str>, Arc<str>),
     /// A route sends requests nowhere.
     #[error("route {0} names no service")]
     NoTarget(Arc<str>),
@@ -32,7 +32,7 @@
     StageOrder(Arc<str>, usize),
     /// A stage's service does not work in batches.
     #[error("stage {1} of route {0} names service {2}, which makes no pieces")]
-    NotBatch(Arc<str>, usize, ServiceName),
+    NotBatchService(Arc<str>, usize, ServiceName),
 }
 
 impl RouteTable {
@@ -61,7 +61,7 @@
             for pair in routes.windows(2) {
                 if pair[0].path_prefix == pair[1].path_prefix {
                     let (a, b) = (pair[0].name.clone(), pair[1].name.clone());
-                    return Err(RouteTableError::Twice(a, b));
+                    return Err(RouteTableError::DuplicatePrefix(a, b));
                 }
             }
         }
@@ -103,7 +103,7 @@
             ));
         };
         if service.batch.is_none() {
-            return Err(RouteTableError::NotBatch(
+            return Err(RouteTableError::NotBatchService(
                 name(),
                 index,
                 stage.service.clone(),
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -10,7 +10,7 @@
 
 use super::{Refusal, RoutedRequest, RunContext, stages::StageResults, target::Target};
 use crate::{
-    call::{AnswerHead, Taken, UpstreamHead},
+    call::{Acceptance, AnswerHead, UpstreamRequestHead},
     engines::EngineRun,
     upstreams::{CallHealth, InFlight},
 };
@@ -192,7 +192,7 @@
         };
         self.arrived = true;
         let answered = Answered {
-            head: (cx.edges.read_answer)(&reply.head),
+            head: (cx.codec.read_answer)(&reply.head),
             reply,
             upstream,
             sent_at,
@@ -228,23 +228,23 @@
         if head.announces_leaving() {
             cx.world.mark_leaving(id);
         }
-        if let Some(announced) = head.limit_news(answered.reply.head.status) {
+        if let Some(announced) = head.announced_limit(answered.reply.head.status) {
             cx.limits.limits().observe(id, announced);
         }
         cx.backoffs.observe(id, head);
-        if head.taken != Taken::Yes {
+        if head.acceptance != Acceptance::Yes {
             let status = answered.reply.head.status.as_u16();
-            log::info!(request = &*req.head.request, upstream = id.as_str(), status = status, taken = format!("{:?}", head.taken).as_str(); "an upstream did not take a request");
+            log::info!(request = &*req.head.request, upstream = id.as_str(), status = status, taken = format!("{:?}", head.acceptance).as_str(); "an upstream did not take a request");
             cx.book.note(id, CallHealth::Full);
             self.tried.push(id.clone());
             self.sent -= 1;
             self.turned_away += 1;
-            if head.taken != Taken::InputGone
+            if head.acceptance != Acceptance::InputGone
                 && let Some(run) = &mut answered.run
             {
                 run.failed();
             }
-            return Err(if head.taken == Taken::InputGone {
+            return Err(if head.acceptance == Acceptance::InputGone {
                 SendFailure::InputGone
             } else {
                 SendFailure::NotRun
@@ -309,7 +309,7 @@
     target: &Target,
     with: &SendWith<'_>,
 ) -> Request<Full<bytes::Bytes>> {
-    let own = UpstreamHead {
+    let own = UpstreamRequestHead {
         remaining: req.time_left(),
         upstream: &target.upstream.id,
         workspace: req.workspace.as_ref().map(|w| &w.name),
@@ -322,6 +322,6 @@
     let mut request = Request::new(Full::new(req.body.clone()));
     *request.method_mut() = req.parts.method.clone();
     *request.uri_mut() = Uri::from(path);
-    *request.headers_mut() = (cx.edges.upstream_headers)(&req.parts.headers, &own);
+    *request.headers_mut() = (cx.codec.upstream_headers)(&req.parts.headers, &own);
     request
 }
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -28,9 +28,9 @@
 use crate::{
     backoffs::UpstreamBackoffs,
     budgets::RepeatBudgets,
-    call::CallHead,
+    call::RequestHead,
+    codec::PlatformCodec,
     cold::ColdSends,
-    edges::Edges,
     engines::{EngineHomes, NewsSender},
     freeze::{SuspendedTime, TimeAllowed},
     homes::{BatchHomes, Freer},
@@ -65,7 +65,7 @@
 
 /// What all runs share.
 pub(crate) struct RunContext {
-    pub(crate) edges: Edges,
+    pub(crate) codec: PlatformCodec,
     pub(crate) world: Arc<WorldCell>,
     pub(crate) mesh: Mesh,
     pub(crate) homes: Arc<BatchHomes>,
@@ -110,7 +110,7 @@
 
 /// A request that was routed and may run.
 pub(crate) struct RoutedRequest {
-    pub(crate) head: CallHead,
+    pub(crate) head: RequestHead,
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
     pub(crate) route: Arc<Route>,
@@ -186,7 +186,7 @@
     cx.budgets.note_request(&req.service, cx.instances());
     if let Err(refusal) = hold_suspect(&cx, &mut req).await {
         refusal.log(&req);
-        return own_answer(&cx.edges, &req.head.request, &refusal);
+        return own_answer(&cx.codec, &req.head.request, &refusal);
     }
     let req = Arc::new(req);
     let answered = if req.route.kind.is_stream() {
@@ -196,7 +196,7 @@
     };
     answered.unwrap_or_else(|refusal| {
         refusal.log(&req);
-        own_answer(&cx.edges, &req.head.request, &refusal)
+        own_answer(&cx.codec, &req.head.request, &refusal)
     })
 }
 
--- a/crates/tc-gateway/src/run/plain.rs
+++ b/crates/tc-gateway/src/run/plain.rs
@@ -134,6 +134,6 @@
 fn answer(cx: &RunContext, head: &Parts, body: Bytes) -> Response<AnswerBody> {
     let mut answer = Response::new(whole(body));
     *answer.status_mut() = head.status;
-    *answer.headers_mut() = (cx.edges.caller_headers)(&head.headers);
+    *answer.headers_mut() = (cx.codec.caller_headers)(&head.headers);
     answer
 }
--- a/crates/tc-gateway/src/run/refusal.rs
+++ b/crates/tc-gateway/src/run/refusal.rs
@@ -7,7 +7,7 @@
 use tc_protocol::routing::StageRefusal;
 
 use super::{AnswerBody, RoutedRequest, whole};
-use crate::edges::Edges;
+use crate::codec::PlatformCodec;
 
 /// When a caller is told to come back if nothing better is known: about the time in which an upstream that just
 /// failed or filled up has been found out and others have taken over.
@@ -88,14 +88,18 @@
 }
 
 /// Builds an answer of the system's own.
-pub(crate) fn own_answer(edges: &Edges, request: &str, refusal: &Refusal) -> Response<AnswerBody> {
+pub(crate) fn own_answer(
+    codec: &PlatformCodec,
+    request: &str,
+    refusal: &Refusal,
+) -> Response<AnswerBody> {
     let status = refusal.status.as_str().to_owned();
     metrics::counter!("tc_routed_refusals_total", "status" => status, "reason" => refusal.reason)
         .increment(1);
     let body = serde_json::json!({ "status": refusal.status.as_u16(), "detail": refusal.reason });
     let mut answer = Response::new(whole(Bytes::from(body.to_string())));
     *answer.status_mut() = refusal.status;
-    *answer.headers_mut() = (edges.own_headers)(request);
+    *answer.headers_mut() = (codec.own_headers)(request);
     let json = HeaderValue::from_static("application/problem+json");
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
     if let Some(wait) = refusal.retry_after {
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -200,7 +200,7 @@
     open: OpenStream,
 ) -> Response<AnswerBody> {
     let head = &open.answered.reply.head;
-    let (status, headers) = (head.status, (cx.edges.caller_headers)(&head.headers));
+    let (status, headers) = (head.status, (cx.codec.caller_headers)(&head.headers));
     let relay = Relay {
         last_id: req.head.resume_after,
         cx,
--- a/crates/tc-gateway/src/serve/callers.rs
+++ b/crates/tc-gateway/src/serve/callers.rs
@@ -23,7 +23,7 @@
 
 use super::Connections;
 use crate::{
-    call::CallHead,
+    call::RequestHead,
     freeze::TimeAllowed,
     routing::target_of,
     run::{AnswerBody, Refusal, RoutedRequest, RunContext, StreamCut, own_answer, run},
@@ -96,7 +96,7 @@
         let arrived = Instant::now();
         let counted = InFlightRequest::start(&self.connections.in_flight);
         let (parts, body) = req.into_parts();
-        let (head, answered) = match (self.cx.edges.read_request)(&parts) {
+        let (head, answered) = match (self.cx.codec.read_request)(&parts) {
             Ok(head) => {
                 let request = Arc::clone(&head.request);
                 let admitted = self.admit(arrived, parts, head, body).await;
@@ -116,7 +116,7 @@
         };
         let mut answer = match answered {
             Ok(routed) => run(Arc::clone(&self.cx), routed).await,
-            Err(refusal) => own_answer(&self.cx.edges, &head, &refusal),
+            Err(refusal) => own_answer(&self.cx.codec, &head, &refusal),
         };
         if self.stop.is_stopping() {
             // The caller opens its next connection elsewhere instead of meeting this one's end.
@@ -137,7 +137,7 @@
         &self,
         arrived: Instant,
         parts: Parts,
-        head: CallHead,
+        head: RequestHead,
         body: Incoming,
     ) -> Result<RoutedRequest, Refusal> {
         let config = self.config().await?;
@@ -212,7 +212,7 @@
 fn workspace_of(
     config: &ConfigInForce,
     route: &Route,
-    head: &CallHead,
+    head: &RequestHead,
 ) -> Result<Option<Arc<RoutedWorkspace>>, Refusal> {
     let known = head
         .key
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -8,7 +8,7 @@
 use tc_protocol::{Member, MemberState};
 
 use crate::{
-    edges::{DirectoryQuestion, Edges},
+    codec::{DirectoryQuery, PlatformCodec},
     run::{AnswerBody, RunContext, whole},
     stop::StopState,
 };
@@ -34,7 +34,7 @@
 impl InfoService {
     /// Answers whether this instance is ready.
     pub(crate) fn ready(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
-        if !(self.cx.edges.is_ready_question)(req.uri()) {
+        if !(self.cx.codec.is_readiness_check)(req.uri()) {
             return text(StatusCode::NOT_FOUND, Bytes::new());
         }
         if self.cx.world.load().is_known() && !self.stop.is_stopping() {
@@ -50,7 +50,7 @@
     /// Answers which addresses callers are to use.
     pub(crate) fn directory(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
         directory(
-            &self.cx.edges,
+            &self.cx.codec,
             req.uri(),
             &self.cx.mesh.members(),
             self.address_max_age,
@@ -64,12 +64,12 @@
 }
 
 fn directory(
-    edges: &Edges,
+    codec: &PlatformCodec,
     uri: &Uri,
     members: &[Member],
     longest: Duration,
 ) -> Response<AnswerBody> {
-    let Some(question) = (edges.read_directory)(uri) else {
+    let Some(question) = (codec.parse_directory_query)(uri) else {
         return text(StatusCode::NOT_FOUND, Bytes::new());
     };
     let addresses = addresses_for(members, &question);
@@ -79,7 +79,7 @@
     let seconds = MAX_AGE.min(longest).as_secs().max(1) as u32;
     let mut answer = text(
         StatusCode::OK,
-        (edges.directory_answer)(&addresses, seconds),
+        (codec.encode_directory)(&addresses, seconds),
     );
     let json = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -87,7 +87,7 @@
 }
 
 /// Addresses of instances that take new connections: those of the caller's region first.
-fn addresses_for(members: &[Member], question: &DirectoryQuestion) -> Vec<SocketAddr> {
+fn addresses_for(members: &[Member], question: &DirectoryQuery) -> Vec<SocketAddr> {
     let mut usable: Vec<&Member> = members
         .iter()
         .filter(|member| member.state == MemberState::Alive)
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -16,8 +16,8 @@
 use crate::{
     backoffs::UpstreamBackoffs,
     budgets::RepeatBudgets,
+    codec::PlatformCodec,
     cold::ColdSends,
-    edges::Edges,
     engines::{EngineHomes, NewsSender},
     freeze::FreezeWatch,
     handlers::{free_results, mesh_handlers},
@@ -84,7 +84,7 @@
     /// `metrics` renders the metrics.
     pub async fn start(
         settings: GatewaySettings,
-        edges: Edges,
+        codec: PlatformCodec,
         traffic: tokio::runtime::Handle,
         metrics: MetricsText,
     ) -> Result<Self, GatewayError> {
@@ -95,14 +95,14 @@
             timeout: STORE_TIMEOUT,
         });
         let freezes = Arc::new(FreezeWatch::new(settings.suspended));
-        let world = Arc::new(WorldCell::new(edges, Arc::clone(&freezes)));
+        let world = Arc::new(WorldCell::new(codec, Arc::clone(&freezes)));
         let settled = Settled::soon();
-        let cx = start_context(&settings, edges, Arc::clone(&world), &traffic, &settled).await?;
+        let cx = start_context(&settings, codec, Arc::clone(&world), &traffic, &settled).await?;
         let source_timing = SourceTiming::within(news_bound(&settings));
         let role = StoreRole::new(source_timing);
         let watch = WatchContext {
             store: store.clone(),
-            edges,
+            codec,
             cell: Arc::clone(&world),
             leave_time: settings.leave_time,
             watches: role.watches(),
@@ -125,7 +125,7 @@
         ));
         let finder = Finder {
             settings: settings.clone(),
-            edges,
+            codec,
             store,
             mesh: cx.mesh.clone(),
             settled: settled.clone(),
@@ -170,13 +170,13 @@
 /// For the other arguments see [`Gateway::start`].
 pub async fn run(
     settings: GatewaySettings,
-    edges: Edges,
+    codec: PlatformCodec,
     traffic: tokio::runtime::Handle,
     metrics: MetricsText,
     reload: impl Fn() + Send,
 ) -> Result<(), GatewayError> {
     let mut signals = Signals::new()?;
-    let gateway = Gateway::start(settings, edges, traffic, metrics).await?;
+    let gateway = Gateway::start(settings, codec, traffic, metrics).await?;
     while signals.next().await == Asked::Reload {
         reload();
     }
@@ -186,7 +186,7 @@
 
 async fn start_context(
     settings: &GatewaySettings,
-    edges: Edges,
+    codec: PlatformCodec,
     world: Arc<WorldCell>,
     traffic: &tokio::runtime::Handle,
     settled: &Settled,
@@ -202,7 +202,7 @@
     let unknown_headers = Arc::<UnknownHeaders>::default();
     let backoffs = Arc::<UpstreamBackoffs>::default();
     let homes = Arc::new(BatchHomes::new(HomeContext {
-        edges,
+        codec,
         client: client.clone(),
         world: Arc::clone(&world),
         budgets: Arc::clone(&budgets),
@@ -231,7 +231,7 @@
     traffic.spawn(ask_other_homes(mesh.clone(), Arc::clone(&homes)));
     traffic.spawn(free_results(given_up, mesh.clone(), Arc::clone(&homes)));
     Ok(Arc::new(RunContext {
-        edges,
+        codec,
         world,
         mesh,
         homes,
--- a/crates/tc-gateway/src/world/config.rs
+++ b/crates/tc-gateway/src/world/config.rs
@@ -8,7 +8,7 @@
     routing::{RoutedService, RoutingConfig},
 };
 
-use crate::{edges::Edges, routing::RouteTable};
+use crate::{codec::PlatformCodec, routing::RouteTable};
 
 /// A valid configuration, ready to be used.
 pub(crate) struct ConfigInForce {
@@ -24,8 +24,12 @@
 
 impl ConfigInForce {
     /// Decodes and checks a configuration; the error says what is wrong with it.
-    pub(crate) fn read(edges: &Edges, raw: &Arc<Value>, revision: u64) -> Result<Self, String> {
-        let routing = (edges.read_config)(raw)?;
+    pub(crate) fn read(
+        codec: &PlatformCodec,
+        raw: &Arc<Value>,
+        revision: u64,
+    ) -> Result<Self, String> {
+        let routing = (codec.read_config)(raw)?;
         let routes = RouteTable::new(&routing).map_err(|error| error.to_string())?;
         Ok(Self {
             routing,
--- a/crates/tc-gateway/src/world/evacuated.rs
+++ b/crates/tc-gateway/src/world/evacuated.rs
@@ -17,7 +17,7 @@
 ///
 /// A change counts at once: there are few, and those that come together concern domains, not single upstreams.
 pub(crate) async fn watch_evacuations(cx: WatchContext) {
-    let kind = cx.edges.kinds.evacuations;
+    let kind = cx.codec.kinds.evacuations;
     let part = WorldPart::Evacuations;
     let followed = cx.followed(part, kind, Purpose::Registry, "evacuated failure domains");
     let mut watch = GatedWatch::new(&cx, followed);
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -28,7 +28,7 @@
 use tc_protocol::{FailureDomain, MonoTime, ServiceName, UpstreamId};
 use tokio::sync::watch::{Receiver, Sender};
 
-use crate::{edges::Edges, freeze::FreezeWatch};
+use crate::{codec::PlatformCodec, freeze::FreezeWatch};
 
 pub(crate) use config::ConfigInForce;
 pub(crate) use evacuated::watch_evacuations;
@@ -77,9 +77,9 @@
 
 /// Holds the newest world, and decides what is newer.
 pub(crate) struct WorldCell {
-    edges: Edges,
+    codec: PlatformCodec,
     published: ArcSwap<World>,
-    /// Taken by writers only.
+    /// Acceptance by writers only.
     writing: Mutex<()>,
     changes: Sender<u64>,
     freezes: Arc<FreezeWatch>,
@@ -95,9 +95,9 @@
 }
 
 impl WorldCell {
-    pub(crate) fn new(edges: Edges, freezes: Arc<FreezeWatch>) -> Self {
+    pub(crate) fn new(codec: PlatformCodec, freezes: Arc<FreezeWatch>) -> Self {
         Self {
-            edges,
+            codec,
             published: ArcSwap::default(),
             writing: Mutex::default(),
             changes: Sender::new(0),
@@ -246,7 +246,7 @@
         };
         let _writing = self.write();
         let world = self.load();
-        match world.upstreams.with_news(&self.edges, upstreams) {
+        match world.upstreams.with_news(&self.codec, upstreams) {
             TakenUp::Newer(next) => self.publish_upstreams(&world, next),
             TakenUp::Older => {}
             TakenUp::Unfit => return false,
@@ -260,7 +260,7 @@
     pub(crate) fn apply_config(&self, raw: &Arc<Value>, revision: u64) {
         let _writing = self.write();
         let world = self.load();
-        let config = match ConfigInForce::read(&self.edges, raw, revision) {
+        let config = match ConfigInForce::read(&self.codec, raw, revision) {
             Ok(config) => config,
             Err(problem) => {
                 log::error!(revision = revision, problem = problem.as_str(); "configuration rejected; the last valid one stays in force");
@@ -322,7 +322,7 @@
     pub(crate) fn apply_upstream_events(&self, events: &[ObjectEvent], at: u64) {
         let _writing = self.write();
         let world = self.load();
-        let upstreams = world.upstreams.with_events(&self.edges, events, at);
+        let upstreams = world.upstreams.with_events(&self.codec, events, at);
         self.publish_upstreams(&world, upstreams);
     }
 
@@ -333,7 +333,7 @@
         if at < world.upstreams.revision() {
             return;
         }
-        let upstreams = world.upstreams.replaced(&self.edges, objects, at);
+        let upstreams = world.upstreams.replaced(&self.codec, objects, at);
         self.publish_upstreams(&world, upstreams);
     }
 
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -15,7 +15,7 @@
     routing::{RegisteredUpstream, ResultHandle},
 };
 
-use crate::edges::Edges;
+use crate::codec::PlatformCodec;
 
 /// Minimum time for which the announcement of an unregistered upstream is kept.
 const LEAVING_RETENTION: Duration = Duration::from_mins(10);
@@ -174,7 +174,7 @@
 
     /// Takes up another instance's news.
     #[must_use]
-    pub fn with_news(&self, edges: &Edges, news: &UpstreamNews) -> TakenUp {
+    pub fn with_news(&self, codec: &PlatformCodec, news: &UpstreamNews) -> TakenUp {
         if news.revision < self.revision {
             return TakenUp::Older;
         }
@@ -206,12 +206,12 @@
             })
         });
         let events: Vec<ObjectEvent> = put.chain(removed).collect();
-        TakenUp::Newer(self.with_events(edges, &events, news.revision))
+        TakenUp::Newer(self.with_events(codec, &events, news.revision))
     }
 
     /// This table with changes taken up.
     #[must_use]
-    pub fn with_events(&self, edges: &Edges, events: &[ObjectEvent], at: u64) -> Self {
+    pub fn with_events(&self, codec: &PlatformCodec, events: &[ObjectEvent], at: u64) -> Self {
         let mut entries = self.entries.clone();
         for event in events {
             match event {
@@ -219,7 +219,7 @@
                     // Read once only: how long it stays cold counts from when it was first heard.
                     let known = entries.get(&object.name).map(|e| e.revision);
                     if known.is_none_or(|known| object.revision > known) {
-                        let entry = read(edges, &object.name, object.revision, &object.value);
+                        let entry = read(codec, &object.name, object.revision, &object.value);
                         entries.insert(Arc::clone(&object.name), entry);
                     }
                 }
@@ -262,7 +262,7 @@
     }
 
     /// The table of a whole list.
-    pub(crate) fn replaced(&self, edges: &Edges, objects: &[WorldObject], at: u64) -> Self {
+    pub(crate) fn replaced(&self, codec: &PlatformCodec, objects: &[WorldObject], at: u64) -> Self {
         let entries = objects
             .iter()
             .map(|object| {
@@ -270,7 +270,7 @@
                 let entry = known
                     .filter(|entry| entry.revision == object.revision)
                     .cloned()
-                    .unwrap_or_else(|| read(edges, &object.name, object.revision, &object.value));
+                    .unwrap_or_else(|| read(codec, &object.name, object.revision, &object.value));
                 (Arc::clone(&object.name), entry)
             })
             .collect();
@@ -318,8 +318,8 @@
     })
 }
 
-fn read(edges: &Edges, name: &str, revision: u64, raw: &Arc<Value>) -> Entry {
-    let upstream = match (edges.read_upstream)(name, raw, MonoTime::now()) {
+fn read(codec: &PlatformCodec, name: &str, revision: u64, raw: &Arc<Value>) -> Entry {
+    let upstream = match (codec.read_upstream)(name, raw, MonoTime::now()) {
         Ok(upstream) => Some(Arc::new(upstream)),
         Err(problem) => {
             log::warn!(upstream = name, revision = revision, problem = problem.as_str(); "a registered upstream cannot be read and is left out");
--- a/crates/tc-gateway/src/world/watch.rs
+++ b/crates/tc-gateway/src/world/watch.rs
@@ -12,7 +12,7 @@
     kind_watch::{Followed, KindWatch, Seen, WATCH_WAIT},
     removals::HeldRemovals,
 };
-use crate::edges::Edges;
+use crate::codec::PlatformCodec;
 
 /// Part of the time that a leaving upstream serves on for which changes are gathered before the next watch.
 ///
@@ -25,7 +25,7 @@
 #[derive(Clone)]
 pub(crate) struct WatchContext {
     pub(crate) store: Store,
-    pub(crate) edges: Edges,
+    pub(crate) codec: PlatformCodec,
     pub(crate) cell: Arc<WorldCell>,
     /// How long an upstream serves on after it said that it leaves.
     pub(crate) leave_time: Duration,
@@ -45,7 +45,7 @@
     ) -> Followed {
         Followed {
             store: self.store.clone(),
-            dialect: self.edges.store,
+            dialect: self.codec.store,
             kind,
             purpose,
             what,
@@ -98,7 +98,7 @@
 
 /// Keeps the configuration up to date; runs until it is dropped.
 pub(crate) async fn watch_config(cx: WatchContext) {
-    let kinds = cx.edges.kinds;
+    let kinds = cx.codec.kinds;
     let part = WorldPart::Config;
     let followed = cx.followed(part, kinds.config, Purpose::Config, "configuration");
     let mut watch = GatedWatch::new(&cx, followed);
@@ -130,7 +130,7 @@
 
 /// Keeps the list of upstreams up to date; runs until it is dropped.
 pub(crate) async fn watch_upstreams(cx: WatchContext) {
-    let kind = cx.edges.kinds.upstreams;
+    let kind = cx.codec.kinds.upstreams;
     let part = WorldPart::Upstreams;
     let followed = cx.followed(part, kind, Purpose::Registry, "list of upstreams");
     let mut watch = GatedWatch::new(&cx, followed);
--- a/crates/tc-gateway/tests/routing.rs
+++ b/crates/tc-gateway/tests/routing.rs
@@ -65,7 +65,7 @@
     let twice = config(vec![route("a", "h", "/x/"), route("b", "h", "/x/")]);
     assert!(matches!(
         RouteTable::new(&twice),
-        Err(RouteTableError::Twice(..))
+        Err(RouteTableError::DuplicatePrefix(..))
     ));
     let nowhere = config(vec![Route {
         targets: Vec::new(),
@@ -94,6 +94,6 @@
     }]);
     assert!(matches!(
         RouteTable::new(&not_batch),
-        Err(RouteTableError::NotBatch(..))
+        Err(RouteTableError::NotBatchService(..))
     ));
 }
