--- a/crates/tc-gateway/src/budgets.rs
+++ b/crates/tc-gateway/src/budgets.rs
@@ -12,18 +12,18 @@
 
 /// Part of the budget that is used. The rest covers instances whose lists of members differ for a moment, and
 /// requests that are counted by the instance that got them while their repeats are not.
-const USED_PART: f64 = 0.8;
+const USED_FRACTION: f64 = 0.8;
 
 /// Budgets by service.
 ///
 /// Each instance takes its own requests' share and an equal part of what is allowed besides, so that the sum over
 /// all of them keeps the fleet's budget with nothing to be agreed.
-pub(crate) struct RepeatBudgets {
+pub(crate) struct RetryBudgets {
     settings: RepeatSettings,
     by_service: Mutex<HashMap<ServiceName, RetryBudget>>,
 }
 
-impl RepeatBudgets {
+impl RetryBudgets {
     pub(crate) fn new(settings: RepeatSettings) -> Self {
         Self {
             settings,
@@ -34,8 +34,8 @@
     /// The share of one of `instances` instances.
     pub(crate) fn share(&self, instances: usize) -> RetryLimits {
         RetryLimits {
-            ratio: self.settings.ratio * USED_PART,
-            extra: self.settings.extra * USED_PART / instances.max(1) as f64,
+            ratio: self.settings.ratio * USED_FRACTION,
+            extra: self.settings.extra * USED_FRACTION / instances.max(1) as f64,
             window: self.settings.window,
         }
     }
@@ -43,11 +43,11 @@
     /// The budget of the one instance that calls a service's upstreams for all.
     ///
     /// For a moment there may be two such instances, so it takes half.
-    pub(crate) fn of_home(&self) -> RetryLimits {
+    pub(crate) fn home_share(&self) -> RetryLimits {
         self.share(2)
     }
 
-    pub(crate) fn note_request(&self, service: &ServiceName, instances: usize) {
+    pub(crate) fn record_request(&self, service: &ServiceName, instances: usize) {
         self.with(service, instances, |budget| {
             budget.record_request(MonoTime::now());
         });
@@ -64,7 +64,7 @@
         &self,
         service: &ServiceName,
         instances: usize,
-        act: impl FnOnce(&mut RetryBudget) -> T,
+        action: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let limits = self.share(instances);
         let mut budgets = self
@@ -75,6 +75,6 @@
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(limits));
         budget.set_limits(limits);
-        act(budget)
+        action(budget)
     }
 }
--- a/crates/tc-gateway/src/cold.rs
+++ b/crates/tc-gateway/src/cold.rs
@@ -56,18 +56,18 @@
         !is_cold || self.has_share(mesh, &upstream.id, limit.total())
     }
 
-    /// Whether this instance is one of `most` that may send to an upstream, and has not done so in the last moment.
-    pub(crate) fn has_share(&self, mesh: &Mesh, upstream: &UpstreamId, most: u32) -> bool {
+    /// Whether this instance is one of `max_senders` that may send to an upstream, and has not done so in the last moment.
+    pub(crate) fn has_share(&self, mesh: &Mesh, upstream: &UpstreamId, max_senders: u32) -> bool {
         let now = MonoTime::now();
         let recent = self
             .lock()
             .get(upstream)
             .map_or(0, |sends| sends.count(now));
-        recent == 0 && may_send_without_home(&mesh.me().id, &mesh.members(), upstream, most)
+        recent == 0 && may_send_without_home(&mesh.me().id, &mesh.members(), upstream, max_senders)
     }
 
     /// Counts a request that this instance sends by itself.
-    pub(crate) fn note(&self, service: &RoutedService, upstream: &UpstreamId) {
+    pub(crate) fn record(&self, service: &RoutedService, upstream: &UpstreamId) {
         if service.cold_start.is_some() {
             let mut recent = self.lock();
             let sends = recent.entry(upstream.clone()).or_default();
--- a/crates/tc-gateway/src/engines/homes.rs
+++ b/crates/tc-gateway/src/engines/homes.rs
@@ -49,69 +49,75 @@
     }
 
     /// Chooses an engine as the home of its service; `None` when there is none that may get the request.
-    pub(crate) fn choose(&self, ask: &EngineRequest) -> Option<EngineChoice> {
-        self.choose_by(ask, |planner| planner.choose(MonoTime::now(), ask))
+    pub(crate) fn choose(&self, engine_request: &EngineRequest) -> Option<EngineChoice> {
+        self.choose_with(engine_request, |planner| {
+            planner.choose(MonoTime::now(), engine_request)
+        })
     }
 
-    /// Chooses an engine for a request of this instance, which cannot ask the home of the service.
-    pub(crate) fn choose_alone(&self, mesh: &Mesh, ask: &EngineRequest) -> Option<EngineChoice> {
+    /// Chooses an engine for a request of this instance, which cannot engine_request the home of the service.
+    pub(crate) fn choose_without_home(
+        &self,
+        mesh: &Mesh,
+        engine_request: &EngineRequest,
+    ) -> Option<EngineChoice> {
         let world = self.world.load();
         let config = world.config.as_ref()?;
-        let service = config.service(ask.service.as_str())?;
+        let service = config.service(engine_request.service.as_str())?;
         let limit = self.cold.limit(service);
-        let may = |id: &UpstreamId| {
+        let may_send = |id: &UpstreamId| {
             limit.is_none_or(|limit| self.cold.has_share(mesh, id, limit.senders_without_home()))
-                && self.limits.may_send_beside_home(mesh, id)
+                && self.limits.may_send_with_home_unreachable(mesh, id)
         };
-        let choice = self.choose_by(ask, |planner| {
-            planner.choose_without_home(MonoTime::now(), ask, may)
+        let choice = self.choose_with(engine_request, |planner| {
+            planner.choose_without_home(MonoTime::now(), engine_request, may_send)
         })?;
-        self.cold.note(service, &choice.upstream);
+        self.cold.record(service, &choice.upstream);
         self.limits.record(&choice.upstream);
         Some(choice)
     }
 
     /// `None` as well when the service has no engines.
-    fn choose_by(
+    fn choose_with(
         &self,
-        ask: &EngineRequest,
+        engine_request: &EngineRequest,
         choose: impl FnOnce(&mut EnginePlanner) -> Option<EngineChoice>,
     ) -> Option<EngineChoice> {
         let world = self.world.load();
         let config = world.config.as_ref()?;
-        let service = config.service(ask.service.as_str())?;
+        let service = config.service(engine_request.service.as_str())?;
         let spec = service.engine?;
         let mut homes = self.lock();
-        let home = homes.entry(ask.service.clone()).or_insert_with(|| {
-            log::info!(service = ask.service.as_str(); "this instance chooses engines of a service");
+        let home = homes.entry(engine_request.service.clone()).or_insert_with(|| {
+            log::info!(service = engine_request.service.as_str(); "this instance chooses engines of a service");
             Home {
                 planner: EnginePlanner::new(spec),
                 world: None,
                 limit_changes: 0,
             }
         });
-        home.take_world(&world, &ask.service, spec);
-        home.take_limits(&self.limits);
+        home.update_from_world(&world, &engine_request.service, spec);
+        home.update_limits(&self.limits);
         home.planner.set_cold_limit(self.cold.limit(service));
         let choice = choose(&mut home.planner);
         let (runs, engines) = home.planner.size();
-        log::debug!(service = ask.service.as_str(), tokens = ask.prompt.tokens_in, runs = runs, engines = engines, choice = format!("{choice:?}").as_str(); "the home of engines chose");
+        log::debug!(service = engine_request.service.as_str(), tokens = engine_request.prompt.tokens_in, runs = runs, engines = engines, choice = format!("{choice:?}").as_str(); "the home of engines chose");
         if choice.as_ref().is_some_and(|c| c.fetch_from.is_some()) {
-            metrics::counter!("tc_prompt_fetches_total", "service" => ask.service.as_str().to_owned())
+            metrics::counter!("tc_prompt_fetches_total", "service" => engine_request.service.as_str().to_owned())
                 .increment(1);
         }
         choice
     }
 
-    /// Takes up what became of runs whose engines were chosen here.
-    pub(crate) fn note(&self, service: &ServiceName, news: &[RunReport]) {
+    /// Takes up what became of runs whose engines were to_chosen_engine here.
+    pub(crate) fn record(&self, service: &ServiceName, reports: &[RunReport]) {
         let now = MonoTime::now();
         let mut homes = self.lock();
         let Some(home) = homes.get_mut(service) else {
-            log::debug!(service = service.as_str(), runs = news.len(); "news of runs that this instance chose no engine for");
+            log::debug!(service = service.as_str(), runs = reports.len(); "run reports received for a service without a local engine planner");
             return;
         };
-        for report in news {
+        for report in reports {
             home.planner.record(now, report.run, report.progress);
         }
     }
@@ -125,7 +131,7 @@
 
 impl Home {
     /// Takes up the engines that may get new work, if they may have changed.
-    fn take_world(&mut self, world: &Arc<World>, service: &ServiceName, spec: EngineSpec) {
+    fn update_from_world(&mut self, world: &Arc<World>, service: &ServiceName, spec: EngineSpec) {
         let is_same = self
             .world
             .as_ref()
@@ -150,7 +156,7 @@
     }
 
     /// Takes up the limits that engines announce, if they may have changed.
-    fn take_limits(&mut self, limits: &LimitedSends) {
+    fn update_limits(&mut self, limits: &LimitedSends) {
         let limits = limits.limits();
         let changes = limits.changes();
         if changes == self.limit_changes {
--- a/crates/tc-gateway/src/engines/ask.rs
+++ b/crates/tc-gateway/src/engines/request.rs
@@ -20,53 +20,62 @@
 }
 
 /// Asks for an engine for a request; `None` when no home knows one that is known here too.
-pub(crate) async fn ask_for_engine(
+pub(crate) async fn request_engine(
     cx: &RunContext,
     request: &str,
-    ask: &EngineRequest,
+    engine_request: &EngineRequest,
 ) -> Option<ChosenEngine> {
-    cx.know_homes().await;
-    let home = cx.mesh.home(ask.service.as_str(), &[]);
+    cx.wait_for_membership().await;
+    let home = cx.mesh.home(engine_request.service.as_str(), &[]);
     let home = home.filter(|home| home.id != cx.mesh.me().id);
     let (choice, home) = match home {
-        Some(home) => match cx.mesh.choose_engine(&home, ask).await {
+        Some(home) => match cx.mesh.choose_engine(&home, engine_request).await {
             Ok(choice) => (choice?, Some(home)),
             Err(error) => {
-                log::info!(service = ask.service.as_str(), home = home.id.as_str(), error = error.to_string().as_str(); "the home of engines does not answer; this instance chooses by itself");
+                log::info!(service = engine_request.service.as_str(), home = home.id.as_str(), error = error.to_string().as_str(); "the home of engines does not answer; this instance chooses by itself");
                 match error {
                     MeshError::Late { instance } => cx.mesh.probe(&instance),
                     MeshError::NoAnswer { .. } | MeshError::Malformed { .. } => {
                         cx.mesh.doubt(&home.id);
                     }
                 }
-                (cx.engines.choose_alone(&cx.mesh, ask)?, None)
+                (
+                    cx.engines.choose_without_home(&cx.mesh, engine_request)?,
+                    None,
+                )
             }
         },
-        None => (cx.engines.choose(ask)?, None),
+        None => (cx.engines.choose(engine_request)?, None),
     };
     log::info!(
         request = request,
         upstream = choice.upstream.as_str(),
         fetch_from = choice.fetch_from.as_ref().map_or("", |source| source.as_str()),
-        tokens = ask.prompt.tokens_in,
+        tokens = engine_request.prompt.tokens_in,
         known_limit_per_s = cx.limits.limits().get(&choice.upstream).map(RateLimit::per_s),
         home = home.as_ref().map_or("here", |home| home.id.as_str());
-        "an engine is chosen"
+        "engine chosen"
     );
-    chosen(cx, ask, &choice, home)
+    to_chosen_engine(cx, engine_request, &choice, home)
 }
 
-fn chosen(
+fn to_chosen_engine(
     cx: &RunContext,
-    ask: &EngineRequest,
+    engine_request: &EngineRequest,
     choice: &EngineChoice,
     home: Option<Member>,
 ) -> Option<ChosenEngine> {
-    let run = EngineRun::new(cx.run_news.clone(), home, ask.service.clone(), choice.run);
+    let run = EngineRun::new(
+        cx.run_reports.clone(),
+        home,
+        engine_request.service.clone(),
+        choice.run,
+    );
     let world = cx.world.load();
-    let find = |id: &UpstreamId| find_ready(&world, ask, id);
-    let may_send =
-        |id: &UpstreamId| !ask.excluded.contains(id) && cx.backoffs.remaining(id).is_none();
+    let find = |id: &UpstreamId| find_ready(&world, engine_request, id);
+    let may_send = |id: &UpstreamId| {
+        !engine_request.excluded.contains(id) && cx.backoffs.remaining(id).is_none()
+    };
     Some(ChosenEngine {
         // The home may know less of who leaves than this instance does.
         upstream: find(&choice.upstream).filter(|engine| may_send(&engine.id))?,
@@ -81,10 +90,10 @@
 
 fn find_ready(
     world: &World,
-    ask: &EngineRequest,
+    engine_request: &EngineRequest,
     id: &UpstreamId,
 ) -> Option<Arc<RegisteredUpstream>> {
-    let engines = world.upstreams.of_service(ask.service.as_str());
+    let engines = world.upstreams.of_service(engine_request.service.as_str());
     let found = engines.iter().find(|engine| engine.id == *id);
     found.filter(|engine| engine.takes_work()).cloned()
 }
--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     engines::EngineHomes,
-    homes::{BatchHomes, GivenUp},
+    homes::{BatchHomes, ReleasedResults},
     world::{WorldCell, tell_world},
 };
 
@@ -33,13 +33,13 @@
         outlook: Box::new(move |service| standing.outlook(service)),
         free_results: Box::new(move |results| freers.free_results(&results)),
         choose_engine: Box::new(move |ask| choosers.choose(ask)),
-        tell_runs: Box::new(move |service, news| told.note(service, news)),
+        tell_runs: Box::new(move |service, news| told.record(service, news)),
         world: Box::new(move |have| tell_world(&world, have, beat)),
     })
 }
 
 /// Results go back through the home of their service; without it, straight to their makers.
-pub(crate) async fn free_results(given_up: GivenUp, mesh: Mesh, homes: Arc<BatchHomes>) {
+pub(crate) async fn free_results(released: ReleasedResults, mesh: Mesh, homes: Arc<BatchHomes>) {
     let free = move |service: ServiceName, results: Vec<ResultHandle>| {
         let (mesh, homes) = (mesh.clone(), Arc::clone(&homes));
         async move {
@@ -55,5 +55,5 @@
             }
         }
     };
-    given_up.gather(free).await;
+    released.for_each_batch(free).await;
 }
--- a/crates/tc-gateway/src/homes/calls.rs
+++ b/crates/tc-gateway/src/homes/calls.rs
@@ -11,7 +11,7 @@
 use crate::call::Acceptance;
 
 /// Longest time for a call that frees results; it is answered at once, and repeating it is harmless.
-const FREE_LIMIT: Duration = Duration::from_millis(500);
+const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Makes one call and tells how it ended.
 pub(super) async fn make_pieces(
@@ -85,15 +85,17 @@
             .and_then(|maker| maker.parse().ok())
         {
             Some(maker) => by_maker.entry(maker).or_default().push(handle.clone()),
-            None => log::warn!(result = &*handle.0; "a result names no maker and cannot be freed"),
+            None => {
+                log::warn!(result = &*handle.0; "result handle names no upstream; the result cannot be freed")
+            }
         }
     }
     for (maker, handles) in by_maker {
-        tokio::spawn(free_at(Arc::clone(cx), maker, handles));
+        tokio::spawn(free_at_maker(Arc::clone(cx), maker, handles));
     }
 }
 
-async fn free_at(cx: Arc<HomeContext>, maker: SocketAddr, handles: Vec<ResultHandle>) {
+async fn free_at_maker(cx: Arc<HomeContext>, maker: SocketAddr, handles: Vec<ResultHandle>) {
     let remaining_backoff = || {
         let world = cx.world.load();
         let maker = handles
@@ -108,7 +110,7 @@
         upstream: maker.to_string().into(),
         address: maker,
         request: (cx.codec.free_call)(&handles),
-        remaining: FREE_LIMIT,
+        remaining: FREE_TIMEOUT,
         reuse: true,
     };
     match cx.client.exchange_raw(raw).await {
@@ -117,7 +119,7 @@
             let _ = reply.body.collect().await;
         }
         Err(error) => {
-            log::debug!(results = handles.len(), error = error.to_string().as_str(); "results could not be freed and lapse by themselves");
+            log::debug!(results = handles.len(), error = error.to_string().as_str(); "results could not be freed; they expire on their own");
         }
     }
 }
--- a/crates/tc-gateway/src/homes/chains.rs
+++ b/crates/tc-gateway/src/homes/chains.rs
@@ -23,74 +23,80 @@
 
 /// How often the homes of following stages are asked how they stand. A queue changes by a fifteenth of a call in this time, and
 /// forty short calls a second from each home of a first stage carry it; half as often costs a hundredth of the work in time.
-const ASK_EVERY: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// How long after the last request with such a stage its home is still asked.
-const WANTED_FOR: Duration = Duration::from_secs(1);
+const POLL_AFTER_LAST_REQUEST: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct Known {
-    judge: ChainAdmission,
-    /// Services of stages of requests that were judged here, and when last.
-    wanted: BTreeMap<ServiceName, MonoTime>,
+    admission: ChainAdmission,
+    /// Services of stages of requests that were admitted here, and when last.
+    polled: BTreeMap<ServiceName, MonoTime>,
 }
 
 /// What the homes on this instance know of the others.
 #[derive(Default)]
-pub(super) struct Chains {
+pub(super) struct ChainAdmissions {
     known: Mutex<Known>,
-    /// Wakes who asks the other homes after a time in which nothing was wanted.
-    wanted: Notify,
+    /// Wakes who asks the other homes after a time in which nothing was polled.
+    polled: Notify,
 }
 
-impl Chains {
-    /// Judges a request that begins with this ask; when it is worth it, takes up in the ask until when its first stage must be
+impl ChainAdmissions {
+    /// Judges a request that begins with this stage_request; when it is worth it, takes up in the stage_request until when its first stage must be
     /// made, and tells whether it comes again after a refusal and too late to be in time.
-    pub(super) fn judge(
+    pub(super) fn admit(
         &self,
         world: &World,
         home: &BatchHome,
-        ask: &mut StageRequest,
+        stage_request: &mut StageRequest,
     ) -> Result<bool, StageRefusal> {
-        let Some(chain) = ask.chain.take() else {
+        let Some(chain) = stage_request.chain.take() else {
             return Ok(false);
         };
         let now = MonoTime::now();
         let call_times = call_times(world, &chain);
-        let judged = {
+        let admitted = {
             let mut known = self.lock();
-            known.judge.record(now, &ask.service, home.outlook());
+            known
+                .admission
+                .record(now, &stage_request.service, home.outlook());
             for stage in &chain.stages {
-                known.wanted.insert(stage.service.clone(), now);
+                known.polled.insert(stage.service.clone(), now);
             }
-            let first = ask.stage as usize;
+            let first = stage_request.stage as usize;
             known
-                .judge
-                .admit(now, &chain, ask.priority, first, &call_times)
+                .admission
+                .admit(now, &chain, stage_request.priority, first, &call_times)
         };
-        self.wanted.notify_one();
-        match judged {
+        self.polled.notify_one();
+        match admitted {
             Ok(begun) => {
-                ask.until_latency_target = begun.in_time_for;
+                stage_request.until_latency_target = begun.in_time_for;
                 Ok(begun.is_late_return)
             }
             Err(retry_after) => {
-                let service = ask.service.as_str().to_owned();
+                let service = stage_request.service.as_str().to_owned();
                 metrics::counter!("tc_stage_refusals_total", "service" => service).increment(1);
-                log::info!(request = &*ask.request, service = ask.service.as_str(), rank = ask.priority, until_aim_ms = chain.until_latency_target.as_millis() as u64, retry_after_ms = retry_after.as_millis() as u64; "stages are not worth beginning");
+                log::info!(request = &*stage_request.request, service = stage_request.service.as_str(), rank = stage_request.priority, until_aim_ms = chain.until_latency_target.as_millis() as u64, retry_after_ms = retry_after.as_millis() as u64; "stages are not worth beginning");
                 Err(StageRefusal::Overloaded { retry_after })
             }
         }
     }
 
-    /// Services whose homes matter to requests that were judged a moment ago.
-    fn wanted_now(&self, now: MonoTime) -> Vec<ServiceName> {
+    /// Services whose homes matter to requests that were admitted a moment ago.
+    fn polled_services(&self, now: MonoTime) -> Vec<ServiceName> {
         let mut known = self.lock();
-        known.wanted.retain(|_, last| now.since(*last) < WANTED_FOR);
-        known.wanted.keys().cloned().collect()
+        known
+            .polled
+            .retain(|_, last| now.since(*last) < POLL_AFTER_LAST_REQUEST);
+        known.polled.keys().cloned().collect()
     }
 
-    fn note(&self, service: &ServiceName, outlook: HomeOutlook) {
-        self.lock().judge.record(MonoTime::now(), service, outlook);
+    fn record(&self, service: &ServiceName, outlook: HomeOutlook) {
+        self.lock()
+            .admission
+            .record(MonoTime::now(), service, outlook);
     }
 
     fn lock(&self) -> MutexGuard<'_, Known> {
@@ -111,33 +117,33 @@
 }
 
 /// Keeps asking the homes of the stages that follow here how they stand; runs until it is dropped.
-pub(crate) async fn ask_other_homes(mesh: Mesh, homes: Arc<BatchHomes>) {
+pub(crate) async fn poll_outlooks(mesh: Mesh, homes: Arc<BatchHomes>) {
     loop {
-        let wanted = homes.chains.wanted_now(MonoTime::now());
-        if wanted.is_empty() {
-            homes.chains.wanted.notified().await;
+        let polled = homes.chains.polled_services(MonoTime::now());
+        if polled.is_empty() {
+            homes.chains.polled.notified().await;
             continue;
         }
-        let asked = wanted
+        let asked = polled
             .iter()
-            .map(|service| ask_home(&mesh, &homes, service));
+            .map(|service| poll_outlook(&mesh, &homes, service));
         join_all(asked).await;
-        sleep(ASK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ask_home(mesh: &Mesh, homes: &BatchHomes, service: &ServiceName) {
+async fn poll_outlook(mesh: &Mesh, homes: &BatchHomes, service: &ServiceName) {
     let home = mesh.home(service.as_str(), &[]);
     let other = home.filter(|home| home.id != mesh.me().id);
     let Some(other) = other else {
         if let Some(outlook) = homes.outlook(service) {
-            homes.chains.note(service, outlook);
+            homes.chains.record(service, outlook);
         }
         return;
     };
     // Without an answer its last word counts on for a while, then what is usual.
-    match timeout(ASK_EVERY, mesh.outlook(&other, service)).await {
-        Ok(Ok(Some(outlook))) => homes.chains.note(service, outlook),
+    match timeout(POLL_INTERVAL, mesh.outlook(&other, service)).await {
+        Ok(Ok(Some(outlook))) => homes.chains.record(service, outlook),
         Ok(Ok(None)) => {}
         Ok(Err(error)) => {
             log::debug!(service = service.as_str(), error = error.to_string().as_str(); "the home of a following stage does not tell how it stands");
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -22,7 +22,7 @@
 use super::{HomeContext, PiecesReply, calls};
 
 /// Longest sleep between two looks at the planner when nothing is known to come.
-const IDLE_LOOK: Duration = Duration::from_secs(1);
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(1);
 
 struct Inner {
     planner: BatchPlanner,
@@ -42,12 +42,12 @@
 
 impl BatchHome {
     pub(super) fn start(cx: Arc<HomeContext>, service: ServiceName, spec: BatchSpec) -> Arc<Self> {
-        let repeats = RetryBudget::new(cx.budgets.of_home());
+        let retry_budget = RetryBudget::new(cx.budgets.home_share());
         let home = Arc::new(Self {
             cx,
             service,
             inner: Mutex::new(Inner {
-                planner: BatchPlanner::new(spec, repeats),
+                planner: BatchPlanner::new(spec, retry_budget),
                 waiting: SecondaryMap::new(),
                 limit_changes: 0,
             }),
@@ -56,21 +56,21 @@
         // Before the world is taken up: a change between the two would be missed until the next one, seen as a home that
         // knows no upstream for seconds while all are registered.
         let changes = home.cx.world.changes();
-        home.take_world();
+        home.update_from_world();
         tokio::spawn(follow_world(Arc::downgrade(&home), changes));
-        tokio::spawn(keep_time(Arc::downgrade(&home)));
+        tokio::spawn(run_timer(Arc::downgrade(&home)));
         home
     }
 
     /// Makes the pieces of a stage. Dropping the future takes back what was not started.
-    pub(super) async fn make(self: Arc<Self>, ask: StageRequest) -> PiecesReply {
+    pub(super) async fn make_pieces(self: Arc<Self>, stage_request: StageRequest) -> PiecesReply {
         let now = MonoTime::now();
         let (reply, answer) = oneshot::channel();
-        let request = Arc::clone(&ask.request);
+        let request = Arc::clone(&stage_request.request);
         let job = {
             let mut inner = self.lock();
             let wait = inner.planner.expected_wait();
-            let pushed = inner.planner.push(now, new_job(now, ask));
+            let pushed = inner.planner.push(now, to_job(now, stage_request));
             let job = pushed.inspect_err(|refusal| {
                 let service = self.service.as_str().to_owned();
                 metrics::counter!("tc_stage_refusals_total", "service" => service).increment(1);
@@ -86,7 +86,7 @@
         self.drive();
         self.wake.notify_one();
         let answer = answer.await;
-        cancel.keep();
+        cancel.disarm();
         // The sender is dropped only with the home itself.
         answer.unwrap_or(Err(StageRefusal::Failed))
     }
@@ -97,7 +97,7 @@
     }
 
     /// Results that are given up take no room any more.
-    pub(super) fn freed(self: &Arc<Self>, handles: &[ResultHandle]) {
+    pub(super) fn results_freed(self: &Arc<Self>, handles: &[ResultHandle]) {
         {
             let mut inner = self.lock();
             for handle in handles {
@@ -110,7 +110,7 @@
     /// Starts every call that the planner wants now.
     fn drive(self: &Arc<Self>) {
         let now = MonoTime::now();
-        self.take_limits(now);
+        self.update_limits(now);
         loop {
             let call = self.lock().planner.next_call(now);
             let Some(call) = call else { return };
@@ -154,12 +154,12 @@
             settled
         };
         calls::free_at_makers(&self.cx, &settled.discarded_results);
-        self.give_up_inputs(&settled.released_inputs);
+        self.release_inputs(&settled.released_inputs);
         settled.finished.len()
     }
 
     /// Inputs that the stage's pieces have are given up through the homes of the services that made them.
-    fn give_up_inputs(&self, inputs: &[ResultHandle]) {
+    fn release_inputs(&self, inputs: &[ResultHandle]) {
         if inputs.is_empty() {
             return;
         }
@@ -169,7 +169,7 @@
                 log::debug!(result = &*input.0; "the maker of a result is gone, and the result with it");
                 continue;
             };
-            self.cx.freer.free(&maker.service, [input.clone()]);
+            self.cx.releaser.release(&maker.service, [input.clone()]);
         }
     }
 
@@ -182,19 +182,19 @@
     }
 
     fn cancel(&self, job: JobKey) {
-        let unwanted = {
+        let discarded = {
             let mut inner = self.lock();
             inner.waiting.remove(job);
-            let unwanted = inner.planner.cancel(job);
-            for handle in &unwanted {
+            let discarded = inner.planner.cancel(job);
+            for handle in &discarded {
                 inner.planner.result_freed(handle);
             }
-            unwanted
+            discarded
         };
-        calls::free_at_makers(&self.cx, &unwanted);
+        calls::free_at_makers(&self.cx, &discarded);
     }
 
-    fn take_world(&self) {
+    fn update_from_world(&self) {
         let world = self.cx.world.load();
         let upstreams: Vec<BatchUpstream> = world
             .upstreams
@@ -220,7 +220,7 @@
     }
 
     /// Takes up the limits that upstreams announce, if they may have changed.
-    fn take_limits(&self, now: MonoTime) {
+    fn update_limits(&self, now: MonoTime) {
         let limits = &self.cx.limits;
         let changes = limits.changes();
         let mut inner = self.lock();
@@ -235,20 +235,20 @@
     }
 }
 
-fn new_job(now: MonoTime, ask: StageRequest) -> NewJob {
+fn to_job(now: MonoTime, stage_request: StageRequest) -> NewJob {
     NewJob {
-        request: ask.request,
-        stage: ask.stage,
-        pieces: ask.pieces,
-        input: ask.input,
-        result_bytes: ask.result_bytes,
-        rank: ask.priority,
-        in_time_until: now.after(ask.until_latency_target),
-        deadline: now.after(ask.remaining),
-        preferred_domain: ask.preferred_domain,
-        held_bytes: ask.held_bytes,
-        is_last_reader: ask.is_last_reader,
-        following: ask.dependents,
+        request: stage_request.request,
+        stage: stage_request.stage,
+        pieces: stage_request.pieces,
+        input: stage_request.input,
+        result_bytes: stage_request.result_bytes,
+        rank: stage_request.priority,
+        in_time_until: now.after(stage_request.until_latency_target),
+        deadline: now.after(stage_request.remaining),
+        preferred_domain: stage_request.preferred_domain,
+        held_bytes: stage_request.held_bytes,
+        is_last_reader: stage_request.is_last_reader,
+        following: stage_request.dependents,
     }
 }
 
@@ -260,7 +260,7 @@
 
 impl CancelOnDrop {
     /// The job has ended by itself.
-    fn keep(mut self) {
+    fn disarm(mut self) {
         self.job = None;
     }
 }
@@ -276,24 +276,26 @@
 async fn follow_world(home: Weak<BatchHome>, mut changes: Receiver<u64>) {
     while changes.changed().await.is_ok() {
         let Some(home) = home.upgrade() else { return };
-        home.take_world();
+        home.update_from_world();
         home.drive();
     }
 }
 
 /// Looks at the planner when time alone changes what is possible.
-async fn keep_time(home: Weak<BatchHome>) {
+async fn run_timer(home: Weak<BatchHome>) {
     loop {
         let Some(home) = home.upgrade() else { return };
         let now = MonoTime::now();
         let next = home.lock().planner.next_wake(now);
-        let wait = next.map_or(IDLE_LOOK, |at| at.since(now).max(Duration::from_millis(5)));
+        let wait = next.map_or(MAX_IDLE_WAIT, |at| {
+            at.since(now).max(Duration::from_millis(5))
+        });
         // Woken early or not, the planner is looked at.
         let _ = timeout(wait, home.wake.notified()).await;
         let now = MonoTime::now();
         home.step(|planner| planner.expire(now));
         let read = home.lock().planner.take_read_inputs(now);
-        home.give_up_inputs(&read);
+        home.release_inputs(&read);
         home.drive();
     }
 }
--- a/crates/tc-gateway/src/homes/mod.rs
+++ b/crates/tc-gateway/src/homes/mod.rs
@@ -2,8 +2,8 @@
 
 mod calls;
 mod chains;
-mod free;
 mod home;
+mod release;
 
 use std::{
     collections::HashMap,
@@ -19,16 +19,16 @@
 use tc_upstream::UpstreamClient;
 
 use crate::{
-    backoffs::UpstreamBackoffs, budgets::RepeatBudgets, codec::PlatformCodec,
+    backoffs::UpstreamBackoffs, budgets::RetryBudgets, codec::PlatformCodec,
     unknown_headers::UnknownHeaders, world::WorldCell,
 };
 
-use chains::Chains;
-pub(crate) use chains::ask_other_homes;
-pub(crate) use free::{Freer, GivenUp};
+use chains::ChainAdmissions;
+pub(crate) use chains::poll_outlooks;
 use home::BatchHome;
+pub(crate) use release::{ReleasedResults, ResultReleaser};
 
-/// Answer to an ask for pieces.
+/// Answer to an stage_request for pieces.
 pub(crate) type PiecesReply = Result<Vec<ResultHandle>, StageRefusal>;
 
 /// What every home needs.
@@ -36,8 +36,8 @@
     pub(crate) codec: PlatformCodec,
     pub(crate) client: UpstreamClient,
     pub(crate) world: Arc<WorldCell>,
-    pub(crate) budgets: Arc<RepeatBudgets>,
-    pub(crate) freer: Freer,
+    pub(crate) budgets: Arc<RetryBudgets>,
+    pub(crate) releaser: ResultReleaser,
     pub(crate) limits: Arc<UpstreamLimits>,
     pub(crate) backoffs: Arc<UpstreamBackoffs>,
     pub(crate) unknown_headers: Arc<UnknownHeaders>,
@@ -47,7 +47,7 @@
 pub(crate) struct BatchHomes {
     cx: Arc<HomeContext>,
     by_service: Mutex<HashMap<ServiceName, Arc<BatchHome>>>,
-    chains: Chains,
+    chains: ChainAdmissions,
 }
 
 impl BatchHomes {
@@ -55,18 +55,20 @@
         Self {
             cx: Arc::new(cx),
             by_service: Mutex::default(),
-            chains: Chains::default(),
+            chains: ChainAdmissions::default(),
         }
     }
 
     /// Makes the pieces of a stage. Dropping the future takes back what was not started.
-    pub(crate) async fn make_pieces(&self, mut ask: StageRequest) -> PiecesAnswer {
-        match self.home(&ask.service) {
+    pub(crate) async fn make_pieces(&self, mut stage_request: StageRequest) -> PiecesAnswer {
+        match self.home(&stage_request.service) {
             Some(home) => {
-                let judged = self.chains.judge(&self.cx.world.load(), &home, &mut ask);
-                let is_late_return = judged == Ok(true);
-                let reply = match judged {
-                    Ok(_) => Arc::clone(&home).make(ask).await,
+                let admitted = self
+                    .chains
+                    .admit(&self.cx.world.load(), &home, &mut stage_request);
+                let is_late_return = admitted == Ok(true);
+                let reply = match admitted {
+                    Ok(_) => Arc::clone(&home).make_pieces(stage_request).await,
                     Err(refusal) => Err(refusal),
                 };
                 PiecesAnswer {
@@ -96,7 +98,7 @@
             homes.values().cloned().collect()
         };
         for home in homes {
-            home.freed(handles);
+            home.results_freed(handles);
         }
         calls::free_at_makers(&self.cx, handles);
     }
--- a/crates/tc-gateway/src/lib.rs
+++ b/crates/tc-gateway/src/lib.rs
@@ -24,7 +24,7 @@
 mod start;
 mod stop;
 mod unknown_headers;
-mod upstreams;
+mod upstream_stats;
 mod world;
 
 pub use call::{
--- a/crates/tc-gateway/src/limits.rs
+++ b/crates/tc-gateway/src/limits.rs
@@ -13,20 +13,20 @@
 };
 
 /// Longest wait that callers are told.
-const LONGEST_WAIT: Duration = Duration::from_secs(4);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 
 /// Keeps this instance's share of the rate limits of upstreams.
 #[derive(Debug)]
 pub(crate) struct LimitedSends {
     limits: Arc<UpstreamLimits>,
-    lone: Mutex<UncoordinatedSends>,
+    sends: Mutex<UncoordinatedSends>,
 }
 
 impl LimitedSends {
     pub(crate) fn new(limits: Arc<UpstreamLimits>) -> Self {
         Self {
             limits,
-            lone: Mutex::default(),
+            sends: Mutex::default(),
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// Returns true if this instance may send to the engine while its home does not answer.
-    pub(crate) fn may_send_beside_home(&self, mesh: &Mesh, id: &UpstreamId) -> bool {
+    pub(crate) fn may_send_with_home_unreachable(&self, mesh: &Mesh, id: &UpstreamId) -> bool {
         let Some(limit) = self.limits.get(id) else {
             return true;
         };
@@ -70,7 +70,7 @@
             return None;
         }
         let per_s: f64 = per_s.iter().sum();
-        let seconds = 1.0 / per_s.max(1.0 / LONGEST_WAIT.as_secs_f64());
+        let seconds = 1.0 / per_s.max(1.0 / MAX_RETRY_AFTER.as_secs_f64());
         Some(Duration::from_secs_f64(seconds))
     }
 
@@ -87,6 +87,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, UncoordinatedSends> {
-        self.lone.lock().unwrap_or_else(PoisonError::into_inner)
+        self.sends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/tc-gateway/src/routing.rs
+++ b/crates/tc-gateway/src/routing.rs
@@ -117,7 +117,7 @@
 }
 
 /// The service that takes a request, by the weights of the route's split; the same request always goes the same way.
-pub(crate) fn target_of<'a>(route: &'a Route, request: &str) -> Option<&'a ServiceName> {
+pub(crate) fn target_service<'a>(route: &'a Route, request: &str) -> Option<&'a ServiceName> {
     let total: u64 = route.targets.iter().map(|(_, w)| u64::from(*w)).sum();
     let mut point = xxh3_64(request.as_bytes()) % total.max(1);
     for (service, weight) in &route.targets {
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -12,16 +12,16 @@
 use crate::{
     call::{Acceptance, AnswerHead, UpstreamRequestHead},
     engines::EngineRun,
-    upstreams::{CallHealth, InFlight},
+    upstream_stats::{CallOutcome, InFlight},
 };
 
 /// A request with less time left is not sent any more: no upstream could answer it.
-const LEAST_TIME: Duration = Duration::from_millis(10);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
 /// Sends of one request that upstreams may turn away before it is given up. What was turned away has not run, so it does not
 /// count towards the runs that its route allows; but each one is a repeat that the others' budget lacks, and an upstream that
 /// is full tells that its peers soon are.
-const MOST_TURNED_AWAY: u32 = 3;
+const MAX_REFUSED_SENDS: u32 = 3;
 
 /// What was learnt from sends of one request so far.
 #[derive(Debug, Default)]
@@ -29,15 +29,15 @@
     /// Sends that left this process and may have run.
     pub(super) sent: u32,
     /// Sends that an upstream turned away without having run the request.
-    turned_away: u32,
+    refused: u32,
     /// Whether any send may have run.
     pub(super) may_have_run: bool,
     /// Upstreams not to be tried again.
     pub(super) tried: Vec<UpstreamId>,
     /// Whether the next send is a repeat of one that reached an upstream.
-    arrived: bool,
+    reached_upstream: bool,
     /// Whom the send in progress is for.
-    current: Option<UpstreamId>,
+    current_upstream: Option<UpstreamId>,
 }
 
 /// Why a send brought no answer that can be used.
@@ -61,18 +61,18 @@
 
 /// What is wrong with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Spoilt {
+pub(super) enum AnswerFault {
     /// It ended before its end, as when the upstream crashes.
-    Broke,
+    Broken,
     /// It is too late, too large, or another's.
-    Wrong,
+    Invalid,
 }
 
-impl From<&CallError> for Spoilt {
+impl From<&CallError> for AnswerFault {
     fn from(error: &CallError) -> Self {
         match error.kind {
-            CallErrorKind::Broken => Self::Broke,
-            _ => Self::Wrong,
+            CallErrorKind::Broken => Self::Broken,
+            _ => Self::Invalid,
         }
     }
 }
@@ -91,12 +91,12 @@
 
 /// What is sent besides the request.
 #[derive(Clone, Copy, Default)]
-pub(super) struct SendWith<'a> {
+pub(super) struct SendOptions<'a> {
     /// What the request's stages left; `None` for routes without stages.
     pub(super) results: Option<&'a StageResults>,
     pub(super) resume_after: Option<u64>,
     /// Ends the send before the request's own time.
-    pub(super) limit: Option<Duration>,
+    pub(super) timeout: Option<Duration>,
 }
 
 impl Attempts {
@@ -115,25 +115,26 @@
             | SendFailure::BackingOff(_)
             | SendFailure::NoTime => false,
         };
-        let is_used_up =
-            self.sent >= req.route.max_attempts || self.turned_away >= MOST_TURNED_AWAY;
-        if !allowed || is_used_up || req.time_left() < LEAST_TIME {
+        let is_used_up = self.sent >= req.route.max_attempts || self.refused >= MAX_REFUSED_SENDS;
+        if !allowed || is_used_up || req.time_left() < MIN_TIME_LEFT {
             return false;
         }
-        !self.arrived || cx.budgets.try_spend(&req.service, cx.instances())
+        !self.reached_upstream || cx.budgets.try_spend(&req.service, cx.instances())
     }
 
     /// What to tell the caller when nothing more is tried.
     pub(super) fn refusal(&self, req: &RoutedRequest, failure: SendFailure) -> Refusal {
         if self.may_have_run {
-            return if req.time_left() < LEAST_TIME {
+            return if req.time_left() < MIN_TIME_LEFT {
                 Refusal::timed_out()
             } else {
                 Refusal::unknown("an upstream broke off and may have run the request")
             };
         }
         match failure {
-            SendFailure::NoUpstream => Refusal::not_run_now("no upstream of the service is known"),
+            SendFailure::NoUpstream => {
+                Refusal::not_run_transient("no upstream of the service is known")
+            }
             SendFailure::Limited(wait) => {
                 Refusal::not_run("upstreams of the service are at their rate limit", wait)
             }
@@ -141,9 +142,9 @@
                 Refusal::not_run("upstreams of the service have asked for a rest", wait)
             }
             SendFailure::NoTime => Refusal::timed_out(),
-            SendFailure::InputGone => Refusal::not_run_now("results of a stage were lost"),
+            SendFailure::InputGone => Refusal::not_run_transient("results of a stage were lost"),
             SendFailure::NotRun | SendFailure::Unknown => {
-                Refusal::not_run_now("no upstream took the request")
+                Refusal::not_run_transient("no upstream took the request")
             }
         }
     }
@@ -153,26 +154,28 @@
         &mut self,
         cx: &RunContext,
         req: &RoutedRequest,
-        with: SendWith<'_>,
+        options: SendOptions<'_>,
     ) -> Result<Answered, SendFailure> {
         let time_left = req.time_left();
-        if time_left < LEAST_TIME {
+        if time_left < MIN_TIME_LEFT {
             return Err(SendFailure::NoTime);
         }
         cx.world.read_anew().await;
-        let mut target = self.choose(cx, req, with.results).await?;
+        let mut target = self.choose(cx, req, options.results).await?;
         let upstream = Arc::clone(&target.upstream);
-        let remaining = with.limit.map_or(time_left, |limit| limit.min(time_left));
+        let remaining = options
+            .timeout
+            .map_or(time_left, |timeout| timeout.min(time_left));
         let call = RawCall {
             upstream: upstream.id.clone(),
             address: upstream.address,
-            request: request_to(cx, req, &target, &with),
+            request: request_to(cx, req, &target, &options),
             remaining,
             reuse: false,
         };
         let sent_at = Instant::now();
         self.sent += 1;
-        self.current = Some(upstream.id.clone());
+        self.current_upstream = Some(upstream.id.clone());
         let exchanged = cx.client.exchange_raw(call).await;
         let reply = match exchanged {
             Ok(reply) => reply,
@@ -180,17 +183,17 @@
                 let not_run = error.run_state == RunState::NotRun;
                 log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), not_run = not_run, error = error.to_string().as_str(), after_ms = sent_at.elapsed().as_millis() as u64; "a send brought no answer");
                 if error.kind == CallErrorKind::Broken {
-                    broke_under(cx, req, &upstream.id);
+                    report_crash(cx, req, &upstream.id);
                 }
-                cx.book.note(&upstream.id, CallHealth::Failed);
+                cx.upstream_stats.record(&upstream.id, CallOutcome::Failed);
                 if let Some(run) = &mut target.run {
                     run.failed();
                 }
                 self.tried.push(upstream.id.clone());
-                return Err(self.unanswered(not_run));
+                return Err(self.record_send_error(not_run));
             }
         };
-        self.arrived = true;
+        self.reached_upstream = true;
         let answered = Answered {
             head: (cx.codec.read_answer)(&reply.head),
             reply,
@@ -199,21 +202,21 @@
             in_flight: target.in_flight,
             run: target.run,
         };
-        self.check(cx, req, answered)
+        self.check_answer(cx, req, answered)
     }
 
-    fn unanswered(&mut self, not_run: bool) -> SendFailure {
+    fn record_send_error(&mut self, not_run: bool) -> SendFailure {
         if not_run {
             self.sent -= 1;
             return SendFailure::NotRun;
         }
-        self.arrived = true;
+        self.reached_upstream = true;
         self.may_have_run = true;
         SendFailure::Unknown
     }
 
     /// Tells answers that belong to this request and are genuine from all others.
-    fn check(
+    fn check_answer(
         &mut self,
         cx: &RunContext,
         req: &RoutedRequest,
@@ -222,7 +225,7 @@
         let head = &answered.head;
         let id = &answered.upstream.id;
         if let Some(load) = head.load {
-            cx.book.note_load(id, load);
+            cx.upstream_stats.record_load(id, load);
         }
         cx.unknown_headers.record(id, &head.unknown);
         if head.announces_leaving() {
@@ -235,10 +238,10 @@
         if head.acceptance != Acceptance::Yes {
             let status = answered.reply.head.status.as_u16();
             log::info!(request = &*req.head.request, upstream = id.as_str(), status = status, taken = format!("{:?}", head.acceptance).as_str(); "an upstream did not take a request");
-            cx.book.note(id, CallHealth::Full);
+            cx.upstream_stats.record(id, CallOutcome::Full);
             self.tried.push(id.clone());
             self.sent -= 1;
-            self.turned_away += 1;
+            self.refused += 1;
             if head.acceptance != Acceptance::InputGone
                 && let Some(run) = &mut answered.run
             {
@@ -258,38 +261,38 @@
         let is_success = answered.reply.head.status.is_success();
         if !is_ours || (is_success && !is_genuine) {
             log::warn!(request = &*req.head.request, upstream = id.as_str(), ours = is_ours, sealed = head.sealed, encoded = head.encoded; "an answer is not this request's or not genuine");
-            return Err(self.spoilt(cx, req, id, Spoilt::Wrong));
+            return Err(self.record_faulty_answer(cx, req, id, AnswerFault::Invalid));
         }
         Ok(answered)
     }
 
     /// The next send goes to another upstream than the last one.
-    pub(super) fn leave_out_current(&mut self) {
-        self.tried.extend(self.current.take());
+    pub(super) fn exclude_current(&mut self) {
+        self.tried.extend(self.current_upstream.take());
     }
 
     /// A send was given up while its answer was awaited.
-    pub(super) fn gave_up_waiting(&mut self, cx: &RunContext) {
-        self.arrived = true;
+    pub(super) fn record_timeout(&mut self, cx: &RunContext) {
+        self.reached_upstream = true;
         self.may_have_run = true;
-        if let Some(id) = self.current.take() {
-            cx.book.note(&id, CallHealth::Failed);
+        if let Some(id) = self.current_upstream.take() {
+            cx.upstream_stats.record(&id, CallOutcome::Failed);
             self.tried.push(id);
         }
     }
 
     /// The upstream ran the request, but its answer cannot be used.
-    pub(super) fn spoilt(
+    pub(super) fn record_faulty_answer(
         &mut self,
         cx: &RunContext,
         req: &RoutedRequest,
         id: &UpstreamId,
-        how: Spoilt,
+        fault: AnswerFault,
     ) -> SendFailure {
-        if how == Spoilt::Broke {
-            broke_under(cx, req, id);
+        if fault == AnswerFault::Broken {
+            report_crash(cx, req, id);
         }
-        cx.book.note(id, CallHealth::Failed);
+        cx.upstream_stats.record(id, CallOutcome::Failed);
         self.tried.push(id.clone());
         self.may_have_run = true;
         SendFailure::Unknown
@@ -297,7 +300,7 @@
 }
 
 /// An upstream may have crashed of the request it ran.
-fn broke_under(cx: &RunContext, req: &RoutedRequest, upstream: &UpstreamId) {
+fn report_crash(cx: &RunContext, req: &RoutedRequest, upstream: &UpstreamId) {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
     cx.mesh
         .broke_under(input, &req.service, &workspace, upstream.clone());
@@ -307,14 +310,14 @@
     cx: &RunContext,
     req: &RoutedRequest,
     target: &Target,
-    with: &SendWith<'_>,
+    options: &SendOptions<'_>,
 ) -> Request<Full<bytes::Bytes>> {
     let own = UpstreamRequestHead {
         remaining: req.time_left(),
         upstream: &target.upstream.id,
         workspace: req.workspace.as_ref().map(|w| &w.name),
-        inputs: with.results.map(|results| &*results.inputs),
-        resume_after: with.resume_after.or(req.head.resume_after),
+        inputs: options.results.map(|results| &*results.inputs),
+        resume_after: options.resume_after.or(req.head.resume_after),
         fetch_from: target.fetch_from,
     };
     let path = req.parts.uri.path_and_query();
--- a/crates/tc-gateway/src/run/plain.rs
+++ b/crates/tc-gateway/src/run/buffered.rs
@@ -7,15 +7,15 @@
 
 use super::{
     AnswerBody, Refusal, RoutedRequest, RunContext,
-    attempt::{Answered, Attempts, SendFailure, SendWith, Spoilt},
+    attempt::{AnswerFault, Answered, Attempts, SendFailure, SendOptions},
+    full_body,
     stages::{self, StageResults},
-    whole,
 };
-use crate::upstreams::CallHealth;
+use crate::upstream_stats::CallOutcome;
 
 /// Part of the time left that the first send of a request may take when another may follow: an upstream that hangs
 /// leaves enough for a second one.
-const FIRST_SEND_PART: f64 = 0.45;
+const FIRST_SEND_FRACTION: f64 = 0.45;
 
 /// Runs a request and gives its answer whole.
 pub(super) async fn run(
@@ -26,15 +26,15 @@
     let mut results = make_stages(cx, req).await?;
     let mut last_failure = None;
     loop {
-        let with = SendWith {
-            results: results_of(req, &results),
+        let options = SendOptions {
+            results: stage_results(req, &results),
             resume_after: None,
-            limit: first_send_limit(req, &attempts),
+            timeout: first_send_timeout(req, &attempts),
         };
-        let failure = match attempts.send(cx, req, with).await {
+        let failure = match attempts.send(cx, req, options).await {
             Ok(answered) => match read(cx, req, &mut attempts, answered).await {
-                Ok(answer) if is_worth_repeating(answer.status()) => {
-                    attempts.leave_out_current();
+                Ok(answer) if is_retryable(answer.status()) => {
+                    attempts.exclude_current();
                     last_failure = Some(answer);
                     SendFailure::Unknown
                 }
@@ -80,7 +80,7 @@
 }
 
 /// The results that go with a request; `None` for routes without stages.
-pub(super) fn results_of<'a>(
+pub(super) fn stage_results<'a>(
     req: &RoutedRequest,
     results: &'a StageResults,
 ) -> Option<&'a StageResults> {
@@ -88,14 +88,14 @@
 }
 
 /// An upstream's failure that another upstream may not have.
-fn is_worth_repeating(status: StatusCode) -> bool {
+fn is_retryable(status: StatusCode) -> bool {
     status.is_server_error()
 }
 
-fn first_send_limit(req: &RoutedRequest, attempts: &Attempts) -> Option<Duration> {
-    let may_follow = req.route.kind.allows_retry() && attempts.sent + 1 < req.route.max_attempts;
-    may_follow.then(|| {
-        let part = req.time_left().mul_f64(FIRST_SEND_PART);
+fn first_send_timeout(req: &RoutedRequest, attempts: &Attempts) -> Option<Duration> {
+    let may_retry = req.route.kind.allows_retry() && attempts.sent + 1 < req.route.max_attempts;
+    may_retry.then(|| {
+        let part = req.time_left().mul_f64(FIRST_SEND_FRACTION);
         part.max(req.route.latency_target)
     })
 }
@@ -119,20 +119,21 @@
     drop(in_flight);
     match body {
         Ok(body) => {
-            cx.book.note(&upstream.id, CallHealth::Answered(first_byte));
+            cx.upstream_stats
+                .record(&upstream.id, CallOutcome::Answered(first_byte));
             req.note_answer(&upstream.id, reply.head.status, attempts.sent);
             cx.mesh.ran_whole(req.fingerprint());
             Ok(answer(cx, &reply.head, body))
         }
         Err(error) => {
             log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), error = error.to_string().as_str(); "an answer broke off");
-            Err(attempts.spoilt(cx, req, &upstream.id, Spoilt::from(&error)))
+            Err(attempts.record_faulty_answer(cx, req, &upstream.id, AnswerFault::from(&error)))
         }
     }
 }
 
 fn answer(cx: &RunContext, head: &Parts, body: Bytes) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole(body));
+    let mut answer = Response::new(full_body(body));
     *answer.status_mut() = head.status;
     *answer.headers_mut() = (cx.codec.caller_headers)(&head.headers);
     answer
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -1,9 +1,9 @@
 //! The run of one request: its stages, then the request itself, then the answer.
 
 mod attempt;
-mod home_ask;
+mod buffered;
+mod home_request;
 mod outlooks;
-mod plain;
 mod prompt_times;
 mod refusal;
 mod stages;
@@ -27,37 +27,37 @@
 
 use crate::{
     backoffs::UpstreamBackoffs,
-    budgets::RepeatBudgets,
+    budgets::RetryBudgets,
     call::RequestHead,
     codec::PlatformCodec,
     cold::ColdSends,
-    engines::{EngineHomes, NewsSender},
+    engines::{EngineHomes, RunReportSender},
     freeze::{SuspendedTime, TimeAllowed},
-    homes::{BatchHomes, Freer},
+    homes::{BatchHomes, ResultReleaser},
     limits::LimitedSends,
     unknown_headers::UnknownHeaders,
-    upstreams::UpstreamBook,
+    upstream_stats::UpstreamStats,
     world::WorldCell,
 };
 
 pub(crate) use outlooks::SharedOutlooks;
 pub(crate) use prompt_times::SharedPromptTimes;
-pub(crate) use refusal::{Refusal, own_answer};
+pub(crate) use refusal::{Refusal, refusal_answer};
 
 /// Ranks that routes are told apart by within a workspace's rank; routes use 0 to 2, and more would let a workspace wait
 /// for long only because another one's rank is one higher.
-const RANKS_OF_ROUTES: u8 = 3;
+const ROUTE_PRIORITIES: u8 = 3;
 
 /// Body of an answer to a caller. An error cuts the caller's connection, so that no broken answer looks whole.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, StreamCut>;
+pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, IncompleteBody>;
 
 /// Why an answer that had begun was not finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the answer broke off")]
-pub(crate) struct StreamCut;
+pub(crate) struct IncompleteBody;
 
 /// A body that is there whole.
-pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
+pub(crate) fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -70,14 +70,14 @@
     pub(crate) mesh: Mesh,
     pub(crate) homes: Arc<BatchHomes>,
     pub(crate) engines: Arc<EngineHomes>,
-    pub(crate) run_news: NewsSender,
-    pub(crate) freer: Freer,
-    pub(crate) book: Arc<UpstreamBook>,
+    pub(crate) run_reports: RunReportSender,
+    pub(crate) releaser: ResultReleaser,
+    pub(crate) upstream_stats: Arc<UpstreamStats>,
     pub(crate) cold: Arc<ColdSends>,
     pub(crate) limits: Arc<LimitedSends>,
     pub(crate) backoffs: Arc<UpstreamBackoffs>,
     pub(crate) unknown_headers: Arc<UnknownHeaders>,
-    pub(crate) budgets: Arc<RepeatBudgets>,
+    pub(crate) budgets: Arc<RetryBudgets>,
     pub(crate) outlooks: SharedOutlooks,
     pub(crate) prompt_times: SharedPromptTimes,
     pub(crate) client: UpstreamClient,
@@ -92,7 +92,7 @@
     /// When all instances of a fleet of hundreds start at once, each knows some of the others and takes one of those for a
     /// service's home. Dozens of homes then send each upstream more calls than it takes: seen as three seconds of refusals, and
     /// as tens of thousands of refused calls, after every power loss.
-    pub(crate) async fn know_homes(&self) {
+    pub(crate) async fn wait_for_membership(&self) {
         let mut settled = self.members_settled.clone();
         // Fails only when the process ends.
         let _ = settled.wait_for(|settled| *settled).await;
@@ -173,43 +173,43 @@
     /// Rank among requests, 0 first: by workspace, and within one by route.
     fn rank(&self) -> u8 {
         let workspace = self.workspace.as_ref().and_then(|w| w.priority);
-        let within = self.route.priority.min(RANKS_OF_ROUTES - 1);
+        let within = self.route.priority.min(ROUTE_PRIORITIES - 1);
         match workspace {
-            Some(rank) => rank.saturating_mul(RANKS_OF_ROUTES).saturating_add(within),
+            Some(rank) => rank.saturating_mul(ROUTE_PRIORITIES).saturating_add(within),
             None => within,
         }
     }
 }
 
-/// Runs a request to its answer, or to the first event of a streamed one.
+/// Runs a request to its answer, or to the first event of a stream_answer one.
 pub(crate) async fn run(cx: Arc<RunContext>, mut req: RoutedRequest) -> Response<AnswerBody> {
-    cx.budgets.note_request(&req.service, cx.instances());
-    if let Err(refusal) = hold_suspect(&cx, &mut req).await {
+    cx.budgets.record_request(&req.service, cx.instances());
+    if let Err(refusal) = acquire_suspect_run(&cx, &mut req).await {
         refusal.log(&req);
-        return own_answer(&cx.codec, &req.head.request, &refusal);
+        return refusal_answer(&cx.codec, &req.head.request, &refusal);
     }
     let req = Arc::new(req);
     let answered = if req.route.kind.is_stream() {
         stream::run(Arc::clone(&cx), Arc::clone(&req)).await
     } else {
-        plain::run(&cx, &req).await
+        buffered::run(&cx, &req).await
     };
     answered.unwrap_or_else(|refusal| {
         refusal.log(&req);
-        own_answer(&cx.codec, &req.head.request, &refusal)
+        refusal_answer(&cx.codec, &req.head.request, &refusal)
     })
 }
 
 /// Waits for leave to run a request that may crash upstreams; refuses one that has done so too often.
-async fn hold_suspect(cx: &RunContext, req: &mut RoutedRequest) -> Result<(), Refusal> {
+async fn acquire_suspect_run(cx: &RunContext, req: &mut RoutedRequest) -> Result<(), Refusal> {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
     let slack = req.time_to_first();
     let held = cx.mesh.try_run(input, &req.service, &workspace, slack);
-    req.suspect = held.await.map_err(|refused| refused_suspect(&refused))?;
+    req.suspect = held.await.map_err(|refused| suspect_refusal(&refused))?;
     Ok(())
 }
 
-fn refused_suspect(refused: &PermitRefusal) -> Refusal {
+fn suspect_refusal(refused: &PermitRefusal) -> Refusal {
     let reason = match refused.reason {
         RefusalReason::Quarantined => "the request has crashed upstreams that ran it",
         _ => "the request may crash upstreams and another run of it is in progress",
--- a/crates/tc-gateway/src/run/outlooks.rs
+++ b/crates/tc-gateway/src/run/outlooks.rs
@@ -10,11 +10,11 @@
 pub(crate) struct SharedOutlooks(Mutex<StageOutlooks>);
 
 impl SharedOutlooks {
-    pub(crate) fn note(&self, service: &ServiceName, home: HomeOutlook) {
+    pub(crate) fn record(&self, service: &ServiceName, home: HomeOutlook) {
         self.lock().record(MonoTime::now(), service, home);
     }
 
-    pub(crate) fn expect(&self, request: &ChainQuery<'_>) -> ExpectedStageTimes {
+    pub(crate) fn estimate(&self, request: &ChainQuery<'_>) -> ExpectedStageTimes {
         self.lock().estimate(MonoTime::now(), request)
     }
 
--- a/crates/tc-gateway/src/run/prompt_times.rs
+++ b/crates/tc-gateway/src/run/prompt_times.rs
@@ -17,14 +17,14 @@
 
 impl SharedPromptTimes {
     /// The first event of a request came this long after it was sent.
-    pub(super) fn learn(&self, req: &RoutedRequest, took: Duration) {
+    pub(super) fn record(&self, req: &RoutedRequest, took: Duration) {
         let mut times = self.lock();
         let times = times.entry(req.service.clone()).or_default();
         times.record(prompt_tokens(req), took);
     }
 
-    /// What the request is expected to need of its engine.
-    pub(super) fn expect(&self, req: &RoutedRequest) -> Duration {
+    /// What the request is expected_stage_times to need of its engine.
+    pub(super) fn estimate(&self, req: &RoutedRequest) -> Duration {
         let times = self.lock().get(&req.service).copied();
         times.unwrap_or_default().estimate(prompt_tokens(req))
     }
--- a/crates/tc-gateway/src/run/refusal.rs
+++ b/crates/tc-gateway/src/run/refusal.rs
@@ -6,12 +6,12 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use tc_protocol::routing::StageRefusal;
 
-use super::{AnswerBody, RoutedRequest, whole};
+use super::{AnswerBody, RoutedRequest, full_body};
 use crate::codec::PlatformCodec;
 
 /// When a caller is told to come back if nothing better is known: about the time in which an upstream that just
 /// failed or filled up has been found out and others have taken over.
-const COME_BACK: Duration = Duration::from_millis(250);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Why a request ends without an upstream's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,25 +33,25 @@
     }
 
     /// It has not run; the cause passes soon.
-    pub(crate) fn not_run_now(reason: &'static str) -> Self {
-        Self::not_run(reason, COME_BACK)
+    pub(crate) fn not_run_transient(reason: &'static str) -> Self {
+        Self::not_run(reason, DEFAULT_RETRY_AFTER)
     }
 
     /// It may have run.
     pub(crate) fn unknown(reason: &'static str) -> Self {
-        Self::plain(StatusCode::BAD_GATEWAY, reason)
+        Self::without_retry(StatusCode::BAD_GATEWAY, reason)
     }
 
     /// Its time is over, and it may have run.
     pub(crate) fn timed_out() -> Self {
-        Self::plain(
+        Self::without_retry(
             StatusCode::GATEWAY_TIMEOUT,
             "no answer within the time allowed",
         )
     }
 
     /// An answer that depends on the request alone.
-    pub(crate) fn plain(status: StatusCode, reason: &'static str) -> Self {
+    pub(crate) fn without_retry(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
             retry_after: None,
@@ -78,17 +78,17 @@
             StageRefusal::Overloaded { retry_after } => {
                 Self::not_run("a stage before the request has too much to do", retry_after)
             }
-            StageRefusal::InputGone => Self::not_run_now("results of a stage were lost"),
-            StageRefusal::Failed => Self::not_run_now("a stage before the request failed"),
-            StageRefusal::Late => Self::not_run_now("a stage could not be done in time"),
-            StageRefusal::Moved => Self::not_run_now("the home of a stage moves"),
-            StageRefusal::NoUpstream => Self::not_run_now("no upstream of a stage is known"),
+            StageRefusal::InputGone => Self::not_run_transient("results of a stage were lost"),
+            StageRefusal::Failed => Self::not_run_transient("a stage before the request failed"),
+            StageRefusal::Late => Self::not_run_transient("a stage could not be done in time"),
+            StageRefusal::Moved => Self::not_run_transient("the home of a stage moves"),
+            StageRefusal::NoUpstream => Self::not_run_transient("no upstream of a stage is known"),
         }
     }
 }
 
 /// Builds an answer of the system's own.
-pub(crate) fn own_answer(
+pub(crate) fn refusal_answer(
     codec: &PlatformCodec,
     request: &str,
     refusal: &Refusal,
@@ -97,7 +97,7 @@
     metrics::counter!("tc_routed_refusals_total", "status" => status, "reason" => refusal.reason)
         .increment(1);
     let body = serde_json::json!({ "status": refusal.status.as_u16(), "detail": refusal.reason });
-    let mut answer = Response::new(whole(Bytes::from(body.to_string())));
+    let mut answer = Response::new(full_body(Bytes::from(body.to_string())));
     *answer.status_mut() = refusal.status;
     *answer.headers_mut() = (codec.own_headers)(request);
     let json = HeaderValue::from_static("application/problem+json");
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -9,22 +9,22 @@
     routing::{PieceInput, ResultHandle, RouteStage, StageChain, StageRefusal, StageRequest},
 };
 
-use super::{RoutedRequest, RunContext, home_ask::ask_home};
-use crate::homes::{Freer, PiecesReply};
+use super::{RoutedRequest, RunContext, home_request::request_pieces};
+use crate::homes::{PiecesReply, ResultReleaser};
 
 /// Bytes from which on it matters where they are read; moving fewer costs less than waiting for a near upstream.
 const LARGE_BYTES: u64 = 256 << 10;
 
 /// Results that a request holds; given up when dropped.
 pub(super) struct HeldResults {
-    freer: Freer,
+    releaser: ResultReleaser,
     by_stage: Vec<(ServiceName, Vec<ResultHandle>)>,
 }
 
 impl HeldResults {
-    fn new(freer: Freer, stages: &[RouteStage]) -> Self {
+    fn new(releaser: ResultReleaser, stages: &[RouteStage]) -> Self {
         Self {
-            freer,
+            releaser,
             by_stage: stages
                 .iter()
                 .map(|stage| (stage.service.clone(), Vec::new()))
@@ -37,13 +37,13 @@
         self.by_stage[stage].1.clear();
     }
 
-    fn free(&mut self, stage: usize) {
+    fn release(&mut self, stage: usize) {
         let (service, results) = &mut self.by_stage[stage];
-        self.freer.free(service, std::mem::take(results));
+        self.releaser.release(service, std::mem::take(results));
     }
 
     /// Results of the stages that no other stage follows, in their order.
-    fn last(&self, stages: &[RouteStage]) -> Vec<ResultHandle> {
+    fn final_results(&self, stages: &[RouteStage]) -> Vec<ResultHandle> {
         let is_read = |index| stages.iter().any(|stage| stage.depends_on.contains(&index));
         self.by_stage
             .iter()
@@ -57,7 +57,7 @@
 impl Drop for HeldResults {
     fn drop(&mut self) {
         for stage in 0..self.by_stage.len() {
-            self.free(stage);
+            self.release(stage);
         }
     }
 }
@@ -65,7 +65,10 @@
 impl StageResults {
     /// Where the request is best run: where most bytes lie, if they are many.
     pub(super) fn largest_domain(&self) -> Option<&FailureDomain> {
-        let largest = self.lie_in.iter().max_by_key(|(_, bytes)| *bytes)?;
+        let largest = self
+            .bytes_by_domain
+            .iter()
+            .max_by_key(|(_, bytes)| *bytes)?;
         (largest.1 >= LARGE_BYTES).then_some(&largest.0)
     }
 }
@@ -75,17 +78,17 @@
     /// Results that the engine reads.
     pub(super) inputs: Vec<ResultHandle>,
     /// Where they lie, and how many bytes of them.
-    pub(super) lie_in: Vec<(FailureDomain, u64)>,
+    pub(super) bytes_by_domain: Vec<(FailureDomain, u64)>,
     /// Gives all of it up when dropped.
     _held: HeldResults,
 }
 
 /// A stage that ended.
-struct Made {
+struct FinishedStage {
     stage: usize,
     reply: PiecesReply,
     /// Whether its home has given up the results that it read.
-    inputs_given_up: bool,
+    inputs_released: bool,
     /// Whether the request was refused before and comes too late to be in time for its caller.
     is_late_return: bool,
 }
@@ -115,54 +118,58 @@
         fingerprint: req.fingerprint(),
         stages: stages.clone(),
         pieces: (0..stages.len()).map(|stage| graph.pieces(stage)).collect(),
-        until_latency_target: in_time_for(cx, req, Duration::ZERO),
+        until_latency_target: until_latency_target(cx, req, Duration::ZERO),
         remaining: req.time_to_first(),
     });
-    let mut held = HeldResults::new(cx.freer.clone(), stages);
-    let mut running: FuturesUnordered<BoxFuture<'_, Made>> = FuturesUnordered::new();
+    let mut held = HeldResults::new(cx.releaser.clone(), stages);
+    let mut running: FuturesUnordered<BoxFuture<'_, FinishedStage>> = FuturesUnordered::new();
     loop {
         for stage in graph.startable() {
             graph.mark_running(stage);
-            let mut ask = ask_for(cx, req, &graph, &held, stage);
-            ask.chain = chain.take();
+            let mut stage_request = stage_request_for(cx, req, &graph, &held, stage);
+            stage_request.chain = chain.take();
             if is_late_return {
-                ask.until_latency_target = Duration::ZERO;
+                stage_request.until_latency_target = Duration::ZERO;
             }
-            let inputs_given_up = ask.is_last_reader;
+            let inputs_released = stage_request.is_last_reader;
             running.push(Box::pin(async move {
-                let answer = ask_home(cx, ask).await;
-                Made {
+                let answer = request_pieces(cx, stage_request).await;
+                FinishedStage {
                     stage,
                     reply: answer.reply,
-                    inputs_given_up,
+                    inputs_released,
                     is_late_return: answer.is_late_return,
                 }
             }));
         }
-        let Some(made) = running.next().await else {
+        let Some(finished) = running.next().await else {
             break;
         };
-        held.by_stage[made.stage].1 = made.reply?;
-        is_late_return |= made.is_late_return;
-        graph.mark_done(made.stage);
-        for read in graph.fully_read_inputs(made.stage) {
-            if made.inputs_given_up {
+        held.by_stage[finished.stage].1 = finished.reply?;
+        is_late_return |= finished.is_late_return;
+        graph.mark_done(finished.stage);
+        for read in graph.fully_read_inputs(finished.stage) {
+            if finished.inputs_released {
                 held.forget(read);
             } else {
-                held.free(read);
+                held.release(read);
             }
         }
     }
-    let inputs = held.last(stages);
+    let inputs = held.final_results(stages);
     Ok(StageResults {
-        lie_in: domains_of_last(cx, req, &held),
+        bytes_by_domain: final_result_domains(cx, req, &held),
         inputs,
         _held: held,
     })
 }
 
-/// What the stages still to be made are expected to take.
-fn expected(cx: &RunContext, req: &RoutedRequest, graph: &StageGraph<'_>) -> ExpectedStageTimes {
+/// What the stages still to be made are expected_stage_times to take.
+fn expected_stage_times(
+    cx: &RunContext,
+    req: &RoutedRequest,
+    graph: &StageGraph<'_>,
+) -> ExpectedStageTimes {
     let world = cx.world.load();
     let call_time = |stage: &RouteStage| {
         let config = world.config.as_ref()?;
@@ -174,15 +181,15 @@
         .iter()
         .map(|stage| call_time(stage).unwrap_or_default())
         .collect();
-    cx.outlooks.expect(&ChainQuery {
+    cx.outlooks.estimate(&ChainQuery {
         graph,
         call_times: &call_times,
-        until_aim: in_time_for(cx, req, Duration::ZERO),
+        until_aim: until_latency_target(cx, req, Duration::ZERO),
         rank: req.rank(),
     })
 }
 
-fn ask_for(
+fn stage_request_for(
     cx: &RunContext,
     req: &RoutedRequest,
     graph: &StageGraph<'_>,
@@ -190,7 +197,7 @@
     stage: usize,
 ) -> StageRequest {
     let spec = &req.route.stages[stage];
-    let expected = expected(cx, req, graph);
+    let expected_stage_times = expected_stage_times(cx, req, graph);
     let results: Vec<ResultHandle> = spec
         .depends_on
         .iter()
@@ -209,15 +216,15 @@
         input,
         result_bytes: spec.result_bytes,
         priority: req.rank(),
-        until_latency_target: in_time_for(
+        until_latency_target: until_latency_target(
             cx,
             req,
-            graph.critical_path_after(stage, &expected.in_time),
+            graph.critical_path_after(stage, &expected_stage_times.in_time),
         ),
         remaining: req
             .time_to_first()
-            .saturating_sub(cx.prompt_times.expect(req)),
-        preferred_domain: preferred(cx, graph, held, stage),
+            .saturating_sub(cx.prompt_times.estimate(req)),
+        preferred_domain: preferred_domain(cx, graph, held, stage),
         held_bytes: spec
             .depends_on
             .iter()
@@ -230,7 +237,7 @@
 }
 
 /// Where a stage is best made: where its inputs lie if they are large. An engine is chosen by where large results lie.
-fn preferred(
+fn preferred_domain(
     cx: &RunContext,
     graph: &StageGraph<'_>,
     held: &HeldResults,
@@ -249,19 +256,19 @@
     }
     let before = spec.depends_on.iter().copied();
     let largest = before.max_by_key(|before| graph.total_result_bytes(*before))?;
-    domain_of(cx, &held.by_stage[largest])
+    main_domain(cx, &held.by_stage[largest])
 }
 
 /// Time until a stage must be done so that what follows it can still be in time.
-fn in_time_for(cx: &RunContext, req: &RoutedRequest, following: Duration) -> Duration {
+fn until_latency_target(cx: &RunContext, req: &RoutedRequest, following: Duration) -> Duration {
     req.route
         .latency_target
         .saturating_sub(req.arrived.elapsed())
-        .saturating_sub(following + cx.prompt_times.expect(req))
+        .saturating_sub(following + cx.prompt_times.estimate(req))
 }
 
 /// Where the results lie that the request itself reads, and how many bytes of them.
-fn domains_of_last(
+fn final_result_domains(
     cx: &RunContext,
     req: &RoutedRequest,
     held: &HeldResults,
@@ -277,7 +284,7 @@
 }
 
 /// Where most of a stage's results lie.
-fn domain_of(
+fn main_domain(
     cx: &RunContext,
     (_, results): &(ServiceName, Vec<ResultHandle>),
 ) -> Option<FailureDomain> {
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -11,22 +11,22 @@
 use tokio::time::timeout;
 
 use super::{
-    AnswerBody, Refusal, RoutedRequest, RunContext, StreamCut,
-    attempt::{Answered, Attempts, SendFailure, SendWith, Spoilt},
-    plain::{make_stages, make_stages_again, read, results_of},
+    AnswerBody, IncompleteBody, Refusal, RoutedRequest, RunContext,
+    attempt::{AnswerFault, Answered, Attempts, SendFailure, SendOptions},
+    buffered::{make_stages, make_stages_again, read, stage_results},
     stages::StageResults,
 };
 use crate::{
     events::{Event, EventSplitter},
-    upstreams::CallHealth,
+    upstream_stats::CallOutcome,
 };
 
 /// A resumable stream without an event for so many times the longest pause allowed goes on elsewhere.
-const STALLED_PAUSES: u32 = 4;
+const STALL_GAPS: u32 = 4;
 /// Shortest such time: an engine may preempt a run for some hundred milliseconds.
-const LEAST_STALL: Duration = Duration::from_secs(1);
+const MIN_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Part of the time left that a resumable stream waits for its first event before another engine is tried.
-const FIRST_EVENT_PART: f64 = 0.45;
+const FIRST_EVENT_FRACTION: f64 = 0.45;
 
 /// Runs a request to its first event; the rest follows in the answer's body.
 pub(super) async fn run(
@@ -37,11 +37,11 @@
     let mut results = make_stages(&cx, &req).await?;
     loop {
         let failure = match open(&cx, &req, &mut attempts, &results, None).await {
-            Ok(Opened::Whole(answer)) => return Ok(answer),
+            Ok(Opened::Buffered(answer)) => return Ok(answer),
             Ok(Opened::Stream(open)) => {
                 // The engine has read its inputs by its first event.
                 drop(results);
-                return Ok(streamed(cx, req, attempts, *open));
+                return Ok(stream_answer(cx, req, attempts, *open));
             }
             Err(failure) => failure,
         };
@@ -57,7 +57,7 @@
 /// An answer that has begun.
 enum Opened {
     /// It is no stream, or one that ended before any event.
-    Whole(Response<AnswerBody>),
+    Buffered(Response<AnswerBody>),
     Stream(Box<OpenStream>),
 }
 
@@ -75,16 +75,18 @@
     results: &StageResults,
     resume_after: Option<u64>,
 ) -> Result<Opened, SendFailure> {
-    let with = SendWith {
-        results: results_of(req, results),
+    let options = SendOptions {
+        results: stage_results(req, results),
         resume_after,
-        limit: None,
+        timeout: None,
     };
-    let limit = first_event_limit(req, attempts);
+    let limit = first_event_timeout(req, attempts);
     let opened = async {
-        let answered = attempts.send(cx, req, with).await?;
+        let answered = attempts.send(cx, req, options).await?;
         if !answered.head.is_stream || !answered.reply.head.status.is_success() {
-            return read(cx, req, attempts, answered).await.map(Opened::Whole);
+            return read(cx, req, attempts, answered)
+                .await
+                .map(Opened::Buffered);
         }
         first_event(cx, req, attempts, answered).await
     };
@@ -92,19 +94,19 @@
         return opened;
     }
     log::info!(request = &*req.head.request; "no first event in time; another engine is tried");
-    attempts.gave_up_waiting(cx);
+    attempts.record_timeout(cx);
     Err(SendFailure::Unknown)
 }
 
-fn first_event_limit(req: &RoutedRequest, attempts: &Attempts) -> Duration {
-    let may_follow = req.route.kind.allows_retry() && attempts.sent + 1 < req.route.max_attempts;
-    if may_follow {
+fn first_event_timeout(req: &RoutedRequest, attempts: &Attempts) -> Duration {
+    let may_retry = req.route.kind.allows_retry() && attempts.sent + 1 < req.route.max_attempts;
+    if may_retry {
         req.time_left()
-            .mul_f64(FIRST_EVENT_PART)
+            .mul_f64(FIRST_EVENT_FRACTION)
             .max(req.route.latency_target)
     } else {
         // The call itself ends with the request's time.
-        req.time_left() + LEAST_STALL
+        req.time_left() + MIN_STALL_TIMEOUT
     }
 }
 
@@ -118,12 +120,12 @@
     loop {
         if let Some(first) = events.take_event() {
             let first_byte = answered.sent_at.elapsed();
-            cx.prompt_times.learn(req, first_byte);
+            cx.prompt_times.record(req, first_byte);
             if let Some(run) = &answered.run {
                 run.first_event(first_byte);
             }
-            cx.book
-                .note(&answered.upstream.id, CallHealth::Answered(first_byte));
+            cx.upstream_stats
+                .record(&answered.upstream.id, CallOutcome::Answered(first_byte));
             req.note_answer(
                 &answered.upstream.id,
                 answered.reply.head.status,
@@ -145,38 +147,40 @@
                 })));
             }
             other => {
-                let broken = Broken::from_end(other.and_then(Result::err));
+                let fault = StreamFault::from_end(other.and_then(Result::err));
                 if let Some(run) = &mut answered.run {
                     run.failed();
                 }
                 let upstream = &answered.upstream.id;
-                log::info!(request = &*req.head.request, upstream = upstream.as_str(), error = broken.problem.as_str(); "a stream broke before its first event");
-                return Err(attempts.spoilt(cx, req, upstream, broken.how));
+                log::info!(request = &*req.head.request, upstream = upstream.as_str(), error = fault.problem.as_str(); "a stream broke before its first event");
+                return Err(attempts.record_faulty_answer(cx, req, upstream, fault.kind));
             }
         }
     }
 }
 
 /// How a stream ended before its end.
-struct Broken {
-    how: Spoilt,
+struct StreamFault {
+    kind: AnswerFault,
     problem: String,
 }
 
-impl Broken {
+impl StreamFault {
     /// The connection failed, or ended where no event ends.
     fn from_end(error: Option<CallError>) -> Self {
-        let how = error.as_ref().map_or(Spoilt::Broke, Spoilt::from);
+        let kind = error
+            .as_ref()
+            .map_or(AnswerFault::Broken, AnswerFault::from);
         let problem = error.map_or_else(
             || "it ended inside an event".to_owned(),
             |error| error.to_string(),
         );
-        Self { how, problem }
+        Self { kind, problem }
     }
 
-    fn wrong(problem: &str) -> Self {
+    fn invalid(problem: &str) -> Self {
         Self {
-            how: Spoilt::Wrong,
+            kind: AnswerFault::Invalid,
             problem: problem.to_owned(),
         }
     }
@@ -193,7 +197,7 @@
     ended: bool,
 }
 
-fn streamed(
+fn stream_answer(
     cx: Arc<RunContext>,
     req: Arc<RoutedRequest>,
     attempts: Attempts,
@@ -221,7 +225,7 @@
 
 impl Relay {
     /// The next whole events; `None` at the end of a whole stream.
-    async fn next(&mut self) -> Option<Result<Bytes, StreamCut>> {
+    async fn next(&mut self) -> Option<Result<Bytes, IncompleteBody>> {
         loop {
             if let Some(events) = self.ready_events() {
                 return Some(Ok(events));
@@ -231,8 +235,8 @@
             }
             match self.read_more().await {
                 Ok(()) => {}
-                Err(broken) => {
-                    if let Err(cut) = self.go_on_elsewhere(&broken).await {
+                Err(fault) => {
+                    if let Err(cut) = self.resume_elsewhere(&fault).await {
                         self.ended = true;
                         return Some(Err(cut));
                     }
@@ -262,20 +266,20 @@
         ready.map(BytesMut::freeze)
     }
 
-    async fn read_more(&mut self) -> Result<(), Broken> {
-        let stall = self.stall();
+    async fn read_more(&mut self) -> Result<(), StreamFault> {
+        let stall_timeout = self.stall_timeout();
         let next = self.open.answered.reply.body.chunk();
-        let next = match stall {
-            Some(stall) => timeout(stall, next)
+        let next = match stall_timeout {
+            Some(limit) => timeout(limit, next)
                 .await
-                .map_err(|_| Broken::wrong("no event for too long"))?,
+                .map_err(|_| StreamFault::invalid("no event for too long"))?,
             None => next.await,
         };
         match next {
             Some(Ok(bytes)) if self.open.events.push(&bytes) => Ok(()),
-            Some(Ok(_)) => Err(Broken::wrong("an event is too large")),
-            Some(Err(error)) => Err(Broken::from_end(Some(error))),
-            None if self.open.events.has_rest() => Err(Broken::from_end(None)),
+            Some(Ok(_)) => Err(StreamFault::invalid("an event is too large")),
+            Some(Err(error)) => Err(StreamFault::from_end(Some(error))),
+            None if self.open.events.has_rest() => Err(StreamFault::from_end(None)),
             None => {
                 self.ended = true;
                 self.cx.mesh.ran_whole(self.req.fingerprint());
@@ -285,23 +289,23 @@
     }
 
     /// How long a stream that can go on elsewhere may be silent.
-    fn stall(&self) -> Option<Duration> {
-        let may_follow =
+    fn stall_timeout(&self) -> Option<Duration> {
+        let may_retry =
             self.req.route.kind.allows_retry() && self.attempts.sent < self.req.route.max_attempts;
-        let pause = self.req.route.max_event_gap.unwrap_or(LEAST_STALL);
-        may_follow.then(|| (pause * STALLED_PAUSES).max(LEAST_STALL))
+        let pause = self.req.route.max_event_gap.unwrap_or(MIN_STALL_TIMEOUT);
+        may_retry.then(|| (pause * STALL_GAPS).max(MIN_STALL_TIMEOUT))
     }
 
     /// Resumes a stream that broke, if its route and budget allow it.
-    async fn go_on_elsewhere(&mut self, broken: &Broken) -> Result<(), StreamCut> {
+    async fn resume_elsewhere(&mut self, fault: &StreamFault) -> Result<(), IncompleteBody> {
         let upstream = self.open.answered.upstream.id.clone();
-        log::info!(request = &*self.req.head.request, upstream = upstream.as_str(), last_event = self.last_id.unwrap_or(0), problem = broken.problem.as_str(), after_ms = self.req.arrived.elapsed().as_millis() as u64; "a stream broke");
+        log::info!(request = &*self.req.head.request, upstream = upstream.as_str(), last_event = self.last_id.unwrap_or(0), problem = fault.problem.as_str(), after_ms = self.req.arrived.elapsed().as_millis() as u64; "a stream broke");
         if let Some(run) = &mut self.open.answered.run {
             run.failed();
         }
         let mut failure = self
             .attempts
-            .spoilt(&self.cx, &self.req, &upstream, broken.how);
+            .record_faulty_answer(&self.cx, &self.req, &upstream, fault.kind);
         while self.attempts.may_send_again(&self.cx, &self.req, failure) {
             failure = match self.resume().await {
                 Ok(()) => return Ok(()),
@@ -309,7 +313,7 @@
             };
         }
         metrics::counter!("tc_routed_streams_cut_total").increment(1);
-        Err(StreamCut)
+        Err(IncompleteBody)
     }
 
     async fn resume(&mut self) -> Result<(), SendFailure> {
@@ -324,7 +328,7 @@
                 self.open = *open;
                 Ok(())
             }
-            Opened::Whole(_) => Err(SendFailure::Unknown),
+            Opened::Buffered(_) => Err(SendFailure::Unknown),
         }
     }
 }
--- a/crates/tc-gateway/src/run/target.rs
+++ b/crates/tc-gateway/src/run/target.rs
@@ -12,8 +12,8 @@
     stages::StageResults,
 };
 use crate::{
-    engines::{EngineRun, ask_for_engine},
-    upstreams::InFlight,
+    engines::{EngineRun, request_engine},
+    upstream_stats::InFlight,
 };
 
 /// The upstream for one send.
@@ -34,10 +34,10 @@
         req: &RoutedRequest,
         results: Option<&StageResults>,
     ) -> Result<Target, SendFailure> {
-        if let Some(ask) = self.engine_ask(cx, req, results)
-            && let Some(chosen) = ask_for_engine(cx, &req.head.request, &ask).await
+        if let Some(engine_request) = self.engine_request(cx, req, results)
+            && let Some(chosen) = request_engine(cx, &req.head.request, &engine_request).await
         {
-            let in_flight = cx.book.count(&chosen.upstream.id);
+            let in_flight = cx.upstream_stats.begin_call(&chosen.upstream.id);
             return Ok(Target {
                 upstream: chosen.upstream,
                 in_flight,
@@ -45,11 +45,11 @@
                 run: Some(chosen.run),
             });
         }
-        self.choose_here(cx, req, results)
+        self.choose_locally(cx, req, results)
     }
 
     /// Builds the ask for the home of a model service; `None` for requests without a prompt.
-    fn engine_ask(
+    fn engine_request(
         &self,
         cx: &RunContext,
         req: &RoutedRequest,
@@ -64,7 +64,7 @@
             service: req.service.clone(),
             prompt,
             inputs: results
-                .map(|results| results.lie_in.clone())
+                .map(|results| results.bytes_by_domain.clone())
                 .unwrap_or_default(),
             excluded: self
                 .tried
@@ -78,7 +78,7 @@
     }
 
     /// Chooses by what this instance knows itself.
-    fn choose_here(
+    fn choose_locally(
         &self,
         cx: &RunContext,
         req: &RoutedRequest,
@@ -87,7 +87,7 @@
         let world = cx.world.load();
         let all = world.upstreams.of_service(req.service.as_str());
         let affinity_key = req.head.prompt.as_ref().and_then(Prompt::shared_prefix_id);
-        let wish = PickPreference {
+        let preference = PickPreference {
             affinity_key,
             domain: results.and_then(StageResults::largest_domain),
             tie_breaker: xxh3_64(req.head.request.as_bytes()),
@@ -105,11 +105,13 @@
             };
             cx.backoffs.remaining(&upstream.id).is_none() && within_limits()
         };
-        let chosen = cx.book.choose(all, &self.tried, admits, &wish);
-        let (upstream, in_flight) = chosen.ok_or_else(|| self.nobody_left(cx, all))?;
+        let chosen = cx
+            .upstream_stats
+            .choose(all, &self.tried, admits, &preference);
+        let (upstream, in_flight) = chosen.ok_or_else(|| self.no_upstream_reason(cx, all))?;
         cx.limits.record(&upstream.id);
         if let Some(service) = service {
-            cx.cold.note(service, &upstream.id);
+            cx.cold.record(service, &upstream.id);
         }
         Ok(Target {
             upstream,
@@ -120,7 +122,7 @@
     }
 
     /// Returns why no upstream of `all` could be chosen.
-    fn nobody_left(&self, cx: &RunContext, all: &[Arc<RegisteredUpstream>]) -> SendFailure {
+    fn no_upstream_reason(&self, cx: &RunContext, all: &[Arc<RegisteredUpstream>]) -> SendFailure {
         let working = all.iter().filter(|upstream| upstream.takes_work());
         let (backing_off, others): (Vec<_>, Vec<_>) = working
             .map(|upstream| &upstream.id)
--- a/crates/tc-gateway/src/serve/callers.rs
+++ b/crates/tc-gateway/src/serve/callers.rs
@@ -25,8 +25,8 @@
 use crate::{
     call::RequestHead,
     freeze::TimeAllowed,
-    routing::target_of,
-    run::{AnswerBody, Refusal, RoutedRequest, RunContext, StreamCut, own_answer, run},
+    routing::target_service,
+    run::{AnswerBody, IncompleteBody, Refusal, RoutedRequest, RunContext, refusal_answer, run},
     stop::StopState,
     world::ConfigInForce,
 };
@@ -72,12 +72,12 @@
 
 impl Body for CountedBody {
     type Data = Bytes;
-    type Error = StreamCut;
+    type Error = IncompleteBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, StreamCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
@@ -110,13 +110,13 @@
                 let reason = "a header of the request is missing or cannot be read";
                 (
                     Arc::default(),
-                    Err(Refusal::plain(StatusCode::BAD_REQUEST, reason)),
+                    Err(Refusal::without_retry(StatusCode::BAD_REQUEST, reason)),
                 )
             }
         };
         let mut answer = match answered {
             Ok(routed) => run(Arc::clone(&self.cx), routed).await,
-            Err(refusal) => own_answer(&self.cx.codec, &head, &refusal),
+            Err(refusal) => refusal_answer(&self.cx.codec, &head, &refusal),
         };
         if self.stop.is_stopping() {
             // The caller opens its next connection elsewhere instead of meeting this one's end.
@@ -143,9 +143,9 @@
         let config = self.config().await?;
         let route = find_route(&config, &parts)?;
         let workspace = workspace_of(&config, &route, &head)?;
-        let service = target_of(&route, &head.request)
+        let service = target_service(&route, &head.request)
             .cloned()
-            .ok_or_else(|| Refusal::not_run_now("the route names no service"))?;
+            .ok_or_else(|| Refusal::not_run_transient("the route names no service"))?;
         if !self.stop.may_start(route.kind.is_stream()) {
             return Err(Refusal::not_run(
                 "this instance is stopping",
@@ -204,9 +204,9 @@
         .and_then(|h| h.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or_default();
     let route = config.routes.find(host, parts.uri.path());
-    route
-        .cloned()
-        .ok_or_else(|| Refusal::plain(StatusCode::NOT_FOUND, "no route takes this host and path"))
+    route.cloned().ok_or_else(|| {
+        Refusal::without_retry(StatusCode::NOT_FOUND, "no route takes this host and path")
+    })
 }
 
 fn workspace_of(
@@ -220,7 +220,7 @@
         .and_then(|key| config.routing.keys.get(key));
     if known.is_none() && config.routing.keys_required && !route.public {
         let reason = "no workspace has this key";
-        return Err(Refusal::plain(StatusCode::UNAUTHORIZED, reason));
+        return Err(Refusal::without_retry(StatusCode::UNAUTHORIZED, reason));
     }
     Ok(known.cloned())
 }
@@ -230,15 +230,18 @@
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let reason = "the body is larger than the configuration allows";
-            Err(Refusal::plain(StatusCode::PAYLOAD_TOO_LARGE, reason))
+            Err(Refusal::without_retry(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                reason,
+            ))
         }
         Ok(Err(_)) => {
             let reason = "the body broke off or is malformed";
-            Err(Refusal::plain(StatusCode::BAD_REQUEST, reason))
+            Err(Refusal::without_retry(StatusCode::BAD_REQUEST, reason))
         }
         Err(_) => {
             let reason = "the body did not come in time";
-            Err(Refusal::plain(StatusCode::REQUEST_TIMEOUT, reason))
+            Err(Refusal::without_retry(StatusCode::REQUEST_TIMEOUT, reason))
         }
     }
 }
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     codec::{DirectoryQuery, PlatformCodec},
-    run::{AnswerBody, RunContext, whole},
+    run::{AnswerBody, RunContext, full_body},
     stop::StopState,
 };
 
@@ -104,7 +104,7 @@
 }
 
 fn text(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole(body));
+    let mut answer = Response::new(full_body(body));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -15,13 +15,13 @@
 
 use crate::{
     backoffs::UpstreamBackoffs,
-    budgets::RepeatBudgets,
+    budgets::RetryBudgets,
     codec::PlatformCodec,
     cold::ColdSends,
-    engines::{EngineHomes, NewsSender},
+    engines::{EngineHomes, RunReportSender},
     freeze::FreezeWatch,
     handlers::{free_results, mesh_handlers},
-    homes::{BatchHomes, Freer, HomeContext, ask_other_homes},
+    homes::{BatchHomes, HomeContext, ResultReleaser, poll_outlooks},
     join::{Finder, Settled, keep_members_same},
     limits::LimitedSends,
     listeners::{Listeners, on_traffic},
@@ -196,8 +196,8 @@
         max_response_bytes: MAX_ANSWER_BYTES,
         ..ClientSettings::default()
     });
-    let budgets = Arc::new(RepeatBudgets::new(settings.repeats));
-    let (freer, given_up) = Freer::new();
+    let budgets = Arc::new(RetryBudgets::new(settings.repeats));
+    let (releaser, released) = ResultReleaser::new();
     let limits = Arc::<UpstreamLimits>::default();
     let unknown_headers = Arc::<UnknownHeaders>::default();
     let backoffs = Arc::<UpstreamBackoffs>::default();
@@ -206,7 +206,7 @@
         client: client.clone(),
         world: Arc::clone(&world),
         budgets: Arc::clone(&budgets),
-        freer: freer.clone(),
+        releaser: releaser.clone(),
         limits: Arc::clone(&limits),
         backoffs: Arc::clone(&backoffs),
         unknown_headers: Arc::clone(&unknown_headers),
@@ -226,19 +226,19 @@
     let beat = SourceTiming::within(news_bound(settings)).heartbeat_interval;
     let handlers = mesh_handlers(beat, &homes, &engines, &world);
     let mesh = Mesh::start(mesh_settings, handlers).await?;
-    let (run_news, told) = NewsSender::new();
-    traffic.spawn(told.pass_on(mesh.clone(), Arc::clone(&engines)));
-    traffic.spawn(ask_other_homes(mesh.clone(), Arc::clone(&homes)));
-    traffic.spawn(free_results(given_up, mesh.clone(), Arc::clone(&homes)));
+    let (run_reports, told) = RunReportSender::new();
+    traffic.spawn(told.forward(mesh.clone(), Arc::clone(&engines)));
+    traffic.spawn(poll_outlooks(mesh.clone(), Arc::clone(&homes)));
+    traffic.spawn(free_results(released, mesh.clone(), Arc::clone(&homes)));
     Ok(Arc::new(RunContext {
         codec,
         world,
         mesh,
         homes,
         engines,
-        run_news,
-        freer,
-        book: Arc::default(),
+        run_reports,
+        releaser,
+        upstream_stats: Arc::default(),
         cold,
         limits,
         backoffs,
@@ -360,7 +360,7 @@
     loop {
         sleep(FORGET_EVERY).await;
         let world = cx.world.load();
-        cx.book.retain(|id| world.upstreams.contains(id));
+        cx.upstream_stats.retain(|id| world.upstreams.contains(id));
         cx.cold.retain(|id| world.upstreams.contains(id));
         cx.limits.retain(|id| world.upstreams.contains(id));
         cx.backoffs.expire();
--- a/crates/tc-gateway/src/upstreams.rs
+++ b/crates/tc-gateway/src/upstream_stats.rs
@@ -12,38 +12,38 @@
 use crate::call::UpstreamLoad;
 
 /// First pause after a call failed; doubles with each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+const MIN_FAILURE_PAUSE: Duration = Duration::from_millis(300);
 /// Longest pause: an upstream that is back is tried again within this time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_FAILURE_PAUSE: Duration = Duration::from_secs(4);
 /// Pause after an upstream refused a request because it was full.
 const FULL_PAUSE: Duration = Duration::from_millis(100);
 /// Weight of the newest time in an upstream's average.
 const TIME_WEIGHT: f64 = 0.25;
 /// An upstream counts as slow from this multiple of the median of its service on. First answers vary by two with the
 /// length of the prompt.
-const SLOW_FROM: f64 = 2.5;
+const SLOW_RATIO: f64 = 2.5;
 /// How long an upstream's own word on its load says anything: about as long as a call takes.
-const REPORT_LIFE: Duration = Duration::from_millis(100);
+const LOAD_MAX_AGE: Duration = Duration::from_millis(100);
 /// How long a time says anything.
-const TIME_LIFE: Duration = Duration::from_secs(6);
+const TIME_MAX_AGE: Duration = Duration::from_secs(6);
 
 #[derive(Debug, Default)]
-struct Known {
+struct CallStats {
     in_flight: u32,
     failures: u32,
-    not_before: MonoTime,
+    paused_until: MonoTime,
     /// Average time to the first byte, in milliseconds, and when it last changed.
     first_byte_ms: Option<(f64, MonoTime)>,
     /// Work in progress there as it last told, and when.
-    reported: Option<(u32, MonoTime)>,
+    reported_load: Option<(u32, MonoTime)>,
 }
 
-impl Known {
+impl CallStats {
     /// Work in progress there: what this instance sent, or what the upstream told a moment ago if that is more.
     fn load(&self, now: MonoTime) -> f64 {
         let own = f64::from(self.in_flight);
-        match self.reported {
-            Some((told, at)) if now.since(at) < REPORT_LIFE => own.max(f64::from(told)),
+        match self.reported_load {
+            Some((told, at)) if now.since(at) < LOAD_MAX_AGE => own.max(f64::from(told)),
             _ => own,
         }
     }
@@ -51,13 +51,13 @@
 
 /// Everything this instance knows of upstreams; shared by all requests.
 #[derive(Debug, Default)]
-pub(crate) struct UpstreamBook {
-    known: Mutex<HashMap<UpstreamId, Known>>,
+pub(crate) struct UpstreamStats {
+    known: Mutex<HashMap<UpstreamId, CallStats>>,
 }
 
-/// How a call to an upstream went, as far as it tells of its health.
+/// How a call to an upstream went, as far as it tells of its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallHealth {
+pub(crate) enum CallOutcome {
     /// It answered; the time to the first byte of its answer.
     Answered(Duration),
     /// It said that it is full.
@@ -69,47 +69,47 @@
 /// A call in progress; counted until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlight {
-    book: Arc<UpstreamBook>,
+    upstream_stats: Arc<UpstreamStats>,
     id: UpstreamId,
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        if let Some(known) = self.book.lock().get_mut(&self.id) {
+        if let Some(known) = self.upstream_stats.lock().get_mut(&self.id) {
             known.in_flight = known.in_flight.saturating_sub(1);
         }
     }
 }
 
-impl UpstreamBook {
-    fn lock(&self) -> MutexGuard<'_, HashMap<UpstreamId, Known>> {
+impl UpstreamStats {
+    fn lock(&self) -> MutexGuard<'_, HashMap<UpstreamId, CallStats>> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Chooses an upstream among those of `all` that `admits` lets through, but `except`, and counts a call to it.
+    /// Chooses an upstream among those of `all` that `admits` lets through, but `excluded`, and counts a call to it.
     ///
     /// Upstreams that pause after failures are chosen only when there is no other.
     pub(crate) fn choose(
         self: &Arc<Self>,
         all: &[Arc<RegisteredUpstream>],
-        except: &[UpstreamId],
+        excluded: &[UpstreamId],
         admits: impl Fn(&RegisteredUpstream) -> bool,
-        wish: &PickPreference<'_>,
+        preference: &PickPreference<'_>,
     ) -> Option<(Arc<RegisteredUpstream>, InFlight)> {
         let now = MonoTime::now();
         let mut known = self.lock();
-        let fit: Vec<&Arc<RegisteredUpstream>> = all
+        let usable: Vec<&Arc<RegisteredUpstream>> = all
             .iter()
-            .filter(|u| u.takes_work() && !except.contains(&u.id) && admits(u))
+            .filter(|u| u.takes_work() && !excluded.contains(&u.id) && admits(u))
             .collect();
-        let sound: Vec<&Arc<RegisteredUpstream>> = fit
+        let healthy: Vec<&Arc<RegisteredUpstream>> = usable
             .iter()
             .copied()
-            .filter(|u| known.get(&u.id).is_none_or(|k| k.not_before <= now))
+            .filter(|u| known.get(&u.id).is_none_or(|k| k.paused_until <= now))
             .collect();
-        let pool = if sound.is_empty() { fit } else { sound };
-        let median = median_time(&known, &pool, now);
-        let candidates: Vec<PickCandidate<'_>> = pool
+        let eligible = if healthy.is_empty() { usable } else { healthy };
+        let median = median_time(&known, &eligible, now);
+        let candidates: Vec<PickCandidate<'_>> = eligible
             .iter()
             .map(|u| PickCandidate {
                 id: &u.id,
@@ -119,53 +119,55 @@
                 slowness: slowness(known.get(&u.id), median, now),
             })
             .collect();
-        let chosen = Arc::clone(pool[pick_upstream(&candidates, wish)?]);
+        let chosen = Arc::clone(eligible[pick_upstream(&candidates, preference)?]);
         known.entry(chosen.id.clone()).or_default().in_flight += 1;
         let in_flight = InFlight {
-            book: Arc::clone(self),
+            upstream_stats: Arc::clone(self),
             id: chosen.id.clone(),
         };
         Some((chosen, in_flight))
     }
 
     /// Counts a call to an upstream that was chosen elsewhere.
-    pub(crate) fn count(self: &Arc<Self>, id: &UpstreamId) -> InFlight {
+    pub(crate) fn begin_call(self: &Arc<Self>, id: &UpstreamId) -> InFlight {
         self.lock().entry(id.clone()).or_default().in_flight += 1;
         InFlight {
-            book: Arc::clone(self),
+            upstream_stats: Arc::clone(self),
             id: id.clone(),
         }
     }
 
     /// Takes up how a call went.
-    pub(crate) fn note(&self, id: &UpstreamId, health: CallHealth) {
+    pub(crate) fn record(&self, id: &UpstreamId, outcome: CallOutcome) {
         let now = MonoTime::now();
         let mut all = self.lock();
         let known = all.entry(id.clone()).or_default();
-        match health {
-            CallHealth::Answered(first_byte) => {
+        match outcome {
+            CallOutcome::Answered(first_byte) => {
                 known.failures = 0;
-                known.not_before = MonoTime::default();
+                known.paused_until = MonoTime::default();
                 let ms = first_byte.as_secs_f64() * 1_000.0;
                 let average = match known.first_byte_ms {
-                    Some((old, at)) if now.since(at) < TIME_LIFE => old + TIME_WEIGHT * (ms - old),
+                    Some((old, at)) if now.since(at) < TIME_MAX_AGE => {
+                        old + TIME_WEIGHT * (ms - old)
+                    }
                     _ => ms,
                 };
                 known.first_byte_ms = Some((average, now));
             }
-            CallHealth::Full => known.not_before = now.after(FULL_PAUSE),
-            CallHealth::Failed => {
-                let pause = FIRST_PAUSE * 2u32.pow(known.failures.min(8));
+            CallOutcome::Full => known.paused_until = now.after(FULL_PAUSE),
+            CallOutcome::Failed => {
+                let pause = MIN_FAILURE_PAUSE * 2u32.pow(known.failures.min(8));
                 known.failures += 1;
-                known.not_before = now.after(pause.min(LONGEST_PAUSE));
+                known.paused_until = now.after(pause.min(MAX_FAILURE_PAUSE));
             }
         }
     }
 
     /// Takes up what an upstream says of its load.
-    pub(crate) fn note_load(&self, id: &UpstreamId, load: UpstreamLoad) {
-        let reported = (load.running + load.waiting, MonoTime::now());
-        self.lock().entry(id.clone()).or_default().reported = Some(reported);
+    pub(crate) fn record_load(&self, id: &UpstreamId, load: UpstreamLoad) {
+        let reported_load = (load.running + load.waiting, MonoTime::now());
+        self.lock().entry(id.clone()).or_default().reported_load = Some(reported_load);
     }
 
     /// Forgets upstreams that are gone.
@@ -175,28 +177,28 @@
     }
 }
 
-fn fresh_time(known: Option<&Known>, now: MonoTime) -> Option<f64> {
+fn recent_time(known: Option<&CallStats>, now: MonoTime) -> Option<f64> {
     let (ms, at) = known?.first_byte_ms?;
-    (now.since(at) < TIME_LIFE).then_some(ms)
+    (now.since(at) < TIME_MAX_AGE).then_some(ms)
 }
 
 fn median_time(
-    known: &HashMap<UpstreamId, Known>,
-    pool: &[&Arc<RegisteredUpstream>],
+    known: &HashMap<UpstreamId, CallStats>,
+    eligible: &[&Arc<RegisteredUpstream>],
     now: MonoTime,
 ) -> Option<f64> {
-    let mut times: Vec<f64> = pool
+    let mut times: Vec<f64> = eligible
         .iter()
-        .filter_map(|u| fresh_time(known.get(&u.id), now))
+        .filter_map(|u| recent_time(known.get(&u.id), now))
         .collect();
     times.sort_by(f64::total_cmp);
     times.get(times.len() / 2).copied()
 }
 
-fn slowness(known: Option<&Known>, median: Option<f64>, now: MonoTime) -> f64 {
-    let (Some(own), Some(median)) = (fresh_time(known, now), median) else {
+fn slowness(known: Option<&CallStats>, median: Option<f64>, now: MonoTime) -> f64 {
+    let (Some(own), Some(median)) = (recent_time(known, now), median) else {
         return 1.0;
     };
     let ratio = own / median.max(1.0);
-    if ratio >= SLOW_FROM { ratio } else { 1.0 }
+    if ratio >= SLOW_RATIO { ratio } else { 1.0 }
 }
