--- a/crates/tc-gateway/src/budgets.rs
+++ b/crates/tc-gateway/src/budgets.rs
@@ -1,4 +1,4 @@
-//! This instance's share of the fleet's budget for sending requests again.
+//! This instance's share of the fleet-wide retry budget.
 
 use std::{
     collections::HashMap,
@@ -10,14 +10,14 @@
 
 use crate::settings::RepeatSettings;
 
-/// Part of the budget that is used. The rest covers instances whose lists of members differ for a moment, and
-/// requests that are counted by the instance that got them while their repeats are not.
+/// Fraction of the budget that is used. The rest covers instances whose member lists differ for a moment, and
+/// requests counted by the instance that received them while their retries are not.
 const USED_FRACTION: f64 = 0.8;
 
-/// Budgets by service.
+/// Retry budgets by service.
 ///
-/// Each instance takes its own requests' share and an equal part of what is allowed besides, so that the sum over
-/// all of them keeps the fleet's budget with nothing to be agreed.
+/// Each instance may retry a fraction of its own requests, plus an equal part of the fixed extra allowance. The sum
+/// over all instances stays within the fleet-wide budget without coordination.
 pub(crate) struct RetryBudgets {
     settings: RepeatSettings,
     by_service: Mutex<HashMap<ServiceName, RetryBudget>>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The share of one of `instances` instances.
+    /// Returns the limits of one out of `instances` instances.
     pub(crate) fn share(&self, instances: usize) -> RetryLimits {
         RetryLimits {
             ratio: self.settings.ratio * USED_FRACTION,
@@ -40,9 +40,9 @@
         }
     }
 
-    /// The budget of the one instance that calls a service's upstreams for all.
+    /// Returns the limits of the one instance that calls the upstreams of a service for all.
     ///
-    /// For a moment there may be two such instances, so it takes half.
+    /// While the home moves there may be two such instances, so each takes half.
     pub(crate) fn home_share(&self) -> RetryLimits {
         self.share(2)
     }
@@ -53,7 +53,7 @@
         });
     }
 
-    /// Takes one repeat if the budget allows it.
+    /// Spends one retry if the budget allows it.
     pub(crate) fn try_spend(&self, service: &ServiceName, instances: usize) -> bool {
         self.with(service, instances, |budget| {
             budget.try_spend(MonoTime::now())
--- a/crates/tc-gateway/src/call.rs
+++ b/crates/tc-gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! What headers of requests and answers say, decoded.
+//! Decoded headers of requests and answers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,81 +11,81 @@
 };
 use thiserror::Error;
 
-/// What a caller's request says in its headers.
+/// Decoded headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// The caller's name for this attempt of its request.
+    /// The id that the caller gave to this attempt.
     pub request: Arc<str>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub remaining: Option<Duration>,
-    /// The key that tells the workspace.
+    /// The API key, which identifies the workspace.
     pub key: Option<Arc<str>>,
-    /// The prompt, when the request is for a model.
+    /// The prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
-    /// How many pieces each stage of the route has.
+    /// Number of pieces of each stage of the route.
     pub pieces: Vec<u32>,
-    /// The request's own input for stages.
+    /// The input of the request for its first stages.
     pub piece_key: Option<Arc<str>>,
-    /// The last event the caller has, when it resumes a stream.
+    /// The last event that the caller has, if it resumes a stream.
     pub resume_after: Option<u64>,
 }
 
-/// Why a request's headers cannot be used.
+/// Why the headers of a request are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// A header that every request needs is missing.
+    /// A required header is missing.
     #[error("the header {0} is missing")]
     Missing(&'static str),
-    /// A header's value does not fit its form.
-    #[error("the header {0} cannot be read")]
+    /// The value of a header cannot be parsed.
+    #[error("the header {0} cannot be parsed")]
     Malformed(&'static str),
 }
 
-/// What the system tells an upstream besides the caller's own headers.
+/// What the gateway tells an upstream in addition to the caller's headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamRequestHead<'a> {
-    /// How long the upstream has.
+    /// How long the upstream has to answer.
     pub remaining: Duration,
-    /// The life of the upstream's process that is meant; another one at its address must not run the request.
+    /// The upstream process that the request is for; another process at the same address must not run it.
     pub upstream: &'a UpstreamId,
-    /// Whose request it is.
+    /// The workspace of the request.
     pub workspace: Option<&'a WorkspaceName>,
-    /// Results of the route's last stages; `None` when the route has no stages.
+    /// Results of the last stages of the route; `None` if the route has no stages.
     pub inputs: Option<&'a [ResultHandle]>,
-    /// The last event that was delivered, when a stream goes on after it.
+    /// The last event that was delivered, if a stream is resumed.
     pub resume_after: Option<u64>,
-    /// Another engine that keeps more of the prompt; the upstream fetches it from there.
+    /// Another engine that has more of the prompt cached; the upstream fetches it from there.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// Whether an upstream took a request, as its answer says.
+/// Whether an upstream accepted a request, according to its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Acceptance {
-    /// It did, or does not say otherwise.
+    /// It accepted the request, or does not say otherwise.
     #[default]
     Yes,
-    /// It has not run the request and will not.
+    /// It did not run the request and will not.
     NotRun,
-    /// It has not run the request because an input of it is gone.
+    /// It did not run the request because one of its inputs is gone.
     InputGone,
-    /// Another process has the address; it has not run the request.
+    /// Another process has the address; it did not run the request.
     OtherProcess,
 }
 
-/// What an upstream's answer says in its status and headers.
+/// Decoded status and headers of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerHead {
-    /// Whether the upstream took the request.
+    /// Whether the upstream accepted the request.
     pub acceptance: Acceptance,
-    /// The request that the answer names.
+    /// The id of the request that the answer is for, if it names one.
     pub request: Option<Arc<str>>,
-    /// It bears the upstream's mark of a genuine answer.
+    /// Whether the answer carries the upstream's mark of a genuine answer.
     pub sealed: bool,
-    /// The body is not in the form that was asked for.
+    /// Whether the body has another encoding than the one requested.
     pub encoded: bool,
-    /// The answer is a stream of events.
+    /// Whether the answer is a stream of events.
     pub is_stream: bool,
-    /// What the upstream says of its load.
+    /// The load that the upstream reports.
     pub load: Option<UpstreamLoad>,
     /// The rate limit that the upstream announces.
     pub rate_limit: AnnouncedLimit,
@@ -93,7 +93,7 @@
     pub lifecycle: Lifecycle,
     /// The backoff that the upstream requests.
     pub backoff: AnnouncedBackoff,
-    /// Headers that the outside's spelling does not know.
+    /// Headers that the codec does not know.
     pub unknown: Vec<HeaderName>,
 }
 
@@ -114,9 +114,9 @@
         self.lifecycle == Lifecycle::Leaving && self.acceptance != Acceptance::OtherProcess
     }
 
-    /// Returns what the answer says of the upstream's rate limit; `None` if it says nothing.
+    /// Returns the rate limit that the answer announces; `None` if it says nothing about it.
     ///
-    /// Only a success shows that a limit is gone: an upstream in need may turn requests away without naming it again.
+    /// Only a success shows that a limit was lifted: an overloaded upstream may refuse requests without repeating its limit.
     ///
     /// ```
     /// use http::StatusCode;
@@ -129,9 +129,9 @@
     #[must_use]
     pub fn announced_limit(&self, status: StatusCode) -> Option<AnnouncedLimit> {
         let is_success = self.acceptance == Acceptance::Yes && status.is_success();
-        let is_of_upstream = self.acceptance != Acceptance::OtherProcess;
-        let says_it = is_success || self.rate_limit != AnnouncedLimit::None;
-        (is_of_upstream && says_it).then_some(self.rate_limit)
+        let is_from_upstream = self.acceptance != Acceptance::OtherProcess;
+        let has_announcement = is_success || self.rate_limit != AnnouncedLimit::None;
+        (is_from_upstream && has_announcement).then_some(self.rate_limit)
     }
 }
 
@@ -157,13 +157,13 @@
     Unreadable,
 }
 
-/// An upstream's load as it tells it.
+/// The load that an upstream reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamLoad {
-    /// Requests it works on.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in the queue.
     pub waiting: u32,
-    /// Requests it can work on.
+    /// Requests that can run at the same time.
     pub slots: u32,
 }
--- a/crates/tc-gateway/src/codec.rs
+++ b/crates/tc-gateway/src/codec.rs
@@ -1,4 +1,4 @@
-//! What the gateway needs to know of the outside's spelling, as plain functions.
+//! Conversion between the gateway and the external formats, as plain functions provided by the platform crate.
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
 
 use crate::call::{AnswerHead, HeadError, RequestHead, UpstreamRequestHead};
 
-/// Where a caller that asks for addresses is.
+/// The location of a client that queries for gateway addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryQuery {
-    /// Its failure domain, if told.
+    /// Failure domain, if given.
     pub domain: Option<FailureDomain>,
-    /// Its region, if told.
+    /// Region, if given.
     pub region: Option<Region>,
 }
 
-/// Names under which objects lie in the store.
+/// Kinds and names of the objects in the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreKinds {
     /// Kind of the configuration.
@@ -32,43 +32,43 @@
     pub config_name: &'static str,
     /// Kind of the registered upstreams.
     pub upstreams: &'static str,
-    /// Kind of the operators' orders to evacuate a failure domain, each named like the domain.
+    /// Kind of the operators' orders to evacuate a failure domain; each object is named after the domain.
     pub evacuations: &'static str,
-    /// Kind of this system's own instances.
+    /// Kind of the gateway's own instances.
     pub members: &'static str,
 }
 
-/// The outside's spelling. Functions only translate: they keep no state and decide nothing.
+/// Functions that encode and decode external formats. They keep no state and make no decisions.
 #[derive(Clone, Copy)]
 pub struct PlatformCodec {
-    /// Decodes a caller's headers.
+    /// Decodes the headers of a caller's request.
     pub read_request: fn(&request::Parts) -> Result<RequestHead, HeadError>,
-    /// Headers of a request to an upstream, from the caller's headers and the system's own.
+    /// Builds the headers of a request to an upstream from the caller's headers and the gateway's own.
     pub upstream_headers: fn(&HeaderMap, &UpstreamRequestHead<'_>) -> HeaderMap,
-    /// Decodes an upstream's answer.
+    /// Decodes the status and headers of an upstream's answer.
     pub read_answer: fn(&response::Parts) -> AnswerHead,
-    /// Headers of an upstream's answer that go on to the caller.
+    /// Returns the headers of an upstream's answer that are forwarded to the caller.
     pub caller_headers: fn(&HeaderMap) -> HeaderMap,
-    /// Headers of an answer of the system's own.
+    /// Builds the headers of an answer that the gateway gives itself.
     pub own_headers: fn(&str) -> HeaderMap,
-    /// A call that makes pieces.
+    /// Builds a batch call that makes pieces.
     pub batch_call: fn(&[PieceRequest], &UpstreamId) -> Request<Full<Bytes>>,
-    /// Decodes the answer of such a call; `None` when it does not fit.
+    /// Decodes the answer to a batch call; `None` if it is invalid.
     pub read_batch: fn(&[u8]) -> Option<Vec<PieceResult>>,
-    /// A call that gives up results.
+    /// Builds a call that frees results.
     pub free_call: fn(&[ResultHandle]) -> Request<Full<Bytes>>,
     /// Decodes and validates a configuration; the error says what is wrong and where.
     pub read_config: fn(&Value) -> Result<RoutingConfig, String>,
-    /// Decodes a registered upstream by its name in the store, as heard at that moment.
+    /// Decodes a registered upstream from its name in the store, its value and the time it was received.
     pub read_upstream: fn(&str, &Value, MonoTime) -> Result<RegisteredUpstream, String>,
-    /// How the store is spoken to.
+    /// Requests and responses of the store.
     pub store: KindDialect,
-    /// Names in the store.
+    /// Kinds and names in the store.
     pub kinds: StoreKinds,
-    /// Reads a caller's question for addresses; `None` when it is another request.
+    /// Parses a query for gateway addresses; `None` if the request is something else.
     pub parse_directory_query: fn(&Uri) -> Option<DirectoryQuery>,
-    /// Answers it with addresses and how many seconds they may be kept.
+    /// Encodes the answer to such a query: addresses, and how many seconds they may be cached.
     pub encode_directory: fn(&[SocketAddr], u32) -> Bytes,
-    /// Whether a request asks if this instance is ready.
+    /// Returns whether a request is a readiness check.
     pub is_readiness_check: fn(&Uri) -> bool,
 }
--- a/crates/tc-gateway/src/cold.rs
+++ b/crates/tc-gateway/src/cold.rs
@@ -1,4 +1,5 @@
-//! What this instance sends by itself to upstreams that are, or may be, cold: see [`tc_policy::ColdLimit`].
+//! Requests that this instance sends, without asking a home, to upstreams that are or may be cold: see
+//! [`tc_policy::ColdLimit`].
 
 use std::{
     collections::HashMap,
@@ -14,7 +15,7 @@
 
 use crate::settings::ColdAllowance;
 
-/// Keeps this instance's share of what all may send without a home's word.
+/// Enforces this instance's share of what all instances may send without asking a home.
 #[derive(Debug)]
 pub(crate) struct ColdSends {
     allowance: ColdAllowance,
@@ -29,17 +30,19 @@
         }
     }
 
-    /// What all instances together may send to one cold upstream of a service; `None` where none is fragile.
+    /// Returns what all instances together may send to one cold upstream of a service; `None` if the service has no
+    /// cold-start limit.
     pub(crate) fn limit(&self, service: &RoutedService) -> Option<ColdLimit> {
         let cold = service.cold_start?;
         let ColdAllowance { excess, slack } = self.allowance;
         Some(ColdLimit::new(cold.max_requests_per_s, excess, slack))
     }
 
-    /// Whether this instance may send a request to an upstream by itself.
+    /// Returns whether this instance may send a request to an upstream without asking a home.
     ///
-    /// Engines have a home that knows what they were sent; who goes without it keeps to its share whether they are known to be
-    /// cold or not, and leaves out those that are. Other services have none, so their upstreams' whole limit is shared out.
+    /// Engines have a home that knows what was sent to them. An instance that sends without asking it keeps to its
+    /// share, whether or not the engine is known to be cold, and skips engines that are known to be cold. Other
+    /// services have no home, so the whole limit of each upstream is divided among the instances.
     pub(crate) fn may_send(
         &self,
         mesh: &Mesh,
@@ -56,7 +59,8 @@
         !is_cold || self.has_share(mesh, &upstream.id, limit.total())
     }
 
-    /// Whether this instance is one of `max_senders` that may send to an upstream, and has not done so in the last moment.
+    /// Returns whether this instance is one of the `max_senders` that may send to an upstream and has not done so
+    /// recently.
     pub(crate) fn has_share(&self, mesh: &Mesh, upstream: &UpstreamId, max_senders: u32) -> bool {
         let now = MonoTime::now();
         let recent = self
@@ -66,7 +70,7 @@
         recent == 0 && may_send_without_home(&mesh.me().id, &mesh.members(), upstream, max_senders)
     }
 
-    /// Counts a request that this instance sends by itself.
+    /// Records a request that this instance sends without asking a home.
     pub(crate) fn record(&self, service: &RoutedService, upstream: &UpstreamId) {
         if service.cold_start.is_some() {
             let mut recent = self.lock();
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Forgets upstreams that are gone.
+    /// Drops upstreams that are no longer registered.
     pub(crate) fn retain(&self, keep: impl Fn(&UpstreamId) -> bool) {
         self.lock().retain(|id, _| keep(id));
     }
--- a/crates/tc-gateway/src/engines/homes.rs
+++ b/crates/tc-gateway/src/engines/homes.rs
@@ -20,13 +20,14 @@
 
 struct Home {
     planner: EnginePlanner,
-    /// The world that the planner's engines were taken from.
+    /// The world from which the engines of the planner were read.
     world: Option<Arc<World>>,
-    /// Count of changes of the limits that the planner has.
+    /// Change counter of the rate limits that the planner uses.
     limit_changes: u64,
 }
 
-/// Chooses engines for the services homed here, and for any other when its home does not answer.
+/// Chooses engines for the services whose home is this instance, and for any other service while its home does not
+/// answer.
 pub(crate) struct EngineHomes {
     world: Arc<WorldCell>,
     cold: Arc<ColdSends>,
@@ -48,14 +49,14 @@
         }
     }
 
-    /// Chooses an engine as the home of its service; `None` when there is none that may get the request.
+    /// Chooses an engine as the home of its service; `None` if no engine may get the request.
     pub(crate) fn choose(&self, engine_request: &EngineRequest) -> Option<EngineChoice> {
         self.choose_with(engine_request, |planner| {
             planner.choose(MonoTime::now(), engine_request)
         })
     }
 
-    /// Chooses an engine for a request of this instance, which cannot engine_request the home of the service.
+    /// Chooses an engine for a request of this instance while the home of the service does not answer.
     pub(crate) fn choose_without_home(
         &self,
         mesh: &Mesh,
@@ -77,7 +78,7 @@
         Some(choice)
     }
 
-    /// `None` as well when the service has no engines.
+    /// Returns `None` also if the service has no engines.
     fn choose_with(
         &self,
         engine_request: &EngineRequest,
@@ -89,7 +90,7 @@
         let spec = service.engine?;
         let mut homes = self.lock();
         let home = homes.entry(engine_request.service.clone()).or_insert_with(|| {
-            log::info!(service = engine_request.service.as_str(); "this instance chooses engines of a service");
+            log::info!(service = engine_request.service.as_str(); "started choosing engines of a service");
             Home {
                 planner: EnginePlanner::new(spec),
                 world: None,
@@ -101,7 +102,7 @@
         home.planner.set_cold_limit(self.cold.limit(service));
         let choice = choose(&mut home.planner);
         let (runs, engines) = home.planner.size();
-        log::debug!(service = engine_request.service.as_str(), tokens = engine_request.prompt.tokens_in, runs = runs, engines = engines, choice = format!("{choice:?}").as_str(); "the home of engines chose");
+        log::debug!(service = engine_request.service.as_str(), tokens = engine_request.prompt.tokens_in, runs = runs, engines = engines, choice = format!("{choice:?}").as_str(); "engine choice made");
         if choice.as_ref().is_some_and(|c| c.fetch_from.is_some()) {
             metrics::counter!("tc_prompt_fetches_total", "service" => engine_request.service.as_str().to_owned())
                 .increment(1);
@@ -109,7 +110,7 @@
         choice
     }
 
-    /// Takes up what became of runs whose engines were to_chosen_engine here.
+    /// Records the progress of runs whose engines were chosen here.
     pub(crate) fn record(&self, service: &ServiceName, reports: &[RunReport]) {
         let now = MonoTime::now();
         let mut homes = self.lock();
@@ -130,7 +131,7 @@
 }
 
 impl Home {
-    /// Takes up the engines that may get new work, if they may have changed.
+    /// Passes the engines that take new work to the planner, if the world has changed.
     fn update_from_world(&mut self, world: &Arc<World>, service: &ServiceName, spec: EngineSpec) {
         let is_same = self
             .world
@@ -151,11 +152,11 @@
             .collect();
         self.planner.set_engines(spec, &engines);
         self.world = Some(Arc::clone(world));
-        // Engines that are new here may be limited already.
+        // Engines that are new here may already have rate limits.
         self.limit_changes = 0;
     }
 
-    /// Takes up the limits that engines announce, if they may have changed.
+    /// Passes changed rate limits of engines to the planner.
     fn update_limits(&mut self, limits: &LimitedSends) {
         let limits = limits.limits();
         let changes = limits.changes();
--- a/crates/tc-gateway/src/engines/mod.rs
+++ b/crates/tc-gateway/src/engines/mod.rs
@@ -1,4 +1,4 @@
-//! Engines for prompts: the homes of model services, and the runs at engines that they chose.
+//! Engine selection for prompts: the homes of model services, and the runs on the engines they choose.
 
 mod homes;
 mod reports;
--- a/crates/tc-gateway/src/engines/reports.rs
+++ b/crates/tc-gateway/src/engines/reports.rs
@@ -1,4 +1,4 @@
-//! What became of runs, pending to the homes that chose their engines.
+//! Reports the progress of runs to the homes that chose their engines.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,9 +11,9 @@
 
 use super::EngineHomes;
 
-/// How long reports are gathered: an engine reads a short prompt in ten times this.
+/// How long reports are collected into a batch: an engine takes ten times as long to read a short prompt.
 const BATCH_DELAY: Duration = Duration::from_millis(3);
-/// News taken up in one go.
+/// Maximum number of reports received at once.
 const MAX_BATCH: usize = 1_024;
 
 struct PendingReport {
@@ -22,15 +22,15 @@
     report: RunReport,
 }
 
-/// Where reports are put; clones share it.
+/// Sends run reports to the forwarding task; clones share the channel.
 #[derive(Clone)]
 pub(crate) struct RunReportSender(mpsc::UnboundedSender<PendingReport>);
 
-/// News that were put into a [`RunReportSender`].
+/// Receiving end of [`RunReportSender`].
 pub(crate) struct RunReports(mpsc::UnboundedReceiver<PendingReport>);
 
 impl RunReportSender {
-    /// A place to put reports, and where they come out.
+    /// Creates a connected sender and receiver.
     pub(crate) fn new() -> (Self, RunReports) {
         let (sender, reports) = mpsc::unbounded_channel();
         (Self(sender), RunReports(reports))
@@ -38,7 +38,8 @@
 }
 
 impl RunReports {
-    /// Passes reports on to the homes concerned. Lost ones cost little: the home forgets a run when its time is over.
+    /// Forwards reports to the homes concerned. A lost report costs little: the home drops a run when its time is
+    /// over.
     pub(crate) async fn forward(mut self, mesh: Mesh, homes: Arc<EngineHomes>) {
         let mut batch = Vec::new();
         while self.0.recv_many(&mut batch, MAX_BATCH).await > 0 {
@@ -73,7 +74,7 @@
     }
 }
 
-/// A run at an engine; its home hears of its end when it is dropped.
+/// A run on an engine. When it is dropped, its end is reported to the home.
 pub(crate) struct EngineRun {
     reports: RunReportSender,
     home: Option<Member>,
@@ -83,7 +84,7 @@
 }
 
 impl EngineRun {
-    /// `home` is `None` when this instance chose the engine.
+    /// `home` is `None` if this instance chose the engine.
     pub(super) const fn new(
         reports: RunReportSender,
         home: Option<Member>,
@@ -99,19 +100,19 @@
         }
     }
 
-    /// The first event came.
+    /// Reports the time to the first event.
     pub(crate) fn first_event(&self, took: Duration) {
         self.report(RunProgress::FirstEvent(took));
     }
 
-    /// The engine broke off, could not be reached, or was full.
+    /// Reports that the engine broke the connection, was unreachable, or refused the request.
     pub(crate) fn failed(&mut self) {
         self.ended = true;
         self.report(RunProgress::Failed);
     }
 
     fn report(&self, progress: RunProgress) {
-        // Fails only when the process ends.
+        // Fails only when the process is shutting down.
         let _ = self.reports.0.send(PendingReport {
             home: self.home.clone(),
             service: self.service.clone(),
--- a/crates/tc-gateway/src/engines/request.rs
+++ b/crates/tc-gateway/src/engines/request.rs
@@ -1,4 +1,4 @@
-//! Asking the home of a model service for an engine, and going on without it when it does not answer.
+//! Requests an engine from the home of a model service, with a fallback when the home does not answer.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -14,12 +14,12 @@
 /// An engine that a home chose.
 pub(crate) struct ChosenEngine {
     pub(crate) upstream: Arc<RegisteredUpstream>,
-    /// Another engine from which it fetches what that one keeps of the prompt.
+    /// Another engine from which this one fetches cached parts of the prompt.
     pub(crate) fetch_from: Option<SocketAddr>,
     pub(crate) run: EngineRun,
 }
 
-/// Asks for an engine for a request; `None` when no home knows one that is known here too.
+/// Requests an engine; `None` if no home knows one that this instance also knows.
 pub(crate) async fn request_engine(
     cx: &RunContext,
     request: &str,
@@ -32,7 +32,7 @@
         Some(home) => match cx.mesh.choose_engine(&home, engine_request).await {
             Ok(choice) => (choice?, Some(home)),
             Err(error) => {
-                log::info!(service = engine_request.service.as_str(), home = home.id.as_str(), error = error.to_string().as_str(); "the home of engines does not answer; this instance chooses by itself");
+                log::info!(service = engine_request.service.as_str(), home = home.id.as_str(), error = error.to_string().as_str(); "home of a model service does not answer; choosing an engine locally");
                 match error {
                     MeshError::Late { instance } => cx.mesh.probe(&instance),
                     MeshError::NoAnswer { .. } | MeshError::Malformed { .. } => {
@@ -77,7 +77,7 @@
         !engine_request.excluded.contains(id) && cx.backoffs.remaining(id).is_none()
     };
     Some(ChosenEngine {
-        // The home may know less of who leaves than this instance does.
+        // This instance may know of leaving upstreams that the home has not heard of.
         upstream: find(&choice.upstream).filter(|engine| may_send(&engine.id))?,
         fetch_from: choice
             .fetch_from
--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     engines::EngineHomes,
-    homes::{BatchHomes, ReleasedResults},
+    homes::{BatchHomes, ReleaseQueue},
     world::{WorldCell, tell_world},
 };
 
@@ -39,7 +39,7 @@
 }
 
 /// Results go back through the home of their service; without it, straight to their makers.
-pub(crate) async fn free_results(released: ReleasedResults, mesh: Mesh, homes: Arc<BatchHomes>) {
+pub(crate) async fn free_results(release_queue: ReleaseQueue, mesh: Mesh, homes: Arc<BatchHomes>) {
     let free = move |service: ServiceName, results: Vec<ResultHandle>| {
         let (mesh, homes) = (mesh.clone(), Arc::clone(&homes));
         async move {
@@ -55,5 +55,5 @@
             }
         }
     };
-    released.for_each_batch(free).await;
+    release_queue.for_each_batch(free).await;
 }
--- a/crates/tc-gateway/src/homes/calls.rs
+++ b/crates/tc-gateway/src/homes/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a batch service's home to upstreams.
+//! Calls from the home of a batch service to upstreams.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,10 +10,10 @@
 use super::{HomeContext, home::address_of};
 use crate::call::Acceptance;
 
-/// Longest time for a call that frees results; it is answered at once, and repeating it is harmless.
+/// Timeout of a call that frees results. Upstreams answer it at once, and repeating it is harmless.
 const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Makes one call and tells how it ended.
+/// Makes one batch call and returns how it ended.
 pub(super) async fn make_pieces(
     cx: &HomeContext,
     service: &ServiceName,
@@ -30,13 +30,14 @@
         address,
         request: (cx.codec.batch_call)(&call.pieces, &call.upstream),
         remaining: call.timeout,
-        // An answer names no call, so a late second one on a kept connection would be taken for the next call's.
+        // Answers do not identify their call, so on a kept-alive connection a late duplicate would be taken for the
+        // answer to the next call.
         reuse: false,
     };
     let mut reply = match cx.client.exchange_raw(raw).await {
         Ok(reply) => reply,
         Err(error) => {
-            log::warn!(service = service.as_str(), upstream = call.upstream.as_str(), pieces = call.pieces.len(), error = error.to_string().as_str(); "a batch call failed");
+            log::warn!(service = service.as_str(), upstream = call.upstream.as_str(), pieces = call.pieces.len(), error = error.to_string().as_str(); "batch call failed");
             return match (error.kind, error.run_state) {
                 (CallErrorKind::Connect, RunState::NotRun) => CallEnd::Unreachable,
                 _ => CallEnd::Failed,
@@ -53,7 +54,7 @@
     }
     let backoff = cx.backoffs.observe(&call.upstream, &head);
     if head.acceptance != Acceptance::Yes {
-        log::debug!(service = service.as_str(), upstream = call.upstream.as_str(), status = reply.head.status.as_u16(); "a batch call was not taken");
+        log::debug!(service = service.as_str(), upstream = call.upstream.as_str(), status = reply.head.status.as_u16(); "batch call refused by upstream");
         return backoff.map_or(CallEnd::NotRun, CallEnd::RefusedWithBackoff);
     }
     let body = reply.body.collect().await.ok();
@@ -63,15 +64,17 @@
             CallEnd::Answered(results)
         }
         _ => {
-            log::warn!(service = service.as_str(), upstream = call.upstream.as_str(), status = reply.head.status.as_u16(); "the answer of a batch call cannot be used");
+            log::warn!(service = service.as_str(), upstream = call.upstream.as_str(), status = reply.head.status.as_u16(); "answer to a batch call is invalid");
             CallEnd::Failed
         }
     }
 }
 
-/// Tells the makers of results that nobody reads them any more. A lost call costs room until the results lapse.
+/// Tells upstreams that their results are no longer needed. If a call is lost, the results take capacity until they
+/// expire.
 ///
-/// Makers in an evacuated failure domain are told nothing: results there take room that no piece is to get.
+/// Upstreams in an evacuated failure domain are not told: no new piece may use the capacity that would be freed
+/// there.
 pub(super) fn free_at_makers(cx: &Arc<HomeContext>, handles: &[ResultHandle]) {
     let world = cx.world.load();
     let is_evacuated = |handle: &ResultHandle| {
@@ -85,9 +88,7 @@
             .and_then(|maker| maker.parse().ok())
         {
             Some(maker) => by_maker.entry(maker).or_default().push(handle.clone()),
-            None => {
-                log::warn!(result = &*handle.0; "result handle names no upstream; the result cannot be freed")
-            }
+            None => log::warn!(result = &*handle.0; "result names no upstream; cannot be freed"),
         }
     }
     for (maker, handles) in by_maker {
@@ -115,7 +116,7 @@
     };
     match cx.client.exchange_raw(raw).await {
         Ok(mut reply) => {
-            // Read to its end so that the connection can be kept; what it says changes nothing.
+            // The body is read so that the connection can be reused; its content does not matter.
             let _ = reply.body.collect().await;
         }
         Err(error) => {
--- a/crates/tc-gateway/src/homes/chains.rs
+++ b/crates/tc-gateway/src/homes/chains.rs
@@ -1,4 +1,5 @@
-//! Judging at a request's first home whether its whole chain of stages is worth beginning.
+//! Admission control at the home of the first stage: decides whether the whole chain of stages can be completed in
+//! time.
 
 use std::{
     collections::BTreeMap,
@@ -21,30 +22,32 @@
 use super::{BatchHomes, home::BatchHome};
 use crate::world::World;
 
-/// How often the homes of following stages are asked how they stand. A queue changes by a fifteenth of a call in this time, and
-/// forty short calls a second from each home of a first stage carry it; half as often costs a hundredth of the work in time.
+/// Interval at which the homes of following stages are polled for their outlook. A queue changes by a fifteenth of a
+/// call in this time. Polling costs each home of a first stage forty short calls a second; polling half as often
+/// costs a hundredth of the work completed in time.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// How long after the last request with such a stage its home is still asked.
+/// How long a home is still polled after the last request with such a stage.
 const POLL_AFTER_LAST_REQUEST: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct Known {
     admission: ChainAdmission,
-    /// Services of stages of requests that were admitted here, and when last.
+    /// Services of the stages of requests that were checked here, with the time of the last one.
     polled: BTreeMap<ServiceName, MonoTime>,
 }
 
-/// What the homes on this instance know of the others.
+/// What the homes on this instance know of other homes.
 #[derive(Default)]
 pub(super) struct ChainAdmissions {
     known: Mutex<Known>,
-    /// Wakes who asks the other homes after a time in which nothing was polled.
+    /// Wakes the polling task when there is something to poll again.
     polled: Notify,
 }
 
 impl ChainAdmissions {
-    /// Judges a request that begins with this stage_request; when it is worth it, takes up in the stage_request until when its first stage must be
-    /// made, and tells whether it comes again after a refusal and too late to be in time.
+    /// Decides whether to admit a request that starts with this stage. If it is admitted, sets the time by which its
+    /// first stage must be made, and returns whether the request was refused before and has returned too late to meet
+    /// its latency target.
     pub(super) fn admit(
         &self,
         world: &World,
@@ -71,20 +74,20 @@
         };
         self.polled.notify_one();
         match admitted {
-            Ok(begun) => {
-                stage_request.until_latency_target = begun.in_time_for;
-                Ok(begun.is_late_return)
+            Ok(chain) => {
+                stage_request.until_latency_target = chain.in_time_for;
+                Ok(chain.is_late_return)
             }
             Err(retry_after) => {
                 let service = stage_request.service.as_str().to_owned();
                 metrics::counter!("tc_stage_refusals_total", "service" => service).increment(1);
-                log::info!(request = &*stage_request.request, service = stage_request.service.as_str(), rank = stage_request.priority, until_aim_ms = chain.until_latency_target.as_millis() as u64, retry_after_ms = retry_after.as_millis() as u64; "stages are not worth beginning");
+                log::info!(request = &*stage_request.request, service = stage_request.service.as_str(), rank = stage_request.priority, until_aim_ms = chain.until_latency_target.as_millis() as u64, retry_after_ms = retry_after.as_millis() as u64; "request refused: its stages cannot be completed in time");
                 Err(StageRefusal::Overloaded { retry_after })
             }
         }
     }
 
-    /// Services whose homes matter to requests that were admitted a moment ago.
+    /// Returns the services needed by recent requests.
     fn polled_services(&self, now: MonoTime) -> Vec<ServiceName> {
         let mut known = self.lock();
         known
@@ -104,7 +107,7 @@
     }
 }
 
-/// Fixed time of a call of each stage, as configured.
+/// Returns the configured fixed time of a call for each stage.
 fn call_times(world: &World, chain: &StageChain) -> Vec<Duration> {
     let call_time = |service: &ServiceName| {
         let config = world.config.as_ref()?;
@@ -116,7 +119,7 @@
         .collect()
 }
 
-/// Keeps asking the homes of the stages that follow here how they stand; runs until it is dropped.
+/// Polls the homes of following stages for their outlooks; runs until it is dropped.
 pub(crate) async fn poll_outlooks(mesh: Mesh, homes: Arc<BatchHomes>) {
     loop {
         let polled = homes.chains.polled_services(MonoTime::now());
@@ -141,15 +144,15 @@
         }
         return;
     };
-    // Without an answer its last word counts on for a while, then what is usual.
+    // Without an answer the last outlook is used for a while, then the usual times.
     match timeout(POLL_INTERVAL, mesh.outlook(&other, service)).await {
         Ok(Ok(Some(outlook))) => homes.chains.record(service, outlook),
         Ok(Ok(None)) => {}
         Ok(Err(error)) => {
-            log::debug!(service = service.as_str(), error = error.to_string().as_str(); "the home of a following stage does not tell how it stands");
+            log::debug!(service = service.as_str(), error = error.to_string().as_str(); "polling the home of a following stage failed");
         }
         Err(_) => {
-            log::debug!(service = service.as_str(), home = other.id.as_str(); "the home of a following stage is late to tell how it stands");
+            log::debug!(service = service.as_str(), home = other.id.as_str(); "polling the home of a following stage timed out");
         }
     }
 }
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -21,22 +21,22 @@
 
 use super::{HomeContext, PiecesReply, calls};
 
-/// Longest sleep between two looks at the planner when nothing is known to come.
+/// Longest wait between two checks of the planner when no event is scheduled.
 const MAX_IDLE_WAIT: Duration = Duration::from_secs(1);
 
 struct Inner {
     planner: BatchPlanner,
     waiting: SecondaryMap<JobKey, oneshot::Sender<PiecesReply>>,
-    /// Count of changes of the limits that the planner has.
+    /// Change counter of the rate limits that the planner uses.
     limit_changes: u64,
 }
 
-/// See the module.
+/// Runs the planner of one batch service and makes the calls it decides on.
 pub(super) struct BatchHome {
     cx: Arc<HomeContext>,
     service: ServiceName,
     inner: Mutex<Inner>,
-    /// Wakes the task that sleeps until the planner's next moment.
+    /// Wakes the timer task, which sleeps until the next event scheduled by the planner.
     wake: Notify,
 }
 
@@ -53,8 +53,8 @@
             }),
             wake: Notify::new(),
         });
-        // Before the world is taken up: a change between the two would be missed until the next one, seen as a home that
-        // knows no upstream for seconds while all are registered.
+        // Subscribe before reading the world: a change in between would be missed until the next one, and the home
+        // would know no upstream for seconds although all are registered.
         let changes = home.cx.world.changes();
         home.update_from_world();
         tokio::spawn(follow_world(Arc::downgrade(&home), changes));
@@ -62,7 +62,7 @@
         home
     }
 
-    /// Makes the pieces of a stage. Dropping the future takes back what was not started.
+    /// Makes the pieces of a stage. Dropping the future cancels what has not started.
     pub(super) async fn make_pieces(self: Arc<Self>, stage_request: StageRequest) -> PiecesReply {
         let now = MonoTime::now();
         let (reply, answer) = oneshot::channel();
@@ -91,12 +91,12 @@
         answer.unwrap_or(Err(StageRefusal::Failed))
     }
 
-    /// How this home stands, for requests that begin now.
+    /// Returns the outlook of this home for requests that start now.
     pub(super) fn outlook(&self) -> HomeOutlook {
         self.lock().planner.outlook(MonoTime::now())
     }
 
-    /// Results that are given up take no room any more.
+    /// Frees the capacity that the planner accounts for released results.
     pub(super) fn results_freed(self: &Arc<Self>, handles: &[ResultHandle]) {
         {
             let mut inner = self.lock();
@@ -107,7 +107,7 @@
         self.drive();
     }
 
-    /// Starts every call that the planner wants now.
+    /// Starts every call that the planner wants to make now.
     fn drive(self: &Arc<Self>) {
         let now = MonoTime::now();
         self.update_limits(now);
@@ -133,32 +133,34 @@
         self.wake.notify_one();
     }
 
-    /// Lets the planner take a step that may end jobs, and answers who waits for them; returns how many ended.
+    /// Runs a planner step that may finish jobs, and sends the results to the waiting requests; returns how many jobs
+    /// finished.
     ///
-    /// Both happen under one lock. A job that came in between would take the place of one that has ended, and the answer to that
-    /// one would be lost: seen as a request refused for a stage that failed, while its results are made and nobody frees them.
+    /// Both happen under one lock. A job added in between could reuse the key of a finished job, and the answer to
+    /// the finished one would be lost: its request was refused for a failed stage, while the results existed and
+    /// nobody freed them.
     fn step(&self, step: impl FnOnce(&mut BatchPlanner) -> PlannerEffects) -> usize {
-        let settled = {
+        let effects = {
             let mut inner = self.lock();
-            let mut settled = step(&mut inner.planner);
-            for handle in &settled.discarded_results {
+            let mut effects = step(&mut inner.planner);
+            for handle in &effects.discarded_results {
                 inner.planner.result_freed(handle);
             }
-            for finished in &mut settled.finished {
+            for finished in &mut effects.finished {
                 if let Some(reply) = inner.waiting.remove(finished.job) {
                     let result = std::mem::replace(&mut finished.result, Ok(Vec::new()));
-                    // Fails only when the asker has gone, which frees the results itself.
+                    // Fails only if the requester is gone; it frees the results itself.
                     let _ = reply.send(result);
                 }
             }
-            settled
+            effects
         };
-        calls::free_at_makers(&self.cx, &settled.discarded_results);
-        self.release_inputs(&settled.released_inputs);
-        settled.finished.len()
+        calls::free_at_makers(&self.cx, &effects.discarded_results);
+        self.release_inputs(&effects.released_inputs);
+        effects.finished.len()
     }
 
-    /// Inputs that the stage's pieces have are given up through the homes of the services that made them.
+    /// Releases the inputs that the pieces of a stage have read, through the homes of the services that made them.
     fn release_inputs(&self, inputs: &[ResultHandle]) {
         if inputs.is_empty() {
             return;
@@ -166,18 +168,18 @@
         let world = self.cx.world.load();
         for input in inputs {
             let Some(maker) = world.upstreams.maker_of(input) else {
-                log::debug!(result = &*input.0; "the maker of a result is gone, and the result with it");
+                log::debug!(result = &*input.0; "the upstream that held a result is gone, and the result with it");
                 continue;
             };
             self.cx.releaser.release(&maker.service, [input.clone()]);
         }
     }
 
-    /// Sends asks whose work was not begun on to the service's new home.
+    /// Sends requests whose work has not started on to the new home of the service.
     pub(super) fn hand_over(&self) {
         let asks = self.step(BatchPlanner::hand_over);
         if asks > 0 {
-            log::info!(service = self.service.as_str(), asks = asks; "another instance is the home of a batch service now; asks are sent on");
+            log::info!(service = self.service.as_str(), asks = asks; "home of a batch service moved to another instance; pending requests handed over");
         }
     }
 
@@ -215,11 +217,11 @@
             inner.planner.set_spec(spec);
         }
         inner.planner.set_upstreams(&upstreams);
-        // Upstreams that are new here may be limited already.
+        // Upstreams that are new here may already have rate limits.
         inner.limit_changes = 0;
     }
 
-    /// Takes up the limits that upstreams announce, if they may have changed.
+    /// Passes changed rate limits of upstreams to the planner.
     fn update_limits(&self, now: MonoTime) {
         let limits = &self.cx.limits;
         let changes = limits.changes();
@@ -252,14 +254,14 @@
     }
 }
 
-/// Takes a job back when its asker leaves.
+/// Cancels a job when its requester is gone.
 struct CancelOnDrop {
     home: Arc<BatchHome>,
     job: Option<JobKey>,
 }
 
 impl CancelOnDrop {
-    /// The job has ended by itself.
+    /// Called when the job has ended, so that it is not cancelled.
     fn disarm(mut self) {
         self.job = None;
     }
@@ -281,7 +283,7 @@
     }
 }
 
-/// Looks at the planner when time alone changes what is possible.
+/// Checks the planner when the passing of time alone changes what it can do.
 async fn run_timer(home: Weak<BatchHome>) {
     loop {
         let Some(home) = home.upgrade() else { return };
@@ -290,7 +292,7 @@
         let wait = next.map_or(MAX_IDLE_WAIT, |at| {
             at.since(now).max(Duration::from_millis(5))
         });
-        // Woken early or not, the planner is looked at.
+        // The planner is checked whether the wait timed out or not.
         let _ = timeout(wait, home.wake.notified()).await;
         let now = MonoTime::now();
         home.step(|planner| planner.expire(now));
@@ -300,7 +302,7 @@
     }
 }
 
-/// Whether an upstream still takes work, looked up right before it is called.
+/// Returns the address of an upstream if it still takes work; looked up right before each call.
 pub(super) fn address_of(
     cx: &HomeContext,
     service: &ServiceName,
--- a/crates/tc-gateway/src/homes/mod.rs
+++ b/crates/tc-gateway/src/homes/mod.rs
@@ -1,4 +1,5 @@
-//! Batch services homed here: asks come in, calls go out as the planner decides, results go back.
+//! Homes of batch services on this instance: they receive stage requests, call upstreams as the planner decides and
+//! return the results.
 
 mod calls;
 mod chains;
@@ -26,12 +27,12 @@
 use chains::ChainAdmissions;
 pub(crate) use chains::poll_outlooks;
 use home::BatchHome;
-pub(crate) use release::{ReleasedResults, ResultReleaser};
+pub(crate) use release::{ReleaseQueue, ResultReleaser};
 
-/// Answer to an stage_request for pieces.
+/// Result of a request for the pieces of a stage.
 pub(crate) type PiecesReply = Result<Vec<ResultHandle>, StageRefusal>;
 
-/// What every home needs.
+/// Dependencies shared by all homes.
 pub(crate) struct HomeContext {
     pub(crate) codec: PlatformCodec,
     pub(crate) client: UpstreamClient,
@@ -43,7 +44,7 @@
     pub(crate) unknown_headers: Arc<UnknownHeaders>,
 }
 
-/// The homes that were asked for here, by service.
+/// The homes on this instance, by service; each is started on the first request for it.
 pub(crate) struct BatchHomes {
     cx: Arc<HomeContext>,
     by_service: Mutex<HashMap<ServiceName, Arc<BatchHome>>>,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Makes the pieces of a stage. Dropping the future takes back what was not started.
+    /// Makes the pieces of a stage. Dropping the future cancels what has not started.
     pub(crate) async fn make_pieces(&self, mut stage_request: StageRequest) -> PiecesAnswer {
         match self.home(&stage_request.service) {
             Some(home) => {
@@ -85,13 +86,13 @@
         }
     }
 
-    /// How the home of a service stands, if it is here.
+    /// Returns the outlook of the home of a service, if that home runs on this instance.
     pub(crate) fn outlook(&self, service: &ServiceName) -> Option<HomeOutlook> {
         let home = self.lock().get(service).cloned();
         home.map(|home| home.outlook())
     }
 
-    /// Frees results at their makers, and the room that they took.
+    /// Frees results on the upstreams that hold them, and the capacity that the homes account for them.
     pub(crate) fn free_results(&self, handles: &[ResultHandle]) {
         let homes: Vec<Arc<BatchHome>> = {
             let homes = self.lock();
@@ -103,7 +104,7 @@
         calls::free_at_makers(&self.cx, handles);
     }
 
-    /// Hands over every service that is homed elsewhere by now.
+    /// Hands over every service whose home is now another instance.
     pub(crate) fn hand_over(&self, is_here: impl Fn(&ServiceName) -> bool) {
         let moved: Vec<Arc<BatchHome>> = {
             let homes = self.lock();
@@ -115,7 +116,7 @@
         }
     }
 
-    /// The home of a service, started when it is first asked for; `None` for a service that makes no pieces.
+    /// Returns the home of a service, starting it if needed; `None` if the service is not a batch service.
     fn home(&self, service: &ServiceName) -> Option<Arc<BatchHome>> {
         if let Some(home) = self.lock().get(service) {
             return Some(Arc::clone(home));
@@ -124,7 +125,7 @@
         let spec = world.config.as_ref()?.service(service.as_str())?.batch?;
         let mut homes = self.lock();
         let home = homes.entry(service.clone()).or_insert_with(|| {
-            log::info!(service = service.as_str(); "this instance is asked to be the home of a batch service");
+            log::info!(service = service.as_str(); "started the home of a batch service");
             BatchHome::start(Arc::clone(&self.cx), service.clone(), spec)
         });
         Some(Arc::clone(home))
--- a/crates/tc-gateway/src/homes/release.rs
+++ b/crates/tc-gateway/src/homes/release.rs
@@ -1,31 +1,33 @@
-//! Results that an entry has read are given up in batches through the home of their service, which counts the room.
+//! Releases results that an entry instance has read: in batches, through the home of their service, which accounts
+//! for result capacity.
 
 use std::{collections::HashMap, time::Duration};
 
 use tc_protocol::{ServiceName, routing::ResultHandle};
 use tokio::{sync::mpsc, time::sleep};
 
-/// How long results are gathered. Room for a result is worth a hundred times this, and one call carries all.
+/// How long results are collected into a batch. The capacity that a result takes is worth a hundred times this delay,
+/// and one call releases the whole batch.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
-/// Results taken up in one go.
+/// Maximum number of results received at once.
 const MAX_BATCH: usize = 4_096;
 
 /// A result and the service that made it.
 type ServiceResult = (ServiceName, ResultHandle);
 
-/// Where results are put that nobody reads any more; clones share it.
+/// Sends results that are no longer needed to the release task; clones share the channel.
 #[derive(Clone)]
 pub(crate) struct ResultReleaser {
     results: mpsc::UnboundedSender<ServiceResult>,
 }
 
-/// Results that were put into a [`ResultReleaser`], to be gathered.
-pub(crate) struct ReleasedResults {
+/// Receiving end of [`ResultReleaser`].
+pub(crate) struct ReleaseQueue {
     results: mpsc::UnboundedReceiver<ServiceResult>,
 }
 
-impl ReleasedResults {
-    /// Gathers them; `free` is called for each service with what was gathered.
+impl ReleaseQueue {
+    /// Collects results into batches and calls `release` with the results of each service.
     pub(crate) async fn for_each_batch<F, Fut>(mut self, release: F)
     where
         F: Fn(ServiceName, Vec<ResultHandle>) -> Fut,
@@ -49,10 +51,10 @@
 }
 
 impl ResultReleaser {
-    /// A place to put results, and where they come out.
-    pub(crate) fn new() -> (Self, ReleasedResults) {
+    /// Creates a connected sender and receiver.
+    pub(crate) fn new() -> (Self, ReleaseQueue) {
         let (sender, results) = mpsc::unbounded_channel();
-        (Self { results: sender }, ReleasedResults { results })
+        (Self { results: sender }, ReleaseQueue { results })
     }
 
     pub(crate) fn release(
@@ -61,7 +63,7 @@
         handles: impl IntoIterator<Item = ResultHandle>,
     ) {
         for handle in handles {
-            // Fails only when the process ends.
+            // Fails only when the process is shutting down.
             let _ = self.results.send((service.clone(), handle));
         }
     }
--- a/crates/tc-gateway/src/limits.rs
+++ b/crates/tc-gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Sends to upstreams that announce a rate limit, by instances that send without a home's grant.
+//! Requests to upstreams that announce a rate limit, sent without a grant from a home.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -12,10 +12,10 @@
     routing::{RateLimit, RoutedService},
 };
 
-/// Longest wait that callers are told.
+/// Upper bound of the `Retry-After` sent to callers.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 
-/// Keeps this instance's share of the rate limits of upstreams.
+/// Enforces this instance's share of the rate limits of upstreams.
 #[derive(Debug)]
 pub(crate) struct LimitedSends {
     limits: Arc<UpstreamLimits>,
@@ -37,7 +37,8 @@
 
     /// Returns true if this instance may send to the upstream of a service without asking its home.
     ///
-    /// Where there is a home it answered that no engine is left, so a limited engine is not for this instance to take.
+    /// If the service has a home, that home answered that no engine is left, so this instance must not use one with a
+    /// rate limit.
     pub(crate) fn may_send(&self, mesh: &Mesh, service: &RoutedService, id: &UpstreamId) -> bool {
         let Some(limit) = self.limits.get(id) else {
             return true;
--- a/crates/tc-gateway/src/routing.rs
+++ b/crates/tc-gateway/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Finds the route of a request.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -9,34 +9,34 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Routes by host, longest prefix first.
+/// Routes by host, longest path prefix first.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, Vec<Arc<Route>>>,
 }
 
-/// Why routes cannot be used.
+/// Why the routes of a configuration are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RouteTableError {
-    /// Two routes claim the same requests.
+    /// Two routes have the same host and path prefix.
     #[error("routes {0} and {1} have the same host and prefix")]
     DuplicatePrefix(Arc<str>, Arc<str>),
-    /// A route sends requests nowhere.
+    /// A route has no service with a weight above zero.
     #[error("route {0} names no service")]
     NoTarget(Arc<str>),
-    /// A route or one of its stages names a service that is not there.
-    #[error("route {0} names the unknown service {1}")]
+    /// A route or one of its stages names a service that does not exist.
+    #[error("route {0} names unknown service {1}")]
     UnknownService(Arc<str>, ServiceName),
-    /// A stage needs the results of one that does not come before it.
-    #[error("stage {1} of route {0} needs results of a stage that is not before it")]
+    /// A stage depends on a stage that does not come before it.
+    #[error("stage {1} of route {0} depends on a stage that does not come before it")]
     StageOrder(Arc<str>, usize),
-    /// A stage's service does not work in batches.
-    #[error("stage {1} of route {0} names service {2}, which makes no pieces")]
+    /// The service of a stage is not a batch service.
+    #[error("stage {1} of route {0} names service {2}, which is not a batch service")]
     NotBatchService(Arc<str>, usize, ServiceName),
 }
 
 impl RouteTable {
-    /// A table of a configuration's routes.
+    /// Builds the table of the routes of a configuration.
     ///
     /// ```
     /// use tc_gateway::RouteTable;
@@ -68,7 +68,7 @@
         Ok(Self { by_host })
     }
 
-    /// The route of a host (a port is left aside) with the longest prefix that begins the path.
+    /// Returns the route of a host (its port is ignored) with the longest prefix of the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(&host_name(host).to_ascii_lowercase())?;
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// The service that takes a request, by the weights of the route's split; the same request always goes the same way.
+/// Chooses the service for a request by the weights of the route; the same request always gets the same service.
 pub(crate) fn target_service<'a>(route: &'a Route, request: &str) -> Option<&'a ServiceName> {
     let total: u64 = route.targets.iter().map(|(_, w)| u64::from(*w)).sum();
     let mut point = xxh3_64(request.as_bytes()) % total.max(1);
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to an upstream.
+//! Sends a request to an upstream and checks its answer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,56 +15,56 @@
     upstream_stats::{CallOutcome, InFlight},
 };
 
-/// A request with less time left is not sent any more: no upstream could answer it.
+/// A request with less time left is not sent: no upstream could answer in time.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// Sends of one request that upstreams may turn away before it is given up. What was turned away has not run, so it does not
-/// count towards the runs that its route allows; but each one is a repeat that the others' budget lacks, and an upstream that
-/// is full tells that its peers soon are.
+/// Number of times that upstreams may refuse a request before the gateway gives up. A refused request has not run, so
+/// it does not count towards the attempts that its route allows. Each repeat still uses retry budget that other
+/// requests may need, and when one upstream is full its peers are likely to be full soon.
 const MAX_REFUSED_SENDS: u32 = 3;
 
-/// What was learnt from sends of one request so far.
+/// State of the attempts of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
-    /// Sends that left this process and may have run.
+    /// Attempts that were sent and may have run.
     pub(super) sent: u32,
-    /// Sends that an upstream turned away without having run the request.
+    /// Attempts that an upstream refused without running the request.
     refused: u32,
-    /// Whether any send may have run.
+    /// Whether any attempt may have run.
     pub(super) may_have_run: bool,
-    /// Upstreams not to be tried again.
+    /// Upstreams that are not tried again.
     pub(super) tried: Vec<UpstreamId>,
-    /// Whether the next send is a repeat of one that reached an upstream.
+    /// Whether an earlier attempt reached an upstream, so that the next one uses retry budget.
     reached_upstream: bool,
-    /// Whom the send in progress is for.
+    /// The upstream of the attempt in progress.
     current_upstream: Option<UpstreamId>,
 }
 
-/// Why a send brought no answer that can be used.
+/// Why an attempt produced no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendFailure {
-    /// It has not run there.
+    /// The upstream did not run the request.
     NotRun,
-    /// It has not run there because its inputs are gone.
+    /// The upstream did not run the request because results that it reads are gone.
     InputGone,
-    /// It may have run.
+    /// The upstream may have run the request.
     Unknown,
     /// No upstream is left to try.
     NoUpstream,
-    /// Upstreams that are left announce rate limits that are used up; the time until one takes another request.
+    /// The remaining upstreams are at their announced rate limits; the time until one takes another request.
     Limited(Duration),
     /// Upstreams of the service have requested backoffs; the time until the first one expires.
     BackingOff(Duration),
-    /// No time is left.
+    /// The time of the request is used up.
     NoTime,
 }
 
 /// What is wrong with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerFault {
-    /// It ended before its end, as when the upstream crashes.
+    /// The connection broke before the answer was complete, as when the upstream crashes.
     Broken,
-    /// It is too late, too large, or another's.
+    /// The answer is too late, too large, or belongs to another request.
     Invalid,
 }
 
@@ -77,30 +77,30 @@
     }
 }
 
-/// An answer whose head was checked.
+/// An answer whose headers were checked and whose body is still to be read.
 pub(super) struct Answered {
     pub(super) reply: RawReply,
     pub(super) head: AnswerHead,
     pub(super) upstream: Arc<RegisteredUpstream>,
     pub(super) sent_at: Instant,
-    /// Counts the call as in progress while the answer is read.
+    /// Counts the call as in progress while the body is read.
     pub(super) in_flight: InFlight,
-    /// The run at an engine that a home chose.
+    /// The run on an engine that a home chose.
     pub(super) run: Option<EngineRun>,
 }
 
-/// What is sent besides the request.
+/// What an attempt adds to the request itself.
 #[derive(Clone, Copy, Default)]
 pub(super) struct SendOptions<'a> {
-    /// What the request's stages left; `None` for routes without stages.
+    /// Results of the request's stages; `None` for routes without stages.
     pub(super) results: Option<&'a StageResults>,
     pub(super) resume_after: Option<u64>,
-    /// Ends the send before the request's own time.
+    /// Limits the attempt to less than the request's remaining time.
     pub(super) timeout: Option<Duration>,
 }
 
 impl Attempts {
-    /// Whether the request may be sent once more after a failure.
+    /// Returns whether the request may be sent again after a failure, and spends retry budget if that is needed.
     pub(super) fn may_send_again(
         &mut self,
         cx: &RunContext,
@@ -122,7 +122,7 @@
         !self.reached_upstream || cx.budgets.try_spend(&req.service, cx.instances())
     }
 
-    /// What to tell the caller when nothing more is tried.
+    /// Returns the refusal for the caller when no further attempt is made.
     pub(super) fn refusal(&self, req: &RoutedRequest, failure: SendFailure) -> Refusal {
         if self.may_have_run {
             return if req.time_left() < MIN_TIME_LEFT {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Sends the request to the upstream that suits best and waits for the head of its answer.
+    /// Sends the request to the most suitable upstream and waits for the headers of its answer.
     pub(super) async fn send(
         &mut self,
         cx: &RunContext,
@@ -215,7 +215,8 @@
         SendFailure::Unknown
     }
 
-    /// Tells answers that belong to this request and are genuine from all others.
+    /// Records what the headers of an answer announce, and accepts the answer only if it is genuine and belongs to
+    /// this request.
     fn check_answer(
         &mut self,
         cx: &RunContext,
@@ -237,7 +238,7 @@
         cx.backoffs.observe(id, head);
         if head.acceptance != Acceptance::Yes {
             let status = answered.reply.head.status.as_u16();
-            log::info!(request = &*req.head.request, upstream = id.as_str(), status = status, taken = format!("{:?}", head.acceptance).as_str(); "an upstream did not take a request");
+            log::info!(request = &*req.head.request, upstream = id.as_str(), status = status, taken = format!("{:?}", head.acceptance).as_str(); "request refused by upstream");
             cx.upstream_stats.record(id, CallOutcome::Full);
             self.tried.push(id.clone());
             self.sent -= 1;
@@ -260,18 +261,18 @@
         let is_genuine = head.sealed && !head.encoded;
         let is_success = answered.reply.head.status.is_success();
         if !is_ours || (is_success && !is_genuine) {
-            log::warn!(request = &*req.head.request, upstream = id.as_str(), ours = is_ours, sealed = head.sealed, encoded = head.encoded; "an answer is not this request's or not genuine");
+            log::warn!(request = &*req.head.request, upstream = id.as_str(), ours = is_ours, sealed = head.sealed, encoded = head.encoded; "answer rejected: it belongs to another request or is not genuine");
             return Err(self.record_faulty_answer(cx, req, id, AnswerFault::Invalid));
         }
         Ok(answered)
     }
 
-    /// The next send goes to another upstream than the last one.
+    /// Excludes the upstream of the current attempt from later ones.
     pub(super) fn exclude_current(&mut self) {
         self.tried.extend(self.current_upstream.take());
     }
 
-    /// A send was given up while its answer was awaited.
+    /// Records that an attempt timed out while its answer was awaited.
     pub(super) fn record_timeout(&mut self, cx: &RunContext) {
         self.reached_upstream = true;
         self.may_have_run = true;
@@ -281,7 +282,7 @@
         }
     }
 
-    /// The upstream ran the request, but its answer cannot be used.
+    /// Records an answer that cannot be used; the upstream may have run the request.
     pub(super) fn record_faulty_answer(
         &mut self,
         cx: &RunContext,
@@ -299,7 +300,7 @@
     }
 }
 
-/// An upstream may have crashed of the request it ran.
+/// Reports that an upstream broke the connection while it ran the request, which may have crashed it.
 fn report_crash(cx: &RunContext, req: &RoutedRequest, upstream: &UpstreamId) {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
     cx.mesh
--- a/crates/tc-gateway/src/run/buffered.rs
+++ b/crates/tc-gateway/src/run/buffered.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer is passed on whole.
+//! Requests whose answer is read completely before it is forwarded.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 };
 use crate::upstream_stats::CallOutcome;
 
-/// Part of the time left that the first send of a request may take when another may follow: an upstream that hangs
-/// leaves enough for a second one.
+/// Fraction of the remaining time that the first attempt may take when a second one is allowed: after an upstream
+/// that hangs, enough time is left for another.
 const FIRST_SEND_FRACTION: f64 = 0.45;
 
-/// Runs a request and gives its answer whole.
+/// Runs a request and returns its complete answer.
 pub(super) async fn run(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -44,7 +44,7 @@
             Err(failure) => failure,
         };
         if !attempts.may_send_again(cx, req, failure) {
-            // What an upstream itself said goes before words of our own.
+            // An upstream's own error response is preferred to a refusal by the gateway.
             return last_failure.ok_or_else(|| attempts.refusal(req, failure));
         }
         if failure == SendFailure::InputGone {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Makes the stages of a route that has any.
+/// Makes the stages of the request, if its route has any.
 pub(super) async fn make_stages(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -61,9 +61,9 @@
     stages::make_all(cx, req).await.map_err(Refusal::from)
 }
 
-/// Makes the stages once more after their results were lost.
+/// Makes the stages again after their results were lost.
 ///
-/// An earlier send may have run the request, so a stage that fails now does not make it "not run".
+/// An earlier attempt may have run the request, so a stage that fails now must not be reported as "not run".
 pub(super) async fn make_stages_again(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -79,7 +79,7 @@
     })
 }
 
-/// The results that go with a request; `None` for routes without stages.
+/// Returns the stage results to send with a request; `None` for routes without stages.
 pub(super) fn stage_results<'a>(
     req: &RoutedRequest,
     results: &'a StageResults,
@@ -87,7 +87,7 @@
     (!req.route.stages.is_empty()).then_some(results)
 }
 
-/// An upstream's failure that another upstream may not have.
+/// Returns whether another upstream may succeed after this status.
 fn is_retryable(status: StatusCode) -> bool {
     status.is_server_error()
 }
@@ -100,7 +100,7 @@
     })
 }
 
-/// Reads an answer to its end: only a whole one is passed on.
+/// Reads the body of an answer to its end; only complete answers are forwarded.
 pub(super) async fn read(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -126,7 +126,7 @@
             Ok(answer(cx, &reply.head, body))
         }
         Err(error) => {
-            log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), error = error.to_string().as_str(); "an answer broke off");
+            log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), error = error.to_string().as_str(); "answer ended before it was complete");
             Err(attempts.record_faulty_answer(cx, req, &upstream.id, AnswerFault::from(&error)))
         }
     }
--- a/crates/tc-gateway/src/run/home_request.rs
+++ b/crates/tc-gateway/src/run/home_request.rs
@@ -1,4 +1,4 @@
-//! Asking the home of a batch service, and going on without it when it does not answer.
+//! Requests the pieces of a stage from the home of its batch service, with a fallback when the home does not answer.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 
 use super::RunContext;
 
-/// Homes tried before this instance makes the pieces itself.
+/// Number of homes tried before this instance makes the pieces itself.
 const MAX_HOMES: usize = 2;
-/// Times that an stage_request follows a home that moves: members' lists agree within a second, and an stage_request waits longer than that
-/// only in an overload.
+/// Number of times that a request follows a home that moves. Member lists agree within a second, and a request waits
+/// longer than that only under overload.
 const MAX_MOVES: u32 = 4;
-/// Pause before an stage_request that was sent on asks again, so that the news of the new home can arrive here.
+/// Delay before a request refused with `Moved` is sent again, so that the member list has time to show the new home.
 const MOVE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Gets the pieces of a stage made.
+/// Returns the pieces of a stage, made by the home of its service.
 ///
-/// Two homes for a moment make calls that are less full; they never make an answer wrong, as upstreams refuse calls
-/// when they have too many.
+/// While the home moves there may be two of them for a moment. Calls are then less full, but answers stay correct, as
+/// upstreams refuse calls when they have too many.
 pub(super) async fn request_pieces(cx: &RunContext, stage_request: StageRequest) -> PiecesAnswer {
     let started = Instant::now();
     cx.wait_for_membership().await;
@@ -45,7 +45,7 @@
     }
 }
 
-/// An stage_request with the times that it has left after a while.
+/// Returns the request with its time limits reduced by `elapsed`.
 fn with_elapsed(stage_request: &StageRequest, elapsed: Duration) -> StageRequest {
     let mut later = stage_request.clone();
     later.until_latency_target = later.until_latency_target.saturating_sub(elapsed);
@@ -57,7 +57,8 @@
     later
 }
 
-/// Asks the instance that is the home as far as is known here; `None` if it does not answer, which is noted in `failed_homes`.
+/// Sends the request to the home that this instance knows of. Returns `None` if that home does not answer, and adds
+/// it to `failed_homes`.
 async fn request_from_home(
     cx: &RunContext,
     stage_request: &StageRequest,
@@ -72,12 +73,12 @@
     };
     let asked = tokio::select! {
         answer = cx.mesh.make_pieces(&home, stage_request) => answer.map_err(|error| error.to_string()),
-        () = wait_until_unavailable(cx, &home) => Err("it was found dead or suspect".to_owned()),
+        () = wait_until_unavailable(cx, &home) => Err("the instance is suspect or dead".to_owned()),
     };
     match asked {
         Ok(answer) => Some(answer),
         Err(problem) => {
-            log::warn!(request = &*stage_request.request, service = key, home = home.id.as_str(), problem = problem.as_str(); "the home of a stage does not answer");
+            log::warn!(request = &*stage_request.request, service = key, home = home.id.as_str(), problem = problem.as_str(); "home of a batch service does not answer");
             cx.mesh.doubt(&home.id);
             failed_homes.push(home.id);
             None
@@ -85,7 +86,7 @@
     }
 }
 
-/// Done when the instance is no longer thought to be well.
+/// Returns as soon as the instance is no longer alive or leaving.
 async fn wait_until_unavailable(cx: &RunContext, home: &Member) {
     let mut changes = cx.mesh.changes();
     loop {
@@ -97,7 +98,7 @@
             return;
         }
         if changes.changed().await.is_err() {
-            // The mesh has ended, and with it the process.
+            // The mesh has ended because the process is shutting down.
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
     }
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! The run of one request: its stages, then the request itself, then the answer.
+//! Runs one routed request: its stages first, then the request itself, then the answer.
 
 mod attempt;
 mod buffered;
@@ -44,26 +44,27 @@
 pub(crate) use prompt_times::SharedPromptTimes;
 pub(crate) use refusal::{Refusal, refusal_answer};
 
-/// Ranks that routes are told apart by within a workspace's rank; routes use 0 to 2, and more would let a workspace wait
-/// for long only because another one's rank is one higher.
+/// Number of route priorities within one workspace priority. Routes use 0 to 2. With a larger number, a workspace
+/// could wait for a long time only because the priority value of another one is one lower.
 const ROUTE_PRIORITIES: u8 = 3;
 
-/// Body of an answer to a caller. An error cuts the caller's connection, so that no broken answer looks whole.
+/// Body of an answer to a caller. An error closes the caller's connection, so that an incomplete answer never looks
+/// complete.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, IncompleteBody>;
 
-/// Why an answer that had begun was not finished.
+/// The upstream's answer ended early after its start had been forwarded to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the answer broke off")]
+#[error("the answer ended before it was complete")]
 pub(crate) struct IncompleteBody;
 
-/// A body that is there whole.
+/// Returns a body whose bytes are all available.
 pub(crate) fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// What all runs share.
+/// State shared by all requests of this instance.
 pub(crate) struct RunContext {
     pub(crate) codec: PlatformCodec,
     pub(crate) world: Arc<WorldCell>,
@@ -82,23 +83,24 @@
     pub(crate) prompt_times: SharedPromptTimes,
     pub(crate) client: UpstreamClient,
     pub(crate) suspended: SuspendedTime,
-    /// Whether this instance knows the same members as another; true as well when it has waited for that long enough.
+    /// Whether the member list of this instance agrees with that of another one; also true once it has waited long
+    /// enough for that.
     pub(crate) members_settled: Receiver<bool>,
 }
 
 impl RunContext {
-    /// Waits, in the first moments of this process, until it knows who is home of what.
+    /// Waits after startup until the member list has settled, so that the home of each service is known.
     ///
-    /// When all instances of a fleet of hundreds start at once, each knows some of the others and takes one of those for a
-    /// service's home. Dozens of homes then send each upstream more calls than it takes: seen as three seconds of refusals, and
-    /// as tens of thousands of refused calls, after every power loss.
+    /// When hundreds of instances start at once, each knows only some of the others and picks one of those as the
+    /// home of a service. Dozens of homes then send each upstream more calls than it takes: after every power loss
+    /// this caused three seconds of refusals and tens of thousands of refused calls.
     pub(crate) async fn wait_for_membership(&self) {
         let mut settled = self.members_settled.clone();
-        // Fails only when the process ends.
+        // Fails only when the process is shutting down.
         let _ = settled.wait_for(|settled| *settled).await;
     }
 
-    /// Instances that take part in budgets: all that may be sending.
+    /// Returns the number of instances that share the retry budgets: all that may be sending requests.
     pub(crate) fn instances(&self) -> usize {
         let members = self.mesh.members();
         members
@@ -108,7 +110,7 @@
     }
 }
 
-/// A request that was routed and may run.
+/// A request for which a route was found and which may run.
 pub(crate) struct RoutedRequest {
     pub(crate) head: RequestHead,
     pub(crate) parts: Parts,
@@ -117,9 +119,9 @@
     pub(crate) service: ServiceName,
     pub(crate) workspace: Option<Arc<RoutedWorkspace>>,
     pub(crate) arrived: Instant,
-    /// Until its caller or its route ends it.
+    /// Time left until the timeout of the caller or the route.
     pub(crate) allowed: TimeAllowed,
-    /// Held while the request runs if it may crash upstreams.
+    /// Permission held while the request runs, if the request may crash upstreams.
     pub(crate) suspect: Option<SuspectRun>,
 }
 
@@ -128,14 +130,15 @@
         self.allowed.left()
     }
 
-    /// Time until the caller leaves if nothing has come: the request's time, or what its patience leaves of it.
+    /// Returns the time until the caller disconnects if no event arrives: the remaining time of the request or, if
+    /// shorter, what is left of the first-event timeout.
     fn time_to_first(&self) -> Duration {
         let left = self.time_left();
         let patience = self.route.first_event_timeout.unwrap_or(left);
         left.min(patience.saturating_sub(self.arrived.elapsed()))
     }
 
-    /// Logs and counts that an upstream answered.
+    /// Logs and counts the first byte of an upstream's answer.
     fn note_answer(&self, upstream: &UpstreamId, status: StatusCode, sends: u32) {
         let after = self.arrived.elapsed();
         let service = self.service.as_str().to_owned();
@@ -153,7 +156,7 @@
         );
     }
 
-    /// What is the same in every sending of the request: path, workspace and body.
+    /// Returns a hash of what is the same in every attempt of the request: path, workspace and body.
     fn fingerprint(&self) -> Fingerprint {
         let mut hasher = Xxh3::new();
         hasher.update(self.parts.uri.path().as_bytes());
@@ -161,7 +164,7 @@
         hasher.update(self.workspace_name().as_str().as_bytes());
         hasher.update(&[0]);
         hasher.update(&self.body);
-        // Zero stands for no request at all.
+        // Zero is reserved for "no request".
         Fingerprint(hasher.digest().max(1))
     }
 
@@ -170,7 +173,7 @@
         workspace.map_or_else(|| "".into(), |workspace| workspace.name.clone())
     }
 
-    /// Rank among requests, 0 first: by workspace, and within one by route.
+    /// Returns the priority of the request, 0 being the most urgent: by workspace first, then by route.
     fn rank(&self) -> u8 {
         let workspace = self.workspace.as_ref().and_then(|w| w.priority);
         let within = self.route.priority.min(ROUTE_PRIORITIES - 1);
@@ -181,7 +184,7 @@
     }
 }
 
-/// Runs a request to its answer, or to the first event of a stream_answer one.
+/// Runs a request until its answer is complete or, for a stream, until its first event.
 pub(crate) async fn run(cx: Arc<RunContext>, mut req: RoutedRequest) -> Response<AnswerBody> {
     cx.budgets.record_request(&req.service, cx.instances());
     if let Err(refusal) = acquire_suspect_run(&cx, &mut req).await {
@@ -200,7 +203,7 @@
     })
 }
 
-/// Waits for leave to run a request that may crash upstreams; refuses one that has done so too often.
+/// Waits for permission to run a request that may crash upstreams; refuses one that has crashed too many.
 async fn acquire_suspect_run(cx: &RunContext, req: &mut RoutedRequest) -> Result<(), Refusal> {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
     let slack = req.time_to_first();
--- a/crates/tc-gateway/src/run/outlooks.rs
+++ b/crates/tc-gateway/src/run/outlooks.rs
@@ -1,11 +1,11 @@
-//! What the stages' homes last told, shared by all requests of this instance.
+//! Latest outlooks reported by the homes of batch services, shared by all requests of this instance.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use tc_policy::{ChainQuery, ExpectedStageTimes, HomeOutlook, StageOutlooks};
 use tc_protocol::{MonoTime, ServiceName};
 
-/// See [`StageOutlooks`].
+/// Thread-safe [`StageOutlooks`].
 #[derive(Debug, Default)]
 pub(crate) struct SharedOutlooks(Mutex<StageOutlooks>);
 
--- a/crates/tc-gateway/src/run/prompt_times.rs
+++ b/crates/tc-gateway/src/run/prompt_times.rs
@@ -1,4 +1,4 @@
-//! What engines need to the first event, shared by all requests of this instance.
+//! Times that engines take until the first event, shared by all requests of this instance.
 
 use std::{
     collections::HashMap,
@@ -11,19 +11,19 @@
 
 use super::RoutedRequest;
 
-/// See [`PromptTimes`].
+/// Thread-safe [`PromptTimes`] per service.
 #[derive(Debug, Default)]
 pub(crate) struct SharedPromptTimes(Mutex<HashMap<ServiceName, PromptTimes>>);
 
 impl SharedPromptTimes {
-    /// The first event of a request came this long after it was sent.
+    /// Records the time from sending a request to its first event.
     pub(super) fn record(&self, req: &RoutedRequest, took: Duration) {
         let mut times = self.lock();
         let times = times.entry(req.service.clone()).or_default();
         times.record(prompt_tokens(req), took);
     }
 
-    /// What the request is expected_stage_times to need of its engine.
+    /// Estimates the time from sending the request to its first event.
     pub(super) fn estimate(&self, req: &RoutedRequest) -> Duration {
         let times = self.lock().get(&req.service).copied();
         times.unwrap_or_default().estimate(prompt_tokens(req))
--- a/crates/tc-gateway/src/run/refusal.rs
+++ b/crates/tc-gateway/src/run/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own, and what each promises.
+//! Answers that the gateway gives itself, and what each one tells the caller about whether the request ran.
 
 use std::time::Duration;
 
@@ -9,21 +9,20 @@
 use super::{AnswerBody, RoutedRequest, full_body};
 use crate::codec::PlatformCodec;
 
-/// When a caller is told to come back if nothing better is known: about the time in which an upstream that just
-/// failed or filled up has been found out and others have taken over.
+/// Default `Retry-After`: about the time until a failed or full upstream is detected and others have taken over.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Why a request ends without an upstream's answer.
+/// Why a request ends without an answer from an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) status: StatusCode,
     pub(crate) retry_after: Option<Duration>,
-    /// What happened, for logs and the answer's text.
+    /// Reason for logs, metrics and the answer's body.
     pub(crate) reason: &'static str,
 }
 
 impl Refusal {
-    /// It has not run and will not: only said when no upstream can have begun it.
+    /// The request has not run and will not. Use it only if no upstream can have started the request.
     pub(crate) fn not_run(reason: &'static str, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -32,17 +31,17 @@
         }
     }
 
-    /// It has not run; the cause passes soon.
+    /// The request has not run, for a reason that is expected to pass soon.
     pub(crate) fn not_run_transient(reason: &'static str) -> Self {
         Self::not_run(reason, DEFAULT_RETRY_AFTER)
     }
 
-    /// It may have run.
+    /// The request may have run.
     pub(crate) fn unknown(reason: &'static str) -> Self {
         Self::without_retry(StatusCode::BAD_GATEWAY, reason)
     }
 
-    /// Its time is over, and it may have run.
+    /// The request timed out and may have run.
     pub(crate) fn timed_out() -> Self {
         Self::without_retry(
             StatusCode::GATEWAY_TIMEOUT,
@@ -50,7 +49,7 @@
         )
     }
 
-    /// An answer that depends on the request alone.
+    /// A refusal without `Retry-After`.
     pub(crate) fn without_retry(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
@@ -72,7 +71,7 @@
 }
 
 impl From<StageRefusal> for Refusal {
-    /// A request whose stages were not made has not run, whatever became of its pieces.
+    /// A request whose stages were not made has not run, whatever happened to their pieces.
     fn from(refusal: StageRefusal) -> Self {
         match refusal {
             StageRefusal::Overloaded { retry_after } => {
@@ -87,7 +86,7 @@
     }
 }
 
-/// Builds an answer of the system's own.
+/// Builds the answer for a refusal and counts it.
 pub(crate) fn refusal_answer(
     codec: &PlatformCodec,
     request: &str,
@@ -104,7 +103,7 @@
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
     if let Some(wait) = refusal.retry_after {
         let seconds = format!("{:.3}", wait.as_secs_f64());
-        // Digits and a dot are always a valid header value.
+        // Digits and a dot always form a valid header value.
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             answer.headers_mut().insert(header::RETRY_AFTER, value);
         }
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -1,4 +1,4 @@
-//! The stages before a request: a graph of batches of pieces, and the results they leave.
+//! The stages that run before a request: a graph of batches of pieces, and the results they produce.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -12,10 +12,11 @@
 use super::{RoutedRequest, RunContext, home_request::request_pieces};
 use crate::homes::{PiecesReply, ResultReleaser};
 
-/// Bytes from which on it matters where they are read; moving fewer costs less than waiting for a near upstream.
+/// Size from which on the location of results matters; moving fewer bytes costs less than waiting for a nearby
+/// upstream.
 const LARGE_BYTES: u64 = 256 << 10;
 
-/// Results that a request holds; given up when dropped.
+/// Stage results held by a request; released when dropped.
 pub(super) struct HeldResults {
     releaser: ResultReleaser,
     by_stage: Vec<(ServiceName, Vec<ResultHandle>)>,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The home of the stage that read these results gives them up.
+    /// Drops the results of a stage without releasing them: the home of the stage that read them does that.
     fn forget(&mut self, stage: usize) {
         self.by_stage[stage].1.clear();
     }
@@ -42,7 +43,7 @@
         self.releaser.release(service, std::mem::take(results));
     }
 
-    /// Results of the stages that no other stage follows, in their order.
+    /// Returns the results of the stages that no other stage depends on, in stage order.
     fn final_results(&self, stages: &[RouteStage]) -> Vec<ResultHandle> {
         let is_read = |index| stages.iter().any(|stage| stage.depends_on.contains(&index));
         self.by_stage
@@ -63,7 +64,7 @@
 }
 
 impl StageResults {
-    /// Where the request is best run: where most bytes lie, if they are many.
+    /// Returns the failure domain with most of the input bytes, if these are large enough to matter.
     pub(super) fn largest_domain(&self) -> Option<&FailureDomain> {
         let largest = self
             .bytes_by_domain
@@ -73,36 +74,37 @@
     }
 }
 
-/// What the stages of a request left for the request itself.
+/// Results of the stages of a request, for the request itself.
 pub(super) struct StageResults {
-    /// Results that the engine reads.
+    /// Results that the engine reads as input.
     pub(super) inputs: Vec<ResultHandle>,
-    /// Where they lie, and how many bytes of them.
+    /// Bytes of these results by failure domain.
     pub(super) bytes_by_domain: Vec<(FailureDomain, u64)>,
-    /// Gives all of it up when dropped.
+    /// Releases the results when dropped.
     _held: HeldResults,
 }
 
-/// A stage that ended.
+/// A stage that has ended.
 struct FinishedStage {
     stage: usize,
     reply: PiecesReply,
-    /// Whether its home has given up the results that it read.
+    /// Whether the home of the stage releases the results that the stage read.
     inputs_released: bool,
-    /// Whether the request was refused before and comes too late to be in time for its caller.
+    /// Whether the request was refused before and has returned too late to meet its latency target.
     is_late_return: bool,
 }
 
-/// Makes all stages of a request. Dropping the future cancels what was not started.
+/// Makes all stages of a request. Dropping the future cancels what has not started.
 ///
-/// Results that an upstream lost, or that were given up before a piece that reads them failed, are made once more.
+/// If an upstream lost results, or they were released before a piece that reads them failed, the stages are made once
+/// more.
 pub(super) async fn make_all(
     cx: &RunContext,
     req: &RoutedRequest,
 ) -> Result<StageResults, StageRefusal> {
     match make_once(cx, req).await {
         Err(StageRefusal::InputGone) => {
-            log::info!(request = &*req.head.request, after_ms = req.arrived.elapsed().as_millis() as u64; "results of a stage are gone; the stages are made again");
+            log::info!(request = &*req.head.request, after_ms = req.arrived.elapsed().as_millis() as u64; "stage results lost; making the stages again");
             metrics::counter!("tc_stages_remade_total").increment(1);
             make_once(cx, req).await
         }
@@ -164,7 +166,7 @@
     })
 }
 
-/// What the stages still to be made are expected_stage_times to take.
+/// Returns the expected times of the stages that have not been made yet.
 fn expected_stage_times(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -236,7 +238,8 @@
     }
 }
 
-/// Where a stage is best made: where its inputs lie if they are large. An engine is chosen by where large results lie.
+/// Returns the failure domain that holds the inputs of a stage, if they are large. Engines are likewise chosen by the
+/// location of large results.
 fn preferred_domain(
     cx: &RunContext,
     graph: &StageGraph<'_>,
@@ -250,7 +253,7 @@
         .iter()
         .map(|before| graph.total_result_bytes(*before))
         .sum();
-    // Every piece reads all of it.
+    // Every piece reads all of the input.
     if read * pieces < LARGE_BYTES {
         return None;
     }
@@ -259,7 +262,8 @@
     main_domain(cx, &held.by_stage[largest])
 }
 
-/// Time until a stage must be done so that what follows it can still be in time.
+/// Returns the time until a stage must end so that what follows it, which takes `following`, can still meet the
+/// latency target.
 fn until_latency_target(cx: &RunContext, req: &RoutedRequest, following: Duration) -> Duration {
     req.route
         .latency_target
@@ -267,7 +271,7 @@
         .saturating_sub(following + cx.prompt_times.estimate(req))
 }
 
-/// Where the results lie that the request itself reads, and how many bytes of them.
+/// Returns the bytes per failure domain of the results that the request itself reads.
 fn final_result_domains(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -283,7 +287,7 @@
     bytes.into_iter().collect()
 }
 
-/// Where most of a stage's results lie.
+/// Returns the failure domain that holds most results of a stage.
 fn main_domain(
     cx: &RunContext,
     (_, results): &(ServiceName, Vec<ResultHandle>),
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer is a stream of events, passed on event by event.
+//! Requests whose answer is a stream, forwarded event by event.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,14 +21,14 @@
     upstream_stats::CallOutcome,
 };
 
-/// A resumable stream without an event for so many times the longest pause allowed goes on elsewhere.
+/// A resumable stream without an event for this many times the longest allowed gap is resumed on another engine.
 const STALL_GAPS: u32 = 4;
-/// Shortest such time: an engine may preempt a run for some hundred milliseconds.
+/// Lower bound of that time: an engine may preempt a run for some hundred milliseconds.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Part of the time left that a resumable stream waits for its first event before another engine is tried.
+/// Fraction of the remaining time that a resumable stream waits for its first event before another engine is tried.
 const FIRST_EVENT_FRACTION: f64 = 0.45;
 
-/// Runs a request to its first event; the rest follows in the answer's body.
+/// Runs a request until its first event; the remaining events follow in the answer's body.
 pub(super) async fn run(
     cx: Arc<RunContext>,
     req: Arc<RoutedRequest>,
@@ -54,9 +54,9 @@
     }
 }
 
-/// An answer that has begun.
+/// An answer that has started.
 enum Opened {
-    /// It is no stream, or one that ended before any event.
+    /// Not a stream, read completely.
     Buffered(Response<AnswerBody>),
     Stream(Box<OpenStream>),
 }
@@ -93,7 +93,7 @@
     if let Ok(opened) = timeout(limit, opened).await {
         return opened;
     }
-    log::info!(request = &*req.head.request; "no first event in time; another engine is tried");
+    log::info!(request = &*req.head.request; "first event timed out; trying another engine");
     attempts.record_timeout(cx);
     Err(SendFailure::Unknown)
 }
@@ -105,7 +105,7 @@
             .mul_f64(FIRST_EVENT_FRACTION)
             .max(req.route.latency_target)
     } else {
-        // The call itself ends with the request's time.
+        // The call itself times out at the end of the request's time.
         req.time_left() + MIN_STALL_TIMEOUT
     }
 }
@@ -152,27 +152,27 @@
                     run.failed();
                 }
                 let upstream = &answered.upstream.id;
-                log::info!(request = &*req.head.request, upstream = upstream.as_str(), error = fault.problem.as_str(); "a stream broke before its first event");
+                log::info!(request = &*req.head.request, upstream = upstream.as_str(), error = fault.problem.as_str(); "stream broke before its first event");
                 return Err(attempts.record_faulty_answer(cx, req, upstream, fault.kind));
             }
         }
     }
 }
 
-/// How a stream ended before its end.
+/// Why a stream ended early.
 struct StreamFault {
     kind: AnswerFault,
     problem: String,
 }
 
 impl StreamFault {
-    /// The connection failed, or ended where no event ends.
+    /// The connection failed, or closed in the middle of an event.
     fn from_end(error: Option<CallError>) -> Self {
         let kind = error
             .as_ref()
             .map_or(AnswerFault::Broken, AnswerFault::from);
         let problem = error.map_or_else(
-            || "it ended inside an event".to_owned(),
+            || "the connection closed in the middle of an event".to_owned(),
             |error| error.to_string(),
         );
         Self { kind, problem }
@@ -186,13 +186,13 @@
     }
 }
 
-/// A stream on its way to the caller. Dropping it cancels the engine's run.
+/// A stream being forwarded to the caller. Dropping it cancels the run on the engine.
 struct Relay {
     cx: Arc<RunContext>,
     req: Arc<RoutedRequest>,
     attempts: Attempts,
     open: OpenStream,
-    /// The last event that was passed on.
+    /// The last event that was forwarded.
     last_id: Option<u64>,
     ended: bool,
 }
@@ -224,7 +224,7 @@
 }
 
 impl Relay {
-    /// The next whole events; `None` at the end of a whole stream.
+    /// Returns the next complete events; `None` at the end of a complete stream.
     async fn next(&mut self) -> Option<Result<Bytes, IncompleteBody>> {
         loop {
             if let Some(events) = self.ready_events() {
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Whole events that were read and not passed on yet, in one piece.
+    /// Returns the complete events that were read and not yet forwarded, as one chunk.
     fn ready_events(&mut self) -> Option<Bytes> {
         let mut ready: Option<BytesMut> = None;
         while let Some(event) = self
@@ -254,7 +254,7 @@
             .take()
             .or_else(|| self.open.events.take_event())
         {
-            // Events that the caller has already come again when a stream goes on elsewhere.
+            // A resumed stream may repeat events that the caller already has.
             if event.id.is_some() && event.id <= self.last_id {
                 continue;
             }
@@ -272,7 +272,7 @@
         let next = match stall_timeout {
             Some(limit) => timeout(limit, next)
                 .await
-                .map_err(|_| StreamFault::invalid("no event for too long"))?,
+                .map_err(|_| StreamFault::invalid("no event within the stall timeout"))?,
             None => next.await,
         };
         match next {
@@ -288,7 +288,7 @@
         }
     }
 
-    /// How long a stream that can go on elsewhere may be silent.
+    /// Returns how long the stream may be silent before it is resumed elsewhere; `None` if it cannot be resumed.
     fn stall_timeout(&self) -> Option<Duration> {
         let may_retry =
             self.req.route.kind.allows_retry() && self.attempts.sent < self.req.route.max_attempts;
@@ -296,7 +296,7 @@
         may_retry.then(|| (pause * STALL_GAPS).max(MIN_STALL_TIMEOUT))
     }
 
-    /// Resumes a stream that broke, if its route and budget allow it.
+    /// Resumes a broken stream on another engine, if its route and the retry budget allow it.
     async fn resume_elsewhere(&mut self, fault: &StreamFault) -> Result<(), IncompleteBody> {
         let upstream = self.open.answered.upstream.id.clone();
         log::info!(request = &*self.req.head.request, upstream = upstream.as_str(), last_event = self.last_id.unwrap_or(0), problem = fault.problem.as_str(), after_ms = self.req.arrived.elapsed().as_millis() as u64; "a stream broke");
@@ -324,7 +324,7 @@
         let opened = open(cx, req, &mut self.attempts, &results, self.last_id).await?;
         match opened {
             Opened::Stream(open) => {
-                log::info!(request = &*req.head.request, upstream = open.answered.upstream.id.as_str(), after_event = self.last_id.unwrap_or(0); "a stream goes on elsewhere");
+                log::info!(request = &*req.head.request, upstream = open.answered.upstream.id.as_str(), after_event = self.last_id.unwrap_or(0); "stream resumed on another engine");
                 self.open = *open;
                 Ok(())
             }
--- a/crates/tc-gateway/src/run/target.rs
+++ b/crates/tc-gateway/src/run/target.rs
@@ -1,4 +1,4 @@
-//! Choice of the upstream that a request is sent to.
+//! Chooses the upstream that a request is sent to.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -16,18 +16,19 @@
     upstream_stats::InFlight,
 };
 
-/// The upstream for one send.
+/// The upstream for one attempt.
 pub(super) struct Target {
     pub(super) upstream: Arc<RegisteredUpstream>,
     pub(super) in_flight: InFlight,
-    /// Another engine from which it fetches kept parts of the prompt.
+    /// Another engine from which the upstream fetches cached parts of the prompt.
     pub(super) fetch_from: Option<SocketAddr>,
-    /// The run at an engine that a home chose.
+    /// The run on an engine that a home chose.
     pub(super) run: Option<EngineRun>,
 }
 
 impl Attempts {
-    /// Chooses the upstream for the next send: by the service's home if it has one, else by what this instance knows.
+    /// Chooses the upstream for the next attempt: through the home of the service if it has one, otherwise from what
+    /// this instance knows.
     pub(super) async fn choose(
         &self,
         cx: &RunContext,
@@ -48,7 +49,7 @@
         self.choose_locally(cx, req, results)
     }
 
-    /// Builds the ask for the home of a model service; `None` for requests without a prompt.
+    /// Builds the engine request for the home of a model service; `None` for requests without a prompt.
     fn engine_request(
         &self,
         cx: &RunContext,
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Chooses by what this instance knows itself.
+    /// Chooses from what this instance knows itself.
     fn choose_locally(
         &self,
         cx: &RunContext,
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -197,7 +197,7 @@
         ..ClientSettings::default()
     });
     let budgets = Arc::new(RetryBudgets::new(settings.repeats));
-    let (releaser, released) = ResultReleaser::new();
+    let (releaser, release_queue) = ResultReleaser::new();
     let limits = Arc::<UpstreamLimits>::default();
     let unknown_headers = Arc::<UnknownHeaders>::default();
     let backoffs = Arc::<UpstreamBackoffs>::default();
@@ -229,7 +229,11 @@
     let (run_reports, told) = RunReportSender::new();
     traffic.spawn(told.forward(mesh.clone(), Arc::clone(&engines)));
     traffic.spawn(poll_outlooks(mesh.clone(), Arc::clone(&homes)));
-    traffic.spawn(free_results(released, mesh.clone(), Arc::clone(&homes)));
+    traffic.spawn(free_results(
+        release_queue,
+        mesh.clone(),
+        Arc::clone(&homes),
+    ));
     Ok(Arc::new(RunContext {
         codec,
         world,
--- a/crates/tc-gateway/src/unknown_headers.rs
+++ b/crates/tc-gateway/src/unknown_headers.rs
@@ -1,4 +1,4 @@
-//! Headers of upstreams' answers that nothing here reads.
+//! Logs headers in the answers of upstreams that this program does not know.
 
 use std::{
     collections::HashSet,
@@ -8,13 +8,13 @@
 use http::HeaderName;
 use tc_protocol::UpstreamId;
 
-/// Names that are remembered, and so logged, at most.
+/// Maximum number of names that are remembered, and so logged.
 const MAX_NAMES: usize = 32;
 
 /// Logs each unknown header once.
 ///
-/// An upstream may say something that binds all instances in a header that is newer than this program. Without a line it is
-/// dropped silently, and only the broken promise shows.
+/// An upstream may announce something that applies to all instances in a header newer than this program. Without the
+/// log line the header would be dropped silently, and only the resulting violation would be visible.
 #[derive(Debug, Default)]
 pub(crate) struct UnknownHeaders {
     logged: Mutex<HashSet<HeaderName>>,
--- a/crates/tc-gateway/tests/events.rs
+++ b/crates/tc-gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Splitting event streams that are cut anywhere.
+//! Tests that event streams are split correctly wherever the chunks are cut.
 
 use bolero::generator::produce;
 use tc_gateway::EventSplitter;
@@ -9,9 +9,9 @@
     events.concat()
 }
 
-/// However a stream is cut into chunks, the same events come out, whole and in order, and nothing else.
+/// Events come out complete and in order, with nothing added, however the stream is cut into chunks.
 #[test]
-fn cuts_change_nothing() {
+fn events_do_not_depend_on_chunk_boundaries() {
     tc_fuzz::check(
         20_000,
         produce::<(bool, Vec<u8>)>(),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn arbitrary_bytes_are_never_invented_or_lost() {
+fn arbitrary_bytes_are_neither_added_nor_lost() {
     tc_fuzz::check(5_000, produce::<Vec<Vec<u8>>>(), |chunks| {
         let mut splitter = EventSplitter::default();
         let (mut given, mut passed) = (0, 0);
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn an_event_without_an_end_is_given_up() {
+fn an_oversized_event_is_rejected() {
     let mut splitter = EventSplitter::default();
     let chunk = vec![b'x'; 1 << 16];
     let taken = (0..64).take_while(|_| splitter.push(&chunk)).count();
-    assert_eq!(taken, 16, "one megabyte is the most");
+    assert_eq!(taken, 16, "an event may have at most 1 MiB");
 }
--- a/crates/tc-gateway/tests/routing.rs
+++ b/crates/tc-gateway/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix.
+//! Tests route lookup by host and longest path prefix.
 
 use std::{sync::Arc, time::Duration};
 
@@ -45,7 +45,7 @@
         route("long", "h.example", "/a/b/"),
         route("other", "o.example", "/"),
     ];
-    let table = RouteTable::new(&config(routes)).expect("it is valid");
+    let table = RouteTable::new(&config(routes)).expect("the configuration is valid");
     let find = |host, path| table.find(host, path).map(|r| r.name.to_string());
     let cases = [
         ("h.example", "/a/b/c", Some("long")),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn routes_that_contradict_each_other_are_refused_whole() {
+fn invalid_routes_are_rejected() {
     let twice = config(vec![route("a", "h", "/x/"), route("b", "h", "/x/")]);
     assert!(matches!(
         RouteTable::new(&twice),
