--- a/crates/tc-gateway/src/homes/chains.rs
+++ b/crates/tc-gateway/src/homes/chains.rs
@@ -33,7 +33,7 @@
 struct Known {
     admission: ChainAdmission,
     /// Services of the stages of requests that were checked here, with the time of the last one.
-    polled: BTreeMap<ServiceName, MonoTime>,
+    recent_services: BTreeMap<ServiceName, MonoTime>,
 }
 
 /// What the homes on this instance know of other homes.
@@ -41,7 +41,7 @@
 pub(super) struct ChainAdmissions {
     known: Mutex<Known>,
     /// Wakes the polling task when there is something to poll again.
-    polled: Notify,
+    poll_wakeup: Notify,
 }
 
 impl ChainAdmissions {
@@ -65,14 +65,14 @@
                 .admission
                 .record(now, &stage_request.service, home.outlook());
             for stage in &chain.stages {
-                known.polled.insert(stage.service.clone(), now);
+                known.recent_services.insert(stage.service.clone(), now);
             }
             let first = stage_request.stage as usize;
             known
                 .admission
                 .admit(now, &chain, stage_request.priority, first, &call_times)
         };
-        self.polled.notify_one();
+        self.poll_wakeup.notify_one();
         match admitted {
             Ok(chain) => {
                 stage_request.until_latency_target = chain.in_time_for;
@@ -88,12 +88,12 @@
     }
 
     /// Returns the services needed by recent requests.
-    fn polled_services(&self, now: MonoTime) -> Vec<ServiceName> {
+    fn recent_services(&self, now: MonoTime) -> Vec<ServiceName> {
         let mut known = self.lock();
         known
-            .polled
+            .recent_services
             .retain(|_, last| now.since(*last) < POLL_AFTER_LAST_REQUEST);
-        known.polled.keys().cloned().collect()
+        known.recent_services.keys().cloned().collect()
     }
 
     fn record(&self, service: &ServiceName, outlook: HomeOutlook) {
@@ -122,37 +122,37 @@
 /// Polls the homes of following stages for their outlooks; runs until it is dropped.
 pub(crate) async fn poll_outlooks(mesh: Mesh, homes: Arc<BatchHomes>) {
     loop {
-        let polled = homes.chains.polled_services(MonoTime::now());
-        if polled.is_empty() {
-            homes.chains.polled.notified().await;
+        let services = homes.chains.recent_services(MonoTime::now());
+        if services.is_empty() {
+            homes.chains.poll_wakeup.notified().await;
             continue;
         }
-        let asked = polled
+        let polls = services
             .iter()
             .map(|service| poll_outlook(&mesh, &homes, service));
-        join_all(asked).await;
+        join_all(polls).await;
         sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn poll_outlook(mesh: &Mesh, homes: &BatchHomes, service: &ServiceName) {
     let home = mesh.home(service.as_str(), &[]);
-    let other = home.filter(|home| home.id != mesh.me().id);
-    let Some(other) = other else {
+    let remote_home = home.filter(|home| home.id != mesh.me().id);
+    let Some(remote_home) = remote_home else {
         if let Some(outlook) = homes.outlook(service) {
             homes.chains.record(service, outlook);
         }
         return;
     };
     // Without an answer the last outlook is used for a while, then the usual times.
-    match timeout(POLL_INTERVAL, mesh.outlook(&other, service)).await {
+    match timeout(POLL_INTERVAL, mesh.outlook(&remote_home, service)).await {
         Ok(Ok(Some(outlook))) => homes.chains.record(service, outlook),
         Ok(Ok(None)) => {}
         Ok(Err(error)) => {
             log::debug!(service = service.as_str(), error = error.to_string().as_str(); "polling the home of a following stage failed");
         }
         Err(_) => {
-            log::debug!(service = service.as_str(), home = other.id.as_str(); "polling the home of a following stage timed out");
+            log::debug!(service = service.as_str(), home = remote_home.id.as_str(); "polling the home of a following stage timed out");
         }
     }
 }
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -136,9 +136,8 @@
     /// Runs a planner step that may finish jobs, and sends the results to the waiting requests; returns how many jobs
     /// finished.
     ///
-    /// Both happen under one lock. A job added in between could reuse the key of a finished job, and the answer to
-    /// the finished one would be lost: its request was refused for a failed stage, while the results existed and
-    /// nobody freed them.
+    /// Both happen under one lock. A job added in between would take the slot of the finished one, whose answer would
+    /// be lost: its request was refused for a failed stage, while its results existed and nobody freed them.
     fn step(&self, step: impl FnOnce(&mut BatchPlanner) -> PlannerEffects) -> usize {
         let effects = {
             let mut inner = self.lock();
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -181,7 +181,7 @@
             Ok(reply) => reply,
             Err(error) => {
                 let not_run = error.run_state == RunState::NotRun;
-                log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), not_run = not_run, error = error.to_string().as_str(), after_ms = sent_at.elapsed().as_millis() as u64; "a send brought no answer");
+                log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), not_run = not_run, error = error.to_string().as_str(), after_ms = sent_at.elapsed().as_millis() as u64; "no answer from upstream");
                 if error.kind == CallErrorKind::Broken {
                     report_crash(cx, req, &upstream.id);
                 }
--- a/crates/tc-gateway/src/run/buffered.rs
+++ b/crates/tc-gateway/src/run/buffered.rs
@@ -121,7 +121,7 @@
         Ok(body) => {
             cx.upstream_stats
                 .record(&upstream.id, CallOutcome::Answered(first_byte));
-            req.note_answer(&upstream.id, reply.head.status, attempts.sent);
+            req.record_answer(&upstream.id, reply.head.status, attempts.sent);
             cx.mesh.ran_whole(req.fingerprint());
             Ok(answer(cx, &reply.head, body))
         }
--- a/crates/tc-gateway/src/run/home_request.rs
+++ b/crates/tc-gateway/src/run/home_request.rs
@@ -47,14 +47,14 @@
 
 /// Returns the request with its time limits reduced by `elapsed`.
 fn with_elapsed(stage_request: &StageRequest, elapsed: Duration) -> StageRequest {
-    let mut later = stage_request.clone();
-    later.until_latency_target = later.until_latency_target.saturating_sub(elapsed);
-    later.remaining = later.remaining.saturating_sub(elapsed);
-    if let Some(chain) = &mut later.chain {
+    let mut adjusted = stage_request.clone();
+    adjusted.until_latency_target = adjusted.until_latency_target.saturating_sub(elapsed);
+    adjusted.remaining = adjusted.remaining.saturating_sub(elapsed);
+    if let Some(chain) = &mut adjusted.chain {
         chain.until_latency_target = chain.until_latency_target.saturating_sub(elapsed);
         chain.remaining = chain.remaining.saturating_sub(elapsed);
     }
-    later
+    adjusted
 }
 
 /// Sends the request to the home that this instance knows of. Returns `None` if that home does not answer, and adds
@@ -71,11 +71,11 @@
     let Some(home) = remote_home else {
         return Some(cx.homes.make_pieces(stage_request.clone()).await);
     };
-    let asked = tokio::select! {
+    let answered = tokio::select! {
         answer = cx.mesh.make_pieces(&home, stage_request) => answer.map_err(|error| error.to_string()),
         () = wait_until_unavailable(cx, &home) => Err("the instance is suspect or dead".to_owned()),
     };
-    match asked {
+    match answered {
         Ok(answer) => Some(answer),
         Err(problem) => {
             log::warn!(request = &*stage_request.request, service = key, home = home.id.as_str(), problem = problem.as_str(); "home of a batch service does not answer");
@@ -91,10 +91,10 @@
     let mut changes = cx.mesh.changes();
     loop {
         let members = cx.mesh.members();
-        let known = members.iter().find(|member| member.id == home.id);
-        let is_well =
-            known.is_some_and(|m| matches!(m.state, MemberState::Alive | MemberState::Leaving));
-        if !is_well {
+        let member = members.iter().find(|m| m.id == home.id);
+        let is_available =
+            member.is_some_and(|m| matches!(m.state, MemberState::Alive | MemberState::Leaving));
+        if !is_available {
             return;
         }
         if changes.changed().await.is_err() {
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -139,7 +139,7 @@
     }
 
     /// Logs and counts the first byte of an upstream's answer.
-    fn note_answer(&self, upstream: &UpstreamId, status: StatusCode, sends: u32) {
+    fn record_answer(&self, upstream: &UpstreamId, status: StatusCode, sends: u32) {
         let after = self.arrived.elapsed();
         let service = self.service.as_str().to_owned();
         metrics::counter!("tc_routed_answers_total", "service" => service.clone()).increment(1);
@@ -174,12 +174,14 @@
     }
 
     /// Returns the priority of the request, 0 being the most urgent: by workspace first, then by route.
-    fn rank(&self) -> u8 {
+    fn priority(&self) -> u8 {
         let workspace = self.workspace.as_ref().and_then(|w| w.priority);
-        let within = self.route.priority.min(ROUTE_PRIORITIES - 1);
+        let route_priority = self.route.priority.min(ROUTE_PRIORITIES - 1);
         match workspace {
-            Some(rank) => rank.saturating_mul(ROUTE_PRIORITIES).saturating_add(within),
-            None => within,
+            Some(priority) => priority
+                .saturating_mul(ROUTE_PRIORITIES)
+                .saturating_add(route_priority),
+            None => route_priority,
         }
     }
 }
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -187,7 +187,7 @@
         graph,
         call_times: &call_times,
         until_aim: until_latency_target(cx, req, Duration::ZERO),
-        rank: req.rank(),
+        rank: req.priority(),
     })
 }
 
@@ -217,7 +217,7 @@
         pieces: graph.pieces(stage),
         input,
         result_bytes: spec.result_bytes,
-        priority: req.rank(),
+        priority: req.priority(),
         until_latency_target: until_latency_target(
             cx,
             req,
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -126,7 +126,7 @@
             }
             cx.upstream_stats
                 .record(&answered.upstream.id, CallOutcome::Answered(first_byte));
-            req.note_answer(
+            req.record_answer(
                 &answered.upstream.id,
                 answered.reply.head.status,
                 attempts.sent,
@@ -236,9 +236,9 @@
             match self.read_more().await {
                 Ok(()) => {}
                 Err(fault) => {
-                    if let Err(cut) = self.resume_elsewhere(&fault).await {
+                    if let Err(error) = self.resume_elsewhere(&fault).await {
                         self.ended = true;
-                        return Some(Err(cut));
+                        return Some(Err(error));
                     }
                 }
             }
