--- a/crates/tc-gateway/src/call.rs
+++ b/crates/tc-gateway/src/call.rs
@@ -94,7 +94,7 @@
     /// The backoff that the upstream requests.
     pub backoff: AnnouncedBackoff,
     /// Headers that the codec does not know.
-    pub unknown: Vec<HeaderName>,
+    pub unknown_headers: Vec<HeaderName>,
 }
 
 impl AnswerHead {
--- a/crates/tc-gateway/src/homes/calls.rs
+++ b/crates/tc-gateway/src/homes/calls.rs
@@ -45,7 +45,8 @@
         }
     };
     let head = (cx.codec.read_answer)(&reply.head);
-    cx.unknown_headers.record(&call.upstream, &head.unknown);
+    cx.unknown_headers
+        .record(&call.upstream, &head.unknown_headers);
     if head.announces_leaving() {
         cx.world.mark_leaving(&call.upstream);
     }
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -48,15 +48,15 @@
     /// The upstream did not run the request because results that it reads are gone.
     InputGone,
     /// The upstream may have run the request.
-    Unknown,
+    MayHaveRun,
     /// No upstream is left to try.
     NoUpstream,
     /// The remaining upstreams are at their announced rate limits; the time until one takes another request.
-    Limited(Duration),
+    RateLimited(Duration),
     /// Upstreams of the service have requested backoffs; the time until the first one expires.
     BackingOff(Duration),
     /// The time of the request is used up.
-    NoTime,
+    TimedOut,
 }
 
 /// What is wrong with an answer.
@@ -109,11 +109,11 @@
     ) -> bool {
         let allowed = match failure {
             SendFailure::NotRun | SendFailure::InputGone => true,
-            SendFailure::Unknown => req.route.kind.allows_retry(),
+            SendFailure::MayHaveRun => req.route.kind.allows_retry(),
             SendFailure::NoUpstream
-            | SendFailure::Limited(_)
+            | SendFailure::RateLimited(_)
             | SendFailure::BackingOff(_)
-            | SendFailure::NoTime => false,
+            | SendFailure::TimedOut => false,
         };
         let is_used_up = self.sent >= req.route.max_attempts || self.refused >= MAX_REFUSED_SENDS;
         if !allowed || is_used_up || req.time_left() < MIN_TIME_LEFT {
@@ -128,22 +128,22 @@
             return if req.time_left() < MIN_TIME_LEFT {
                 Refusal::timed_out()
             } else {
-                Refusal::unknown("an upstream broke off and may have run the request")
+                Refusal::outcome_unknown("an upstream broke off and may have run the request")
             };
         }
         match failure {
             SendFailure::NoUpstream => {
                 Refusal::not_run_transient("no upstream of the service is known")
             }
-            SendFailure::Limited(wait) => {
+            SendFailure::RateLimited(wait) => {
                 Refusal::not_run("upstreams of the service are at their rate limit", wait)
             }
             SendFailure::BackingOff(wait) => {
                 Refusal::not_run("upstreams of the service have asked for a rest", wait)
             }
-            SendFailure::NoTime => Refusal::timed_out(),
+            SendFailure::TimedOut => Refusal::timed_out(),
             SendFailure::InputGone => Refusal::not_run_transient("results of a stage were lost"),
-            SendFailure::NotRun | SendFailure::Unknown => {
+            SendFailure::NotRun | SendFailure::MayHaveRun => {
                 Refusal::not_run_transient("no upstream took the request")
             }
         }
@@ -158,7 +158,7 @@
     ) -> Result<Answered, SendFailure> {
         let time_left = req.time_left();
         if time_left < MIN_TIME_LEFT {
-            return Err(SendFailure::NoTime);
+            return Err(SendFailure::TimedOut);
         }
         cx.world.read_anew().await;
         let mut target = self.choose(cx, req, options.results).await?;
@@ -212,7 +212,7 @@
         }
         self.reached_upstream = true;
         self.may_have_run = true;
-        SendFailure::Unknown
+        SendFailure::MayHaveRun
     }
 
     /// Records what the headers of an answer announce, and accepts the answer only if it is genuine and belongs to
@@ -228,7 +228,7 @@
         if let Some(load) = head.load {
             cx.upstream_stats.record_load(id, load);
         }
-        cx.unknown_headers.record(id, &head.unknown);
+        cx.unknown_headers.record(id, &head.unknown_headers);
         if head.announces_leaving() {
             cx.world.mark_leaving(id);
         }
@@ -296,7 +296,7 @@
         cx.upstream_stats.record(id, CallOutcome::Failed);
         self.tried.push(id.clone());
         self.may_have_run = true;
-        SendFailure::Unknown
+        SendFailure::MayHaveRun
     }
 }
 
--- a/crates/tc-gateway/src/run/buffered.rs
+++ b/crates/tc-gateway/src/run/buffered.rs
@@ -36,7 +36,7 @@
                 Ok(answer) if is_retryable(answer.status()) => {
                     attempts.exclude_current();
                     last_failure = Some(answer);
-                    SendFailure::Unknown
+                    SendFailure::MayHaveRun
                 }
                 Ok(answer) => return Ok(answer),
                 Err(failure) => failure,
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -132,7 +132,7 @@
 
     /// Returns the time until the caller disconnects if no event arrives: the remaining time of the request or, if
     /// shorter, what is left of the first-event timeout.
-    fn time_to_first(&self) -> Duration {
+    fn time_to_first_event(&self) -> Duration {
         let left = self.time_left();
         let patience = self.route.first_event_timeout.unwrap_or(left);
         left.min(patience.saturating_sub(self.arrived.elapsed()))
@@ -208,7 +208,7 @@
 /// Waits for permission to run a request that may crash upstreams; refuses one that has crashed too many.
 async fn acquire_suspect_run(cx: &RunContext, req: &mut RoutedRequest) -> Result<(), Refusal> {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
-    let slack = req.time_to_first();
+    let slack = req.time_to_first_event();
     let held = cx.mesh.try_run(input, &req.service, &workspace, slack);
     req.suspect = held.await.map_err(|refused| suspect_refusal(&refused))?;
     Ok(())
--- a/crates/tc-gateway/src/run/refusal.rs
+++ b/crates/tc-gateway/src/run/refusal.rs
@@ -37,7 +37,7 @@
     }
 
     /// The request may have run.
-    pub(crate) fn unknown(reason: &'static str) -> Self {
+    pub(crate) fn outcome_unknown(reason: &'static str) -> Self {
         Self::without_retry(StatusCode::BAD_GATEWAY, reason)
     }
 
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -95,7 +95,7 @@
     }
     log::info!(request = &*req.head.request; "first event timed out; trying another engine");
     attempts.record_timeout(cx);
-    Err(SendFailure::Unknown)
+    Err(SendFailure::MayHaveRun)
 }
 
 fn first_event_timeout(req: &RoutedRequest, attempts: &Attempts) -> Duration {
@@ -328,7 +328,7 @@
                 self.open = *open;
                 Ok(())
             }
-            Opened::Buffered(_) => Err(SendFailure::Unknown),
+            Opened::Buffered(_) => Err(SendFailure::MayHaveRun),
         }
     }
 }
--- a/crates/tc-gateway/src/run/target.rs
+++ b/crates/tc-gateway/src/run/target.rs
@@ -136,7 +136,7 @@
             .min();
         match (limited, backoff) {
             (Some(wait), Some(backoff)) if backoff < wait => SendFailure::BackingOff(backoff),
-            (Some(wait), _) => SendFailure::Limited(wait),
+            (Some(wait), _) => SendFailure::RateLimited(wait),
             (None, Some(backoff)) => SendFailure::BackingOff(backoff),
             (None, None) => SendFailure::NoUpstream,
         }
--- a/crates/tc-gateway/tests/routing.rs
+++ b/crates/tc-gateway/tests/routing.rs
@@ -62,17 +62,17 @@
 
 #[test]
 fn invalid_routes_are_rejected() {
-    let twice = config(vec![route("a", "h", "/x/"), route("b", "h", "/x/")]);
+    let duplicate = config(vec![route("a", "h", "/x/"), route("b", "h", "/x/")]);
     assert!(matches!(
-        RouteTable::new(&twice),
+        RouteTable::new(&duplicate),
         Err(RouteTableError::DuplicatePrefix(..))
     ));
-    let nowhere = config(vec![Route {
+    let no_target = config(vec![Route {
         targets: Vec::new(),
         ..route("a", "h", "/")
     }]);
     assert!(matches!(
-        RouteTable::new(&nowhere),
+        RouteTable::new(&no_target),
         Err(RouteTableError::NoTarget(_))
     ));
     let unknown = config(vec![Route {
