--- a/crates/tc-gateway/src/run/home_request.rs
+++ b/crates/tc-gateway/src/run/home_request.rs
@@ -47,14 +47,14 @@
 
 /// Returns the request with its time limits reduced by `elapsed`.
 fn with_elapsed(stage_request: &StageRequest, elapsed: Duration) -> StageRequest {
-    let mut adjusted = stage_request.clone();
-    adjusted.until_latency_target = adjusted.until_latency_target.saturating_sub(elapsed);
-    adjusted.remaining = adjusted.remaining.saturating_sub(elapsed);
-    if let Some(chain) = &mut adjusted.chain {
+    let mut later = stage_request.clone();
+    later.until_latency_target = later.until_latency_target.saturating_sub(elapsed);
+    later.remaining = later.remaining.saturating_sub(elapsed);
+    if let Some(chain) = &mut later.chain {
         chain.until_latency_target = chain.until_latency_target.saturating_sub(elapsed);
         chain.remaining = chain.remaining.saturating_sub(elapsed);
     }
-    adjusted
+    later
 }
 
 /// Sends the request to the home that this instance knows of. Returns `None` if that home does not answer, and adds
@@ -91,9 +91,9 @@
     let mut changes = cx.mesh.changes();
     loop {
         let members = cx.mesh.members();
-        let member = members.iter().find(|m| m.id == home.id);
+        let known = members.iter().find(|member| member.id == home.id);
         let is_available =
-            member.is_some_and(|m| matches!(m.state, MemberState::Alive | MemberState::Leaving));
+            known.is_some_and(|m| matches!(m.state, MemberState::Alive | MemberState::Leaving));
         if !is_available {
             return;
         }
