--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     engines::EngineHomes,
-    homes::{BatchHomes, GivenUp},
+    homes::{BatchHomes, ReleaseQueue},
     world::{WorldCell, relay_world},
 };
 
@@ -33,14 +33,14 @@
         outlook: Box::new(move |service| homes_for_outlooks.outlook(service)),
         free_results: Box::new(move |results| homes_for_freeing.free_results(&results)),
         choose_engine: Box::new(move |ask| engines_for_choice.choose(ask)),
-        tell_runs: Box::new(move |service, news| engines_for_news.note(service, news)),
+        tell_runs: Box::new(move |service, news| engines_for_news.record(service, news)),
         follow_world: Box::new(move |have| relay_world(&world, have, heartbeat_interval)),
     })
 }
 
 /// Releases results through the home of their service or, without another home, directly at the
 /// upstreams that hold them.
-pub(crate) async fn free_results(given_up: GivenUp, mesh: Mesh, homes: Arc<BatchHomes>) {
+pub(crate) async fn free_results(release_queue: ReleaseQueue, mesh: Mesh, homes: Arc<BatchHomes>) {
     let free = move |service: ServiceName, results: Vec<ResultHandle>| {
         let (mesh, homes) = (mesh.clone(), Arc::clone(&homes));
         async move {
@@ -56,5 +56,5 @@
             }
         }
     };
-    given_up.gather(free).await;
+    release_queue.for_each_batch(free).await;
 }
--- a/crates/tc-gateway/src/join.rs
+++ b/crates/tc-gateway/src/join.rs
@@ -13,7 +13,7 @@
     time::{sleep, timeout},
 };
 
-use crate::{edges::Edges, settings::GatewaySettings};
+use crate::{codec::PlatformCodec, settings::GatewaySettings};
 
 /// Minimum and maximum delay before an instance that knows no others tries again. Instances that
 /// start together find each other quickly, and an instance that remains alone makes few store
@@ -69,7 +69,7 @@
 #[derive(Clone)]
 pub(crate) struct Discovery {
     pub(crate) settings: GatewaySettings,
-    pub(crate) edges: Edges,
+    pub(crate) codec: PlatformCodec,
     pub(crate) store: Store,
     pub(crate) mesh: Mesh,
     pub(crate) settled: Settled,
@@ -193,8 +193,8 @@
     }
 
     async fn listed_addresses(&self, freshness: Freshness) -> Option<Vec<SocketAddr>> {
-        let kind = self.edges.kinds.members;
-        let dialect = &self.edges.store;
+        let kind = self.codec.kinds.members;
+        let dialect = &self.codec.store;
         let listed = self
             .store
             .list_kind(Purpose::Members, dialect, kind, freshness);
@@ -209,8 +209,8 @@
     async fn register(&self) -> bool {
         let address = self.settings.me.fleet_address.to_string();
         let value = serde_json::json!({ "fleet": address });
-        let kind = self.edges.kinds.members;
-        let dialect = &self.edges.store;
+        let kind = self.codec.kinds.members;
+        let dialect = &self.codec.store;
         let name = &self.settings.node_name;
         let put = self
             .store
--- a/crates/tc-gateway/src/lib.rs
+++ b/crates/tc-gateway/src/lib.rs
@@ -2,14 +2,14 @@
 //! the stages that the route defines, and returns the upstream's response unchanged.
 //!
 //! This crate contains the rules, limits, retries and recovery. The formats of headers,
-//! configuration and store objects are defined by [`Edges`], a set of functions provided by the
+//! configuration and store objects are defined by [`PlatformCodec`], a set of functions provided by the
 //! crate that handles external interfaces.
 
 mod backoffs;
 mod budgets;
 mod call;
+mod codec;
 mod cold;
-mod edges;
 mod engines;
 mod events;
 mod freeze;
@@ -25,13 +25,14 @@
 mod start;
 mod stop;
 mod unknown_headers;
-mod upstreams;
+mod upstream_stats;
 mod world;
 
 pub use call::{
-    AnnouncedBackoff, AnswerHead, CallHead, HeadError, Lifecycle, Taken, UpstreamHead, UpstreamLoad,
+    Acceptance, AnnouncedBackoff, AnswerHead, HeadError, Lifecycle, RequestHead, UpstreamLoad,
+    UpstreamRequestHead,
 };
-pub use edges::{DirectoryQuestion, Edges, StoreKinds};
+pub use codec::{DirectoryQuery, PlatformCodec, StoreKinds};
 pub use events::{Event, EventSplitter};
 pub use freeze::{SuspendedTime, suspended_time};
 pub use routing::{RouteTable, RouteTableError};
--- a/crates/tc-gateway/src/limits.rs
+++ b/crates/tc-gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Sends to upstreams that announce a rate limit, by instances that send without a home's grant.
+//! Requests to upstreams that announce a rate limit, sent without a grant from a home.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -12,21 +12,21 @@
     routing::{RateLimit, RoutedService},
 };
 
-/// Longest wait that callers are told.
-const LONGEST_WAIT: Duration = Duration::from_secs(4);
+/// Upper bound of the `Retry-After` sent to callers.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 
-/// Keeps this instance's share of the rate limits of upstreams.
+/// Enforces this instance's share of the rate limits of upstreams.
 #[derive(Debug)]
 pub(crate) struct LimitedSends {
     limits: Arc<UpstreamLimits>,
-    lone: Mutex<UncoordinatedSends>,
+    sends: Mutex<UncoordinatedSends>,
 }
 
 impl LimitedSends {
     pub(crate) fn new(limits: Arc<UpstreamLimits>) -> Self {
         Self {
             limits,
-            lone: Mutex::default(),
+            sends: Mutex::default(),
         }
     }
 
@@ -37,7 +37,8 @@
 
     /// Returns true if this instance may send to the upstream of a service without asking its home.
     ///
-    /// Where there is a home it answered that no engine is left, so a limited engine is not for this instance to take.
+    /// If the service has a home, that home answered that no engine is left, so this instance must not use one with a
+    /// rate limit.
     pub(crate) fn may_send(&self, mesh: &Mesh, service: &RoutedService, id: &UpstreamId) -> bool {
         let Some(limit) = self.limits.get(id) else {
             return true;
@@ -47,7 +48,7 @@
     }
 
     /// Returns true if this instance may send to the engine while its home does not answer.
-    pub(crate) fn may_send_beside_home(&self, mesh: &Mesh, id: &UpstreamId) -> bool {
+    pub(crate) fn may_send_with_home_unreachable(&self, mesh: &Mesh, id: &UpstreamId) -> bool {
         let Some(limit) = self.limits.get(id) else {
             return true;
         };
@@ -70,7 +71,7 @@
             return None;
         }
         let per_s: f64 = per_s.iter().sum();
-        let seconds = 1.0 / per_s.max(1.0 / LONGEST_WAIT.as_secs_f64());
+        let seconds = 1.0 / per_s.max(1.0 / MAX_RETRY_AFTER.as_secs_f64());
         Some(Duration::from_secs_f64(seconds))
     }
 
@@ -87,6 +88,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, UncoordinatedSends> {
-        self.lone.lock().unwrap_or_else(PoisonError::into_inner)
+        self.sends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/tc-gateway/src/run/plain.rs
+++ b/crates/tc-gateway/src/run/buffered.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer is passed on whole.
+//! Requests whose answer is read completely before it is forwarded.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 use super::{
     AnswerBody, Refusal, RoutedRequest, RunContext,
-    attempt::{Answered, Attempts, SendFailure, SendWith, Spoilt},
+    attempt::{AnswerFault, Answered, Attempts, SendFailure, SendOptions},
+    full_body,
     stages::{self, StageResults},
-    whole,
 };
-use crate::upstreams::CallHealth;
+use crate::upstream_stats::CallOutcome;
 
-/// Part of the time left that the first send of a request may take when another may follow: an upstream that hangs
-/// leaves enough for a second one.
-const FIRST_SEND_PART: f64 = 0.45;
+/// Fraction of the remaining time that the first attempt may take when a second one is allowed: after an upstream
+/// that hangs, enough time is left for another.
+const FIRST_SEND_FRACTION: f64 = 0.45;
 
-/// Runs a request and gives its answer whole.
+/// Runs a request and returns its complete answer.
 pub(super) async fn run(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -26,17 +26,17 @@
     let mut results = make_stages(cx, req).await?;
     let mut last_failure = None;
     loop {
-        let with = SendWith {
-            results: results_of(req, &results),
+        let options = SendOptions {
+            results: stage_results(req, &results),
             resume_after: None,
-            limit: first_send_limit(req, &attempts),
+            timeout: first_send_timeout(req, &attempts),
         };
-        let failure = match attempts.send(cx, req, with).await {
+        let failure = match attempts.send(cx, req, options).await {
             Ok(answered) => match read(cx, req, &mut attempts, answered).await {
-                Ok(answer) if is_worth_repeating(answer.status()) => {
-                    attempts.leave_out_current();
+                Ok(answer) if is_retryable(answer.status()) => {
+                    attempts.exclude_current();
                     last_failure = Some(answer);
-                    SendFailure::Unknown
+                    SendFailure::MayHaveRun
                 }
                 Ok(answer) => return Ok(answer),
                 Err(failure) => failure,
@@ -44,7 +44,7 @@
             Err(failure) => failure,
         };
         if !attempts.may_send_again(cx, req, failure) {
-            // What an upstream itself said goes before words of our own.
+            // An upstream's own error response is preferred to a refusal by the gateway.
             return last_failure.ok_or_else(|| attempts.refusal(req, failure));
         }
         if failure == SendFailure::InputGone {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Makes the stages of a route that has any.
+/// Makes the stages of the request, if its route has any.
 pub(super) async fn make_stages(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -61,9 +61,9 @@
     stages::make_all(cx, req).await.map_err(Refusal::from)
 }
 
-/// Makes the stages once more after their results were lost.
+/// Makes the stages again after their results were lost.
 ///
-/// An earlier send may have run the request, so a stage that fails now does not make it "not run".
+/// An earlier attempt may have run the request, so a stage that fails now must not be reported as "not run".
 pub(super) async fn make_stages_again(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -79,28 +79,28 @@
     })
 }
 
-/// The results that go with a request; `None` for routes without stages.
-pub(super) fn results_of<'a>(
+/// Returns the stage results to send with a request; `None` for routes without stages.
+pub(super) fn stage_results<'a>(
     req: &RoutedRequest,
     results: &'a StageResults,
 ) -> Option<&'a StageResults> {
     (!req.route.stages.is_empty()).then_some(results)
 }
 
-/// An upstream's failure that another upstream may not have.
-fn is_worth_repeating(status: StatusCode) -> bool {
+/// Returns whether another upstream may succeed after this status.
+fn is_retryable(status: StatusCode) -> bool {
     status.is_server_error()
 }
 
-fn first_send_limit(req: &RoutedRequest, attempts: &Attempts) -> Option<Duration> {
-    let may_follow = req.route.kind.allows_retry() && attempts.sent + 1 < req.route.max_attempts;
-    may_follow.then(|| {
-        let part = req.time_left().mul_f64(FIRST_SEND_PART);
+fn first_send_timeout(req: &RoutedRequest, attempts: &Attempts) -> Option<Duration> {
+    let may_retry = req.route.kind.allows_retry() && attempts.sent + 1 < req.route.max_attempts;
+    may_retry.then(|| {
+        let part = req.time_left().mul_f64(FIRST_SEND_FRACTION);
         part.max(req.route.latency_target)
     })
 }
 
-/// Reads an answer to its end: only a whole one is passed on.
+/// Reads the body of an answer to its end; only complete answers are forwarded.
 pub(super) async fn read(
     cx: &RunContext,
     req: &RoutedRequest,
@@ -119,21 +119,22 @@
     drop(in_flight);
     match body {
         Ok(body) => {
-            cx.book.note(&upstream.id, CallHealth::Answered(first_byte));
-            req.note_answer(&upstream.id, reply.head.status, attempts.sent);
+            cx.upstream_stats
+                .record(&upstream.id, CallOutcome::Answered(first_byte));
+            req.record_answer(&upstream.id, reply.head.status, attempts.sent);
             cx.mesh.record_success(req.fingerprint());
             Ok(answer(cx, &reply.head, body))
         }
         Err(error) => {
-            log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), error = error.to_string().as_str(); "an answer broke off");
-            Err(attempts.spoilt(cx, req, &upstream.id, Spoilt::from(&error)))
+            log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), error = error.to_string().as_str(); "answer ended before it was complete");
+            Err(attempts.record_faulty_answer(cx, req, &upstream.id, AnswerFault::from(&error)))
         }
     }
 }
 
 fn answer(cx: &RunContext, head: &Parts, body: Bytes) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole(body));
+    let mut answer = Response::new(full_body(body));
     *answer.status_mut() = head.status;
-    *answer.headers_mut() = (cx.edges.caller_headers)(&head.headers);
+    *answer.headers_mut() = (cx.codec.caller_headers)(&head.headers);
     answer
 }
--- a/crates/tc-gateway/src/run/refusal.rs
+++ b/crates/tc-gateway/src/run/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own, and what each promises.
+//! Answers that the gateway gives itself, and what each one tells the caller about whether the request ran.
 
 use std::time::Duration;
 
@@ -6,24 +6,23 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use tc_protocol::routing::StageRefusal;
 
-use super::{AnswerBody, RoutedRequest, whole};
-use crate::edges::Edges;
+use super::{AnswerBody, RoutedRequest, full_body};
+use crate::codec::PlatformCodec;
 
-/// When a caller is told to come back if nothing better is known: about the time in which an upstream that just
-/// failed or filled up has been found out and others have taken over.
-const COME_BACK: Duration = Duration::from_millis(250);
+/// Default `Retry-After`: about the time until a failed or full upstream is detected and others have taken over.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Why a request ends without an upstream's answer.
+/// Why a request ends without an answer from an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) status: StatusCode,
     pub(crate) retry_after: Option<Duration>,
-    /// What happened, for logs and the answer's text.
+    /// Reason for logs, metrics and the answer's body.
     pub(crate) reason: &'static str,
 }
 
 impl Refusal {
-    /// It has not run and will not: only said when no upstream can have begun it.
+    /// The request has not run and will not. Use it only if no upstream can have started the request.
     pub(crate) fn not_run(reason: &'static str, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -32,26 +31,26 @@
         }
     }
 
-    /// It has not run; the cause passes soon.
-    pub(crate) fn not_run_now(reason: &'static str) -> Self {
-        Self::not_run(reason, COME_BACK)
+    /// The request has not run, for a reason that is expected to pass soon.
+    pub(crate) fn not_run_transient(reason: &'static str) -> Self {
+        Self::not_run(reason, DEFAULT_RETRY_AFTER)
     }
 
-    /// It may have run.
-    pub(crate) fn unknown(reason: &'static str) -> Self {
-        Self::plain(StatusCode::BAD_GATEWAY, reason)
+    /// The request may have run.
+    pub(crate) fn outcome_unknown(reason: &'static str) -> Self {
+        Self::without_retry(StatusCode::BAD_GATEWAY, reason)
     }
 
-    /// Its time is over, and it may have run.
+    /// The request timed out and may have run.
     pub(crate) fn timed_out() -> Self {
-        Self::plain(
+        Self::without_retry(
             StatusCode::GATEWAY_TIMEOUT,
             "no answer within the time allowed",
         )
     }
 
-    /// An answer that depends on the request alone.
-    pub(crate) fn plain(status: StatusCode, reason: &'static str) -> Self {
+    /// A refusal without `Retry-After`.
+    pub(crate) fn without_retry(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
             retry_after: None,
@@ -72,35 +71,39 @@
 }
 
 impl From<StageRefusal> for Refusal {
-    /// A request whose stages were not made has not run, whatever became of its pieces.
+    /// A request whose stages were not made has not run, whatever happened to their pieces.
     fn from(refusal: StageRefusal) -> Self {
         match refusal {
             StageRefusal::Overloaded { retry_after } => {
                 Self::not_run("a stage before the request has too much to do", retry_after)
             }
-            StageRefusal::InputGone => Self::not_run_now("results of a stage were lost"),
-            StageRefusal::Failed => Self::not_run_now("a stage before the request failed"),
-            StageRefusal::Late => Self::not_run_now("a stage could not be done in time"),
-            StageRefusal::Moved => Self::not_run_now("the home of a stage moves"),
-            StageRefusal::NoUpstream => Self::not_run_now("no upstream of a stage is known"),
+            StageRefusal::InputGone => Self::not_run_transient("results of a stage were lost"),
+            StageRefusal::Failed => Self::not_run_transient("a stage before the request failed"),
+            StageRefusal::Late => Self::not_run_transient("a stage could not be done in time"),
+            StageRefusal::Moved => Self::not_run_transient("the home of a stage moves"),
+            StageRefusal::NoUpstream => Self::not_run_transient("no upstream of a stage is known"),
         }
     }
 }
 
-/// Builds an answer of the system's own.
-pub(crate) fn own_answer(edges: &Edges, request: &str, refusal: &Refusal) -> Response<AnswerBody> {
+/// Builds the answer for a refusal and counts it.
+pub(crate) fn refusal_answer(
+    codec: &PlatformCodec,
+    request: &str,
+    refusal: &Refusal,
+) -> Response<AnswerBody> {
     let status = refusal.status.as_str().to_owned();
     metrics::counter!("tc_routed_refusals_total", "status" => status, "reason" => refusal.reason)
         .increment(1);
     let body = serde_json::json!({ "status": refusal.status.as_u16(), "detail": refusal.reason });
-    let mut answer = Response::new(whole(Bytes::from(body.to_string())));
+    let mut answer = Response::new(full_body(Bytes::from(body.to_string())));
     *answer.status_mut() = refusal.status;
-    *answer.headers_mut() = (edges.own_headers)(request);
+    *answer.headers_mut() = (codec.own_headers)(request);
     let json = HeaderValue::from_static("application/problem+json");
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
     if let Some(wait) = refusal.retry_after {
         let seconds = format!("{:.3}", wait.as_secs_f64());
-        // Digits and a dot are always a valid header value.
+        // Digits and a dot always form a valid header value.
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             answer.headers_mut().insert(header::RETRY_AFTER, value);
         }
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -8,8 +8,8 @@
 use tc_protocol::{Member, MemberState};
 
 use crate::{
-    edges::{DirectoryQuestion, Edges},
-    run::{AnswerBody, RunContext, whole},
+    codec::{DirectoryQuery, PlatformCodec},
+    run::{AnswerBody, RunContext, full_body},
     stop::StopState,
 };
 
@@ -35,7 +35,7 @@
 impl InfoService {
     /// Reports whether this instance is ready.
     pub(crate) fn ready(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
-        if !(self.cx.edges.is_ready_question)(req.uri()) {
+        if !(self.cx.codec.is_readiness_check)(req.uri()) {
             return text_response(StatusCode::NOT_FOUND, Bytes::new());
         }
         if self.cx.world.load().is_known() && !self.stop.is_stopping() {
@@ -51,7 +51,7 @@
     /// Reports the addresses that callers should use.
     pub(crate) fn directory(&self, req: &Request<Incoming>) -> Response<AnswerBody> {
         directory(
-            &self.cx.edges,
+            &self.cx.codec,
             req.uri(),
             &self.cx.mesh.members(),
             self.address_max_age,
@@ -65,12 +65,12 @@
 }
 
 fn directory(
-    edges: &Edges,
+    codec: &PlatformCodec,
     uri: &Uri,
     members: &[Member],
     max_age: Duration,
 ) -> Response<AnswerBody> {
-    let Some(question) = (edges.read_directory)(uri) else {
+    let Some(question) = (codec.parse_directory_query)(uri) else {
         return text_response(StatusCode::NOT_FOUND, Bytes::new());
     };
     let addresses = addresses_for(members, &question);
@@ -80,7 +80,7 @@
     let seconds = MAX_AGE.min(max_age).as_secs().max(1) as u32;
     let mut answer = text_response(
         StatusCode::OK,
-        (edges.directory_answer)(&addresses, seconds),
+        (codec.encode_directory)(&addresses, seconds),
     );
     let json = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -89,7 +89,7 @@
 
 /// Returns the caller addresses of instances that accept new connections, with those in the
 /// caller's region first.
-fn addresses_for(members: &[Member], question: &DirectoryQuestion) -> Vec<SocketAddr> {
+fn addresses_for(members: &[Member], question: &DirectoryQuery) -> Vec<SocketAddr> {
     let mut usable: Vec<&Member> = members
         .iter()
         .filter(|member| member.state == MemberState::Alive)
@@ -106,7 +106,7 @@
 }
 
 fn text_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole(body));
+    let mut answer = Response::new(full_body(body));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -15,13 +15,13 @@
 
 use crate::{
     backoffs::UpstreamBackoffs,
-    budgets::RepeatBudgets,
+    budgets::RetryBudgets,
+    codec::PlatformCodec,
     cold::ColdSends,
-    edges::Edges,
-    engines::{EngineHomes, NewsSender},
+    engines::{EngineHomes, RunReportSender},
     freeze::PauseMonitor,
     handlers::{free_results, mesh_handlers},
-    homes::{BatchHomes, Freer, HomeContext, ask_other_homes},
+    homes::{BatchHomes, HomeContext, ResultReleaser, poll_outlooks},
     join::{Discovery, Settled, sync_members},
     limits::LimitedSends,
     listeners::{Listeners, into_runtime},
@@ -86,7 +86,7 @@
     /// `metrics` renders the metrics.
     pub async fn start(
         settings: GatewaySettings,
-        edges: Edges,
+        codec: PlatformCodec,
         traffic: tokio::runtime::Handle,
         metrics: MetricsRenderer,
     ) -> Result<Self, GatewayError> {
@@ -97,14 +97,14 @@
             timeout: STORE_TIMEOUT,
         });
         let pause_monitor = Arc::new(PauseMonitor::new(settings.suspended));
-        let world = Arc::new(WorldCell::new(edges, Arc::clone(&pause_monitor)));
+        let world = Arc::new(WorldCell::new(codec, Arc::clone(&pause_monitor)));
         let settled = Settled::with_timeout();
-        let cx = start_context(&settings, edges, Arc::clone(&world), &traffic, &settled).await?;
+        let cx = start_context(&settings, codec, Arc::clone(&world), &traffic, &settled).await?;
         let source_timing = SourceTiming::within(propagation_limit(&settings));
         let role = StoreRole::new(source_timing);
         let watch = WatchContext {
             store: store.clone(),
-            edges,
+            codec,
             cell: Arc::clone(&world),
             drain_time: settings.drain_time,
             should_watch: role.should_watch(),
@@ -127,7 +127,7 @@
         ));
         let discovery = Discovery {
             settings: settings.clone(),
-            edges,
+            codec,
             store,
             mesh: cx.mesh.clone(),
             settled: settled.clone(),
@@ -172,13 +172,13 @@
 /// For the other arguments see [`Gateway::start`].
 pub async fn run(
     settings: GatewaySettings,
-    edges: Edges,
+    codec: PlatformCodec,
     traffic: tokio::runtime::Handle,
     metrics: MetricsRenderer,
     reload: impl Fn() + Send,
 ) -> Result<(), GatewayError> {
     let mut signals = Signals::new()?;
-    let gateway = Gateway::start(settings, edges, traffic, metrics).await?;
+    let gateway = Gateway::start(settings, codec, traffic, metrics).await?;
     while signals.next().await == SignalAction::Reload {
         reload();
     }
@@ -188,7 +188,7 @@
 
 async fn start_context(
     settings: &GatewaySettings,
-    edges: Edges,
+    codec: PlatformCodec,
     world: Arc<WorldCell>,
     traffic: &tokio::runtime::Handle,
     settled: &Settled,
@@ -198,17 +198,17 @@
         max_response_bytes: MAX_RESPONSE_BYTES,
         ..ClientSettings::default()
     });
-    let budgets = Arc::new(RepeatBudgets::new(settings.retry_budget));
-    let (freer, given_up) = Freer::new();
+    let budgets = Arc::new(RetryBudgets::new(settings.retry_budget));
+    let (releaser, release_queue) = ResultReleaser::new();
     let limits = Arc::<UpstreamLimits>::default();
     let unknown_headers = Arc::<UnknownHeaders>::default();
     let backoffs = Arc::<UpstreamBackoffs>::default();
     let homes = Arc::new(BatchHomes::new(HomeContext {
-        edges,
+        codec,
         client: client.clone(),
         world: Arc::clone(&world),
         budgets: Arc::clone(&budgets),
-        freer: freer.clone(),
+        releaser: releaser.clone(),
         limits: Arc::clone(&limits),
         backoffs: Arc::clone(&backoffs),
         unknown_headers: Arc::clone(&unknown_headers),
@@ -228,19 +228,23 @@
     let heartbeat_interval = SourceTiming::within(propagation_limit(settings)).heartbeat_interval;
     let handlers = mesh_handlers(heartbeat_interval, &homes, &engines, &world);
     let mesh = Mesh::start(mesh_settings, handlers).await?;
-    let (run_news, news_receiver) = NewsSender::new();
-    traffic.spawn(news_receiver.pass_on(mesh.clone(), Arc::clone(&engines)));
-    traffic.spawn(ask_other_homes(mesh.clone(), Arc::clone(&homes)));
-    traffic.spawn(free_results(given_up, mesh.clone(), Arc::clone(&homes)));
+    let (run_reports, news_receiver) = RunReportSender::new();
+    traffic.spawn(news_receiver.forward(mesh.clone(), Arc::clone(&engines)));
+    traffic.spawn(poll_outlooks(mesh.clone(), Arc::clone(&homes)));
+    traffic.spawn(free_results(
+        release_queue,
+        mesh.clone(),
+        Arc::clone(&homes),
+    ));
     Ok(Arc::new(RunContext {
-        edges,
+        codec,
         world,
         mesh,
         homes,
         engines,
-        run_news,
-        freer,
-        book: Arc::default(),
+        run_reports,
+        releaser,
+        upstream_stats: Arc::default(),
         cold,
         limits,
         backoffs,
@@ -367,7 +371,7 @@
     loop {
         sleep(CLEANUP_INTERVAL).await;
         let world = cx.world.load();
-        cx.book.retain(|id| world.upstreams.contains(id));
+        cx.upstream_stats.retain(|id| world.upstreams.contains(id));
         cx.cold.retain(|id| world.upstreams.contains(id));
         cx.limits.retain(|id| world.upstreams.contains(id));
         cx.backoffs.expire();
--- a/crates/tc-gateway/src/world/config.rs
+++ b/crates/tc-gateway/src/world/config.rs
@@ -8,7 +8,7 @@
     routing::{RoutedService, RoutingConfig},
 };
 
-use crate::{edges::Edges, routing::RouteTable};
+use crate::{codec::PlatformCodec, routing::RouteTable};
 
 /// A validated configuration with its routing table.
 pub(crate) struct ActiveConfig {
@@ -24,8 +24,12 @@
 
 impl ActiveConfig {
     /// Decodes and validates a configuration, or returns a description of what is invalid.
-    pub(crate) fn decode(edges: &Edges, raw: &Arc<Value>, revision: u64) -> Result<Self, String> {
-        let routing = (edges.read_config)(raw)?;
+    pub(crate) fn decode(
+        codec: &PlatformCodec,
+        raw: &Arc<Value>,
+        revision: u64,
+    ) -> Result<Self, String> {
+        let routing = (codec.read_config)(raw)?;
         let routes = RouteTable::new(&routing).map_err(|error| error.to_string())?;
         Ok(Self {
             routing,
--- a/crates/tc-gateway/src/world/evacuated.rs
+++ b/crates/tc-gateway/src/world/evacuated.rs
@@ -18,7 +18,7 @@
 /// Changes are applied at once, without batching: they are rare, and simultaneous changes concern
 /// whole domains rather than single upstreams.
 pub(crate) async fn watch_evacuations(cx: WatchContext) {
-    let kind = cx.edges.kinds.evacuations;
+    let kind = cx.codec.kinds.evacuations;
     let part = WorldPart::Evacuations;
     let target = cx.target(part, kind, Purpose::Registry, "evacuated failure domains");
     let mut watch = GatedWatch::new(&cx, target);
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -30,7 +30,7 @@
 use tc_protocol::{FailureDomain, MonoTime, ServiceName, UpstreamId};
 use tokio::sync::watch::{Receiver, Sender};
 
-use crate::{edges::Edges, freeze::PauseMonitor};
+use crate::{codec::PlatformCodec, freeze::PauseMonitor};
 
 pub(crate) use config::ActiveConfig;
 pub(crate) use evacuated::watch_evacuations;
@@ -81,7 +81,7 @@
 
 /// Publishes the newest snapshot, and decides which data is newer.
 pub(crate) struct WorldCell {
-    edges: Edges,
+    codec: PlatformCodec,
     published: ArcSwap<World>,
     /// Locked by writers only.
     write_lock: Mutex<()>,
@@ -101,9 +101,9 @@
 }
 
 impl WorldCell {
-    pub(crate) fn new(edges: Edges, pause_monitor: Arc<PauseMonitor>) -> Self {
+    pub(crate) fn new(codec: PlatformCodec, pause_monitor: Arc<PauseMonitor>) -> Self {
         Self {
-            edges,
+            codec,
             published: ArcSwap::default(),
             write_lock: Mutex::default(),
             changes: Sender::new(0),
@@ -255,7 +255,7 @@
         };
         let _guard = self.lock_writes();
         let world = self.load();
-        match world.upstreams.with_news(&self.edges, upstreams) {
+        match world.upstreams.with_news(&self.codec, upstreams) {
             ApplyOutcome::Updated(next) => self.publish_upstreams(&world, next),
             ApplyOutcome::Outdated => {}
             ApplyOutcome::BaseMismatch => return false,
@@ -270,7 +270,7 @@
     pub(crate) fn apply_config(&self, raw: &Arc<Value>, revision: u64) {
         let _guard = self.lock_writes();
         let world = self.load();
-        let config = match ActiveConfig::decode(&self.edges, raw, revision) {
+        let config = match ActiveConfig::decode(&self.codec, raw, revision) {
             Ok(config) => config,
             Err(problem) => {
                 log::error!(revision = revision, problem = problem.as_str(); "configuration rejected; the last valid one stays in force");
@@ -332,7 +332,7 @@
     pub(crate) fn apply_upstream_events(&self, events: &[ObjectEvent], at: u64) {
         let _guard = self.lock_writes();
         let world = self.load();
-        let upstreams = world.upstreams.with_events(&self.edges, events, at);
+        let upstreams = world.upstreams.with_events(&self.codec, events, at);
         self.publish_upstreams(&world, upstreams);
     }
 
@@ -343,7 +343,7 @@
         if at < world.upstreams.revision() {
             return;
         }
-        let upstreams = world.upstreams.with_list(&self.edges, objects, at);
+        let upstreams = world.upstreams.with_list(&self.codec, objects, at);
         self.publish_upstreams(&world, upstreams);
     }
 
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -15,7 +15,7 @@
     routing::{RegisteredUpstream, ResultHandle},
 };
 
-use crate::edges::Edges;
+use crate::codec::PlatformCodec;
 
 /// Minimum time for which the announcement of an unregistered upstream is kept.
 const LEAVING_RETENTION: Duration = Duration::from_mins(10);
@@ -181,7 +181,7 @@
 
     /// Applies news from another instance.
     #[must_use]
-    pub fn with_news(&self, edges: &Edges, news: &UpstreamNews) -> ApplyOutcome {
+    pub fn with_news(&self, codec: &PlatformCodec, news: &UpstreamNews) -> ApplyOutcome {
         if news.revision < self.revision {
             return ApplyOutcome::Outdated;
         }
@@ -213,12 +213,12 @@
             })
         });
         let events: Vec<ObjectEvent> = put.chain(removed).collect();
-        ApplyOutcome::Updated(self.with_events(edges, &events, news.revision))
+        ApplyOutcome::Updated(self.with_events(codec, &events, news.revision))
     }
 
     /// Returns this table with changes applied.
     #[must_use]
-    pub fn with_events(&self, edges: &Edges, events: &[ObjectEvent], at: u64) -> Self {
+    pub fn with_events(&self, codec: &PlatformCodec, events: &[ObjectEvent], at: u64) -> Self {
         let mut entries = self.entries.clone();
         for event in events {
             match event {
@@ -227,7 +227,7 @@
                     // decoding.
                     let known = entries.get(&object.name).map(|e| e.revision);
                     if known.is_none_or(|known| object.revision > known) {
-                        let entry = decode(edges, &object.name, object.revision, &object.value);
+                        let entry = decode(codec, &object.name, object.revision, &object.value);
                         entries.insert(Arc::clone(&object.name), entry);
                     }
                 }
@@ -271,7 +271,12 @@
     }
 
     /// Returns the table of a full list, reusing decoded entries with the same revision.
-    pub(crate) fn with_list(&self, edges: &Edges, objects: &[RegistryEntry], at: u64) -> Self {
+    pub(crate) fn with_list(
+        &self,
+        codec: &PlatformCodec,
+        objects: &[RegistryEntry],
+        at: u64,
+    ) -> Self {
         let entries = objects
             .iter()
             .map(|object| {
@@ -279,7 +284,7 @@
                 let entry = known
                     .filter(|entry| entry.revision == object.revision)
                     .cloned()
-                    .unwrap_or_else(|| decode(edges, &object.name, object.revision, &object.value));
+                    .unwrap_or_else(|| decode(codec, &object.name, object.revision, &object.value));
                 (Arc::clone(&object.name), entry)
             })
             .collect();
@@ -330,8 +335,8 @@
     })
 }
 
-fn decode(edges: &Edges, name: &str, revision: u64, raw: &Arc<Value>) -> Entry {
-    let upstream = match (edges.read_upstream)(name, raw, MonoTime::now()) {
+fn decode(codec: &PlatformCodec, name: &str, revision: u64, raw: &Arc<Value>) -> Entry {
+    let upstream = match (codec.read_upstream)(name, raw, MonoTime::now()) {
         Ok(upstream) => Some(Arc::new(upstream)),
         Err(problem) => {
             log::warn!(upstream = name, revision = revision, problem = problem.as_str(); "ignoring a registered upstream that cannot be decoded");
--- a/crates/tc-gateway/src/world/watch.rs
+++ b/crates/tc-gateway/src/world/watch.rs
@@ -12,7 +12,7 @@
     kind_watch::{KindUpdate, KindWatch, WATCH_WAIT, WatchTarget},
     removals::HeldRemovals,
 };
-use crate::edges::Edges;
+use crate::codec::PlatformCodec;
 
 /// Fraction of an upstream's drain time for which changes are batched before the next watch.
 ///
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 pub(crate) struct WatchContext {
     pub(crate) store: Store,
-    pub(crate) edges: Edges,
+    pub(crate) codec: PlatformCodec,
     pub(crate) cell: Arc<WorldCell>,
     /// Time for which an upstream still serves requests after it has announced that it is leaving.
     pub(crate) drain_time: Duration,
@@ -47,7 +47,7 @@
     ) -> WatchTarget {
         WatchTarget {
             store: self.store.clone(),
-            dialect: self.edges.store,
+            dialect: self.codec.store,
             kind,
             purpose,
             description,
@@ -100,7 +100,7 @@
 
 /// Keeps the configuration up to date until the future is dropped.
 pub(crate) async fn watch_config(cx: WatchContext) {
-    let kinds = cx.edges.kinds;
+    let kinds = cx.codec.kinds;
     let part = WorldPart::Config;
     let target = cx.target(part, kinds.config, Purpose::Config, "configuration");
     let mut watch = GatedWatch::new(&cx, target);
@@ -132,7 +132,7 @@
 
 /// Keeps the list of upstreams up to date until the future is dropped.
 pub(crate) async fn watch_upstreams(cx: WatchContext) {
-    let kind = cx.edges.kinds.upstreams;
+    let kind = cx.codec.kinds.upstreams;
     let part = WorldPart::Upstreams;
     let target = cx.target(part, kind, Purpose::Registry, "list of upstreams");
     let mut watch = GatedWatch::new(&cx, target);
