--- a/crates/tc-fleet/src/entry/baseline.rs
+++ b/crates/tc-fleet/src/entry/baseline.rs
@@ -1,4 +1,4 @@
-//! The baseline policy that experiments compare with: round robin, granted at once, no homes.
+//! The baseline policy for experiments: round robin without homes, which grants every permit immediately.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering::Relaxed},
@@ -11,26 +11,26 @@
 
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Takes the upstreams of each service in turn.
+/// Selects upstreams in turn.
 #[derive(Default)]
 pub(crate) struct RoundRobin {
     next: AtomicUsize,
 }
 
 impl RoundRobin {
-    pub(crate) fn ask(
+    pub(crate) fn request_permit(
         &self,
         view: &FleetView,
-        ask: &PermitRequest,
+        request: &PermitRequest,
     ) -> Result<Permit, PermitRefusal> {
         let upstreams = view
             .upstreams
-            .get(&ask.service)
+            .get(&request.service)
             .map(Vec::as_slice)
             .unwrap_or_default();
         let usable: Vec<_> = upstreams
             .iter()
-            .filter(|state| !state.leaving && !ask.excluded.contains(&state.upstream.id))
+            .filter(|state| !state.leaving && !request.excluded.contains(&state.upstream.id))
             .collect();
         if usable.is_empty() {
             return Err(PermitRefusal {
@@ -43,7 +43,7 @@
             permit: PermitId(0),
             upstream: upstream.id.clone(),
             address: upstream.address,
-            expires_in: ask.run_for,
+            expires_in: request.run_for,
             waited: Duration::ZERO,
         };
         Ok(Permit::new(grant, "round robin".to_owned(), |_| ()))
--- a/crates/tc-fleet/src/lib.rs
+++ b/crates/tc-fleet/src/lib.rs
@@ -1,6 +1,7 @@
-//! Between instances: membership, homes, permits, workspace shares, suspects and configuration spread.
+//! Communication between instances: membership, homes, permits, workspace shares, suspects and configuration
+//! propagation.
 //!
-//! [`Fleet::start`] runs on the control thread; the [`Fleet`] handle it gives is used by traffic threads.
+//! [`Fleet::start`] runs on the control thread. It returns the [`Fleet`] handle, which traffic threads use.
 
 mod config;
 mod convert;
@@ -27,11 +28,11 @@
 mod suspects;
 
 pub use error::FleetError;
-pub use fleet::{Fleet, LocalReport};
+pub use fleet::{Fleet, ReportHandlers};
 pub use key::FleetKeys;
 pub use mesh::{
-    ChooseEngine, EvacuatedDomains, Gone, Mesh, MeshError, MeshHandlers, MeshSettings,
-    PiecesAnswer, SuspectRun, TellOutlook, TellRuns, UpstreamLimits, UpstreamNews, WorldHave,
-    WorldNews, WorldObject,
+    ChooseEngine, EvacuatedDomains, Mesh, MeshError, MeshHandlers, MeshSettings, PiecesAnswer,
+    RegistryEntry, Removed, SuspectTrial, TellOutlook, TellRuns, UpstreamLimits, UpstreamNews,
+    WorldHave, WorldNews,
 };
-pub use settings::{AskPolicy, FleetSettings};
+pub use settings::{FleetSettings, PermitPolicy};
--- a/crates/tc-fleet/src/mesh/actor.rs
+++ b/crates/tc-fleet/src/mesh/actor.rs
@@ -1,4 +1,5 @@
-//! Membership on the control thread: datagrams and timers go through one actor, which publishes the list of members.
+//! The membership actor of the mesh. It runs on the control thread, handles datagrams and timers, and publishes the
+//! member list.
 
 use std::{
     collections::HashSet,
@@ -23,50 +24,50 @@
     suspects::SuspectTable,
 };
 
-/// Shortest wait between two ticks, so that a timer that is always due cannot keep the thread busy.
-const LEAST_TICK: Duration = Duration::from_millis(10);
+/// Minimum interval between two ticks, so that a timer that is always due does not keep the thread busy.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A datagram up to this many bytes has room for limits beside its news of members.
-const ROOMY_DATAGRAM: usize = 1_000;
+/// Maximum size of a datagram, in bytes, that rate limits are added to. Larger ones have no room left for them.
+const MAX_BYTES_BEFORE_LIMITS: usize = 1_000;
 
-/// What another instance says when it compares its list of members with this one's.
+/// Introduction of another instance, which compares its member list with this one's.
 pub(crate) struct Introduced {
     pub(super) other: Record,
-    /// Digest of its list; 0 when it wants all.
-    pub(super) view: u64,
+    /// Digest of its member list, or 0 to request all members.
+    pub(super) view_digest: u64,
     pub(super) known: HashSet<u32>,
-    /// It wants to be known, and no list.
+    /// Whether it only announces itself and requests no records.
     pub(super) only_announces: bool,
 }
 
-/// What can be told to the actor.
+/// Messages to [`MeshActor`].
 pub(crate) enum MeshMsg {
     Datagram(Box<Datagram>),
-    /// Records of an introduction; answered with whether anything of them was news.
-    Learn(Vec<Record>, oneshot::Sender<bool>),
-    /// Another instance tells of itself and of its view, and wants to know what it lacks; answered with nothing when both
-    /// views are the same.
+    /// Records received in reply to an introduction. The reply tells whether they changed the member list.
+    MergeRecords(Vec<Record>, oneshot::Sender<bool>),
+    /// An introduction by another instance. The reply has the records that it is missing, or `None` if both instances
+    /// have the same members or it only announces itself.
     Introduced(Box<Introduced>, oneshot::Sender<Option<Vec<Record>>>),
-    /// Short hashes of the members that are known here.
-    Known(oneshot::Sender<Vec<u32>>),
-    /// A call to it failed: connect to it anew, and probe it next.
-    Doubt(InstanceId),
-    /// It did not answer a call in time: probe it next.
-    Probe(InstanceId),
-    /// Tell every instance of suspects now.
-    SpreadSuspects,
-    /// This process was absent for a while.
-    Woke,
+    /// Requests the short hashes of the known members.
+    MemberHashes(oneshot::Sender<Vec<u32>>),
+    /// A call to the instance failed: reconnect and probe it next.
+    CallFailed(InstanceId),
+    /// A call to the instance timed out: probe it next.
+    CallTimedOut(InstanceId),
+    /// Sends the reported suspects to every instance now.
+    AnnounceToAll,
+    /// This process was paused and has resumed.
+    Resumed,
     Leave,
     Tick,
 }
 
-/// What other threads read.
+/// State published to other threads.
 pub(super) struct Published {
     pub(super) members: ArcSwap<Vec<Member>>,
     /// Digest of the members that are not dead.
-    pub(super) view: AtomicU64,
-    /// Counts changes of the members.
+    pub(super) view_digest: AtomicU64,
+    /// Counter of changes of the member list.
     pub(super) changes: watch::Sender<u64>,
 }
 
@@ -85,7 +86,7 @@
     args: MeshArgs,
 }
 
-/// The actor; its state is [`MeshState`].
+/// The membership actor; its state is [`MeshState`].
 pub(super) struct MeshActor;
 
 impl Actor for MeshActor {
@@ -98,7 +99,7 @@
         myself: ActorRef<MeshMsg>,
         args: MeshArgs,
     ) -> Result<MeshState, ActorProcessingErr> {
-        myself.send_after(LEAST_TICK, || MeshMsg::Tick);
+        myself.send_after(MIN_TICK_INTERVAL, || MeshMsg::Tick);
         let membership = Membership::new(args.timing.clone(), args.me.clone(), rand::random());
         let mut state = MeshState { membership, args };
         state.publish();
@@ -112,54 +113,54 @@
         state: &mut MeshState,
     ) -> Result<(), ActorProcessingErr> {
         let now = MonoTime::now();
-        state.take(now, message, &myself);
+        state.handle_message(now, message, &myself);
         state.publish();
         Ok(())
     }
 }
 
 impl MeshState {
-    fn take(&mut self, now: MonoTime, message: MeshMsg, myself: &ActorRef<MeshMsg>) {
+    fn handle_message(&mut self, now: MonoTime, message: MeshMsg, myself: &ActorRef<MeshMsg>) {
         match message {
-            MeshMsg::Datagram(datagram) => self.datagram(now, &datagram),
-            MeshMsg::Learn(records, reply) => {
-                let news = self.membership.merge_records(now, &records);
+            MeshMsg::Datagram(datagram) => self.handle_datagram(now, &datagram),
+            MeshMsg::MergeRecords(records, reply) => {
+                let changed = self.membership.merge_records(now, &records);
                 self.tick(now);
-                // Fails only when nobody waits for it any more.
-                let _ = reply.send(news);
+                // Fails only if the requester has stopped waiting.
+                let _ = reply.send(changed);
             }
             MeshMsg::Introduced(introduced, reply) => {
                 let Introduced {
                     other,
-                    view,
+                    view_digest,
                     known,
                     only_announces,
                 } = *introduced;
                 self.membership.merge_records(now, &[other]);
-                let differs = !only_announces && self.membership.view_digest() != view;
-                let lacking = differs.then(|| self.membership.missing_records(&known));
-                // Fails only when the other has given up.
-                let _ = reply.send(lacking);
+                let is_different = !only_announces && self.membership.view_digest() != view_digest;
+                let missing = is_different.then(|| self.membership.missing_records(&known));
+                // Fails only if the other instance has cancelled its call.
+                let _ = reply.send(missing);
             }
-            MeshMsg::Known(reply) => {
-                // Fails only when nobody waits for it any more.
+            MeshMsg::MemberHashes(reply) => {
+                // Fails only if the requester has stopped waiting.
                 let _ = reply.send(self.membership.member_hashes());
             }
-            MeshMsg::Doubt(id) => {
+            MeshMsg::CallFailed(id) => {
                 self.args.peers.forget(&id);
                 self.membership.report_failed_call(now, &id);
                 self.tick(now);
             }
-            MeshMsg::Probe(id) => {
+            MeshMsg::CallTimedOut(id) => {
                 self.membership.report_failed_call(now, &id);
                 self.tick(now);
             }
-            MeshMsg::SpreadSuspects => {
+            MeshMsg::AnnounceToAll => {
                 let outgoing = self.membership.announce_to_all();
                 self.send(outgoing);
             }
-            MeshMsg::Woke => {
-                // What it knew before may be wrong by now: others may have taken it for dead.
+            MeshMsg::Resumed => {
+                // State from before the pause may be outdated: others may have declared this instance dead.
                 self.membership.resumed(now);
                 self.tick(now);
             }
@@ -170,17 +171,17 @@
             MeshMsg::Tick => {
                 self.tick(now);
                 let wait = self.membership.next_wake().since(MonoTime::now());
-                myself.send_after(wait.max(LEAST_TICK), || MeshMsg::Tick);
+                myself.send_after(wait.max(MIN_TICK_INTERVAL), || MeshMsg::Tick);
             }
         }
     }
 
-    fn datagram(&mut self, now: MonoTime, datagram: &Datagram) {
+    fn handle_datagram(&mut self, now: MonoTime, datagram: &Datagram) {
         let Some(message) = convert::message_from_wire(datagram) else {
             metrics::counter!("tc_gossip_refused_total").increment(1);
             return;
         };
-        self.args.suspects.heard(now, &datagram.suspects);
+        self.args.suspects.note_gossiped(now, &datagram.suspects);
         self.args.limits.receive(&datagram.limits);
         let outgoing = self.membership.handle(now, &message);
         self.send(outgoing);
@@ -198,7 +199,7 @@
                 .args
                 .suspects
                 .to_gossip(MonoTime::now(), SUSPECTS_PER_DATAGRAM);
-            if datagram.encoded_len() <= ROOMY_DATAGRAM {
+            if datagram.encoded_len() <= MAX_BYTES_BEFORE_LIMITS {
                 datagram.limits = self.args.limits.to_gossip();
             }
             self.args.socket.send(out.to, &datagram);
@@ -211,19 +212,19 @@
         }
         let published = &self.args.published;
         let members = self.membership.members();
-        note_changes(&published.members.load(), &members);
+        log_state_changes(&published.members.load(), &members);
         published.members.store(Arc::new(members));
-        let view = self.membership.view_digest();
-        published.view.store(view, Ordering::Release);
+        let view_digest = self.membership.view_digest();
+        published.view_digest.store(view_digest, Ordering::Release);
         published.changes.send_modify(|count| *count += 1);
     }
 }
 
-/// One log line for each member whose state is another than before.
+/// Logs each member whose state has changed.
 ///
-/// Both lists are in order of identifier and are walked once together: looked up one by one, the members of a fleet of
-/// hundreds cost half a millisecond a change, and a failure domain that is lost brings hundreds of changes.
-fn note_changes(before: &[Member], after: &[Member]) {
+/// Both lists are ordered by identifier and are merged in one pass. Individual lookups took half a millisecond per
+/// change in a fleet of hundreds, and the loss of a failure domain causes hundreds of changes.
+fn log_state_changes(before: &[Member], after: &[Member]) {
     let mut before = before.iter().peekable();
     for member in after {
         while before.next_if(|known| known.id < member.id).is_some() {}
@@ -233,14 +234,14 @@
                 instance = member.id.as_str(),
                 state = format!("{:?}", member.state).as_str(),
                 incarnation = member.incarnation.0;
-                "state of an instance changed"
+                "instance state changed"
             );
         }
     }
 }
 
-/// Addresses of members other than `me` that may answer.
-pub(super) fn others(members: &[Member], me: &InstanceId) -> Vec<SocketAddr> {
+/// Returns the fleet addresses of the members other than `me` that are not dead.
+pub(super) fn other_addresses(members: &[Member], me: &InstanceId) -> Vec<SocketAddr> {
     members
         .iter()
         .filter(|m| m.id != *me && m.state != MemberState::Dead)
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -1,4 +1,4 @@
-//! Starting the mesh, and the handle that the rest of the process uses.
+//! Startup of the mesh, and the handle to it.
 
 use std::{
     net::SocketAddr,
@@ -22,9 +22,12 @@
 use tonic::{Code, Request, transport::server::TcpIncoming};
 
 use super::{
-    actor::{MeshActor, MeshArgs, MeshMsg, Published, others},
+    actor::{MeshActor, MeshArgs, MeshMsg, Published, other_addresses},
     limits::UpstreamLimits,
-    messages::{MeshError, PiecesAnswer, answer_from_wire, ask_to_wire, outlook_from_wire, texts},
+    messages::{
+        MeshError, PiecesAnswer, outlook_from_wire, pieces_answer_from_wire, results_to_wire,
+        stage_request_to_wire,
+    },
     peers::Peers,
     service::{MeshHandlers, Service},
     suspects::suspect_table,
@@ -39,32 +42,32 @@
     suspects::{Origin, SuspectTable, TrialGuard},
 };
 
-/// How long an ask for pieces may outlive the request's own time, for the way back.
-const ASK_GRACE: Duration = Duration::from_millis(200);
+/// Time added to the remaining time of a stage request, so that the response can still arrive.
+const RESPONSE_GRACE: Duration = Duration::from_millis(200);
 
-/// What [`Mesh::start`] needs to know.
+/// Settings for [`Mesh::start`].
 #[derive(Clone, Debug)]
 pub struct MeshSettings {
     /// This instance.
     pub me: Member,
-    /// Where to listen for other instances, TCP and UDP.
+    /// Address to listen on for other instances, TCP and UDP.
     pub listen: SocketAddr,
     /// Keys that authenticate instances to each other.
     pub keys: FleetKeys,
-    /// Probe timings.
+    /// Probe intervals and timeouts.
     pub timing: MembershipConfig,
-    /// Runs calls to and from other instances; the traffic threads' runtime.
+    /// Runtime of the traffic threads, which serves calls from other instances.
     pub traffic: tokio::runtime::Handle,
     /// Rate limits of upstreams, shared with the rest of the process.
     pub limits: Arc<UpstreamLimits>,
 }
 
-/// The run of a request that may crash upstreams; others of its kind wait until it is dropped.
-pub struct SuspectRun {
-    _trial: TrialGuard,
+/// A trial run of a request suspected of crashing upstreams. Other runs of the same request wait until it is dropped.
+pub struct SuspectTrial {
+    _guard: TrialGuard,
 }
 
-/// Handle of the mesh; clones share it.
+/// Handle to the mesh, cheap to clone.
 #[derive(Clone)]
 pub struct Mesh {
     pub(super) inner: Arc<Inner>,
@@ -72,7 +75,7 @@
 
 pub(super) struct Inner {
     pub(super) me: Member,
-    pub(super) node: ActorRef<MeshMsg>,
+    pub(super) actor: ActorRef<MeshMsg>,
     pub(super) published: Arc<Published>,
     pub(super) peers: Arc<Peers>,
     suspects: Arc<SuspectTable>,
@@ -80,23 +83,24 @@
 }
 
 impl Mesh {
-    /// Starts the actor, sockets and server on the current runtime, which is the control thread's.
+    /// Starts the actor, the sockets and the server. Call it on the control thread's runtime.
     ///
     /// # Errors
-    /// [`FleetError::Listen`] when the address is taken, [`FleetError::Actors`] when the actor does not start.
+    /// Returns [`FleetError::Listen`] if the address cannot be bound, and [`FleetError::Actors`] if the actor fails to
+    /// start.
     pub async fn start(
         settings: MeshSettings,
         handlers: Arc<MeshHandlers>,
     ) -> Result<Self, FleetError> {
         let address = settings.listen;
-        let listen = |source| FleetError::Listen { address, source };
-        let listener = TcpListener::bind(address).await.map_err(listen)?;
-        let socket = UdpSocket::bind(address).await.map_err(listen)?;
+        let listen_error = |source| FleetError::Listen { address, source };
+        let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+        let socket = UdpSocket::bind(address).await.map_err(listen_error)?;
         let socket = GossipSocket::new(socket, settings.keys.clone());
         let peers = Arc::new(Peers::new(address.ip(), settings.keys.clone()));
         let published = Arc::new(Published {
             members: ArcSwap::from_pointee(vec![settings.me.clone()]),
-            view: AtomicU64::new(0),
+            view_digest: AtomicU64::new(0),
             changes: watch::Sender::new(0),
         });
         let suspects = Arc::new(suspect_table(&settings.me.id, &published, &peers));
@@ -109,21 +113,21 @@
             suspects: Arc::clone(&suspects),
             limits: Arc::clone(&settings.limits),
         };
-        let (node, _) = Actor::spawn(None, MeshActor, args)
+        let (actor, _) = Actor::spawn(None, MeshActor, args)
             .await
             .map_err(|error| FleetError::Actors(error.to_string()))?;
-        let to_node = node.clone();
+        let to_actor = actor.clone();
         tokio::spawn(
             socket.receive(move |datagram| {
-                to_node.cast(MeshMsg::Datagram(Box::new(datagram))).is_ok()
+                to_actor.cast(MeshMsg::Datagram(Box::new(datagram))).is_ok()
             }),
         );
-        let spreader = node.clone();
-        suspects.set_spread_now(Box::new(move || {
-            let _ = spreader.cast(MeshMsg::SpreadSuspects);
+        let to_actor = actor.clone();
+        suspects.set_gossip_now(Box::new(move || {
+            let _ = to_actor.cast(MeshMsg::AnnounceToAll);
         }));
         let service = Service {
-            node: node.clone(),
+            actor: actor.clone(),
             suspects: Arc::clone(&suspects),
             limits: Arc::clone(&settings.limits),
             handlers,
@@ -132,7 +136,7 @@
         Ok(Self {
             inner: Arc::new(Inner {
                 me: settings.me,
-                node,
+                actor,
                 published,
                 peers,
                 suspects,
@@ -141,101 +145,103 @@
         })
     }
 
-    /// This instance.
+    /// Returns this instance.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.inner.me
     }
 
-    /// All known instances, this one included; never waits.
+    /// Returns all known instances, including this one, without blocking.
     #[must_use]
     pub fn members(&self) -> Arc<Vec<Member>> {
         self.inner.published.members.load_full()
     }
 
-    /// Told whenever [`Mesh::members`] may have changed.
+    /// Returns a receiver that is notified when [`Mesh::members`] may have changed.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.inner.published.changes.subscribe()
     }
 
-    /// The instance that holds the role named by `key`, leaving out those in `except`.
+    /// Returns the instance that holds the role named by `key`, among those not in `excluded`.
     #[must_use]
-    pub fn home(&self, key: &str, except: &[InstanceId]) -> Option<Member> {
+    pub fn home(&self, key: &str, excluded: &[InstanceId]) -> Option<Member> {
         let members = self.members();
-        if except.is_empty() {
+        if excluded.is_empty() {
             return home_of(key, &members, None, None).cloned();
         }
-        let left: Vec<Member> = members
+        let remaining: Vec<Member> = members
             .iter()
-            .filter(|m| !except.contains(&m.id))
+            .filter(|m| !excluded.contains(&m.id))
             .cloned()
             .collect();
-        home_of(key, &left, None, None).cloned()
+        home_of(key, &remaining, None, None).cloned()
     }
 
-    /// First step of a planned stop: tells everyone that this instance is leaving.
+    /// Announces that this instance is leaving, as the first step of a planned stop.
     pub fn leave(&self) {
-        let _ = self.inner.node.cast(MeshMsg::Leave);
+        let _ = self.inner.actor.cast(MeshMsg::Leave);
     }
 
-    /// This process did not run for a while: others may have taken it for dead.
-    pub fn woke(&self) {
-        let _ = self.inner.node.cast(MeshMsg::Woke);
+    /// Reports that this process was paused, so that other instances may have declared it dead.
+    pub fn resumed(&self) {
+        let _ = self.inner.actor.cast(MeshMsg::Resumed);
     }
 
-    /// A call to the instance was not answered in time: it is probed next. It may only be busy, so its connection stays: hundreds
-    /// that connect anew because of one slow moment are what keeps a busy home from recovering.
-    pub fn probe(&self, id: &InstanceId) {
-        let _ = self.inner.node.cast(MeshMsg::Probe(id.clone()));
+    /// Reports that a call to an instance timed out. The instance is probed next.
+    ///
+    /// Its connection is kept, since it may only be busy. If hundreds of instances reconnected after one slow moment, a
+    /// busy home would not recover.
+    pub fn report_timeout(&self, id: &InstanceId) {
+        let _ = self.inner.actor.cast(MeshMsg::CallTimedOut(id.clone()));
     }
 
-    /// A call to the instance failed: it is probed next, and the next call to it connects anew.
-    pub fn doubt(&self, id: &InstanceId) {
-        let _ = self.inner.node.cast(MeshMsg::Doubt(id.clone()));
+    /// Reports a failed call to an instance. It is probed next, and the next call to it uses a new connection.
+    pub fn report_failed_call(&self, id: &InstanceId) {
+        let _ = self.inner.actor.cast(MeshMsg::CallFailed(id.clone()));
     }
 
-    /// Fleet addresses of the other instances that may answer.
+    /// Returns the fleet addresses of the other instances that are not dead.
     #[must_use]
     pub fn other_addresses(&self) -> Vec<SocketAddr> {
-        others(&self.members(), &self.inner.me.id)
+        other_addresses(&self.members(), &self.inner.me.id)
     }
 
-    /// Asks a home to make the pieces of a stage. Dropping the future cancels what was not started.
+    /// Asks a home to process the pieces of a stage. Dropping the future cancels the pieces that were not started.
     pub async fn make_pieces(
         &self,
         home: &Member,
-        ask: &StageRequest,
+        request: &StageRequest,
     ) -> Result<PiecesAnswer, MeshError> {
-        let mut req = Request::new(ask_to_wire(ask));
-        req.set_timeout(ask.remaining + ASK_GRACE);
+        let mut req = Request::new(stage_request_to_wire(request));
+        req.set_timeout(request.remaining + RESPONSE_GRACE);
         let mut client = self.inner.peers.client(home);
         let answer = client
             .make_pieces(req)
             .await
-            .map_err(|status| no_answer(home, &status))?;
-        answer_from_wire(&answer.into_inner()).ok_or_else(|| MeshError::Malformed {
+            .map_err(|status| call_error(home, &status))?;
+        pieces_answer_from_wire(&answer.into_inner()).ok_or_else(|| MeshError::Malformed {
             instance: home.id.clone(),
         })
     }
 
-    /// Tells a home that nobody reads these results any more.
+    /// Tells a home that results are no longer needed.
     pub async fn free_results(
         &self,
         home: &Member,
         results: &[ResultHandle],
     ) -> Result<(), MeshError> {
         let req = timed(FreeResultsMessage {
-            results: texts(results),
+            results: results_to_wire(results),
         });
         let mut client = self.inner.peers.client(home);
         let answer = client.free_results(req).await;
         answer
             .map(|_| ())
-            .map_err(|status| no_answer(home, &status))
+            .map_err(|status| call_error(home, &status))
     }
 
-    /// Asks the home of a batch service how it stands; `None` when it is not the home.
+    /// Asks the home of a batch service for its load. Returns `None` if the instance is not the home.
     pub async fn outlook(
         &self,
         home: &Member,
@@ -248,33 +254,40 @@
         let answer = client
             .tell_outlook(req)
             .await
-            .map_err(|status| no_answer(home, &status))?;
+            .map_err(|status| call_error(home, &status))?;
         Ok(answer.into_inner().home.as_ref().map(outlook_from_wire))
     }
 
-    /// Waits for leave to run a request: at once unless it has crashed upstreams, in which case it runs once at a time
-    /// over all instances, and not at all after a few crashes in a row.
+    /// Waits until a request may run. Requests that are not suspected of crashing upstreams may run at once. Suspects
+    /// run one at a time across all instances, and are refused after [`SuspectPolicy::crashes_to_quarantine`] crashes.
+    ///
+    /// Hold the returned guard until the run has ended.
     ///
-    /// The guard is to be held until the run has ended.
-    pub async fn try_run(
+    /// [`SuspectPolicy::crashes_to_quarantine`]: tc_policy::SuspectPolicy::crashes_to_quarantine
+    pub async fn try_trial(
         &self,
-        input: Fingerprint,
+        fingerprint: Fingerprint,
         service: &ServiceName,
         workspace: &WorkspaceName,
         slack: Duration,
-    ) -> Result<Option<SuspectRun>, PermitRefusal> {
+    ) -> Result<Option<SuspectTrial>, PermitRefusal> {
         let origin = Origin {
             workspace: workspace.clone(),
             service: service.clone(),
         };
-        let trial = self.inner.suspects.try_trial(input, origin, slack).await?;
-        Ok(trial.map(|trial| SuspectRun { _trial: trial }))
+        let guard = self
+            .inner
+            .suspects
+            .try_trial(fingerprint, origin, slack)
+            .await?;
+        Ok(guard.map(|guard| SuspectTrial { _guard: guard }))
     }
 
-    /// An upstream's connection broke while it ran a request. Tells the home of such requests without waiting for it.
-    pub fn broke_under(
+    /// Reports that an upstream's connection broke while it ran a request. The report is sent to the home of the
+    /// request's fingerprint in the background.
+    pub fn record_crash(
         &self,
-        input: Fingerprint,
+        fingerprint: Fingerprint,
         service: &ServiceName,
         workspace: &WorkspaceName,
         upstream: UpstreamId,
@@ -284,18 +297,19 @@
             workspace: workspace.clone(),
             service: service.clone(),
         };
-        suspects.note_origin(input, origin);
-        tokio::spawn(suspects.died(input, upstream));
+        suspects.note_origin(fingerprint, origin);
+        tokio::spawn(suspects.report_crash(fingerprint, upstream));
     }
 
-    /// A request ran to its end: it crashes nothing.
-    pub fn ran_whole(&self, input: Fingerprint) {
-        self.inner.suspects.ran_whole(input);
+    /// Reports that a request ran to completion, which clears it of suspicion.
+    pub fn record_success(&self, fingerprint: Fingerprint) {
+        self.inner.suspects.report_completed(fingerprint);
     }
 
-    /// Follows what another instance hears from the store: at once what this one lacks, then each change.
+    /// Subscribes to the store state that another instance knows. The stream first yields what is newer than `have`,
+    /// then each change.
     ///
-    /// The stream ends with an error; dropping it ends it for the other too.
+    /// If the stream fails, its last item is an error. Dropping it cancels the call at the other instance.
     pub async fn follow_world(
         &self,
         from: &Member,
@@ -310,21 +324,21 @@
         let news = client
             .follow_world(have)
             .await
-            .map_err(|status| no_answer(from, &status))?;
+            .map_err(|status| call_error(from, &status))?;
         let from = from.clone();
-        let read = move |news: Result<wire::WorldNews, tonic::Status>| {
-            let news = news.map_err(|status| no_answer(&from, &status))?;
+        let from_wire = move |news: Result<wire::WorldNews, tonic::Status>| {
+            let news = news.map_err(|status| call_error(&from, &status))?;
             world_news_from_wire(&news).ok_or_else(|| MeshError::Malformed {
                 instance: from.id.clone(),
             })
         };
-        Ok(news.into_inner().map(read).boxed())
+        Ok(news.into_inner().map(from_wire).boxed())
     }
 }
 
-pub(super) fn no_answer(member: &Member, status: &tonic::Status) -> MeshError {
+pub(super) fn call_error(member: &Member, status: &tonic::Status) -> MeshError {
     if matches!(status.code(), Code::DeadlineExceeded | Code::Cancelled) {
-        return MeshError::Late {
+        return MeshError::TimedOut {
             instance: member.id.clone(),
         };
     }
@@ -342,14 +356,14 @@
 ) {
     let service = MeshServer::with_interceptor(service, check_token(keys.clone()));
     let Ok(listener) = listener.into_std() else {
-        log::error!("the socket for other instances cannot be moved to the traffic threads");
+        log::error!("cannot move the fleet listener to the traffic threads");
         return;
     };
     traffic.spawn(async move {
         let listener = match TcpListener::from_std(listener) {
             Ok(listener) => listener,
             Err(error) => {
-                log::error!("the socket for other instances cannot be used: {error}");
+                log::error!("cannot use the fleet listener: {error}");
                 return;
             }
         };
@@ -358,7 +372,7 @@
             .add_service(service)
             .serve_with_incoming(incoming);
         if let Err(error) = served.await {
-            log::error!("serving other instances ended: {error}");
+            log::error!("fleet server stopped: {error}");
         }
     });
 }
--- a/crates/tc-fleet/src/mesh/limits.rs
+++ b/crates/tc-fleet/src/mesh/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that upstreams announce, as instances tell each other of them.
+//! Rate limits announced by upstreams, and their exchange between instances.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -13,23 +13,23 @@
 
 use crate::{convert, generated as wire};
 
-/// Limits in one datagram at most.
-const LIMITS_PER_DATAGRAM: usize = 4;
-/// Limits in one report to a home at most.
-const LIMITS_PER_REPORT: usize = 16;
-/// Limits in one ask for an engine at most.
-const LIMITS_PER_ASK: usize = 32;
-/// Announcements up to this age go into reports to homes. Longer than the gathering of reports.
-const REPORTED_AGE: Duration = Duration::from_secs(1);
+/// Maximum number of limits in a datagram.
+const MAX_LIMITS_PER_DATAGRAM: usize = 4;
+/// Maximum number of limits in a report to a home.
+const MAX_LIMITS_PER_REPORT: usize = 16;
+/// Maximum number of limits in an engine request.
+const MAX_LIMITS_PER_REQUEST: usize = 32;
+/// Maximum age of announcements included in reports to homes. Longer than the interval over which reports are batched.
+const MAX_REPORTED_AGE: Duration = Duration::from_secs(1);
 
-/// The rate limits known to this instance, from answers and from other instances.
+/// The rate limits known to this instance, from answers of upstreams and from other instances.
 #[derive(Debug, Default)]
 pub struct UpstreamLimits {
     known: Mutex<KnownLimits>,
 }
 
 impl UpstreamLimits {
-    /// Records what an answer of the upstream announced.
+    /// Records the limit announced in an answer of the upstream.
     pub fn observe(&self, upstream: &UpstreamId, announced: AnnouncedLimit) {
         let limit = match announced {
             AnnouncedLimit::None => None,
@@ -38,12 +38,12 @@
                 Some(limit)
             }
             AnnouncedLimit::Unreadable => {
-                log::warn!(upstream = upstream.as_str(); "upstream limit unreadable");
+                log::warn!(upstream = upstream.as_str(); "cannot read the rate limit announced by an upstream");
                 return;
             }
         };
         let mut known = self.lock();
-        if let Some(change) = known.observe(upstream, limit, MonoTime::now()) {
+        if let Some(change) = known.record(upstream, limit, MonoTime::now()) {
             log_change(&known, upstream, change, "answer");
         }
     }
@@ -54,7 +54,7 @@
         self.lock().get(upstream)
     }
 
-    /// Returns a number that rises with each change of a limit.
+    /// Returns a counter that increases with each change of a limit.
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.lock().changes()
@@ -67,45 +67,49 @@
         metrics::gauge!("tc_upstream_limits").set(known.limited() as f64);
     }
 
-    /// Takes up what another instance told.
-    pub(super) fn receive<'a>(&self, news: impl IntoIterator<Item = &'a wire::UpstreamLimit>) {
-        let mut news = news.into_iter().filter_map(limit_from_wire).peekable();
-        if news.peek().is_none() {
+    /// Records limits received from another instance.
+    pub(super) fn receive<'a>(&self, updates: impl IntoIterator<Item = &'a wire::UpstreamLimit>) {
+        let mut updates = updates.into_iter().filter_map(limit_from_wire).peekable();
+        if updates.peek().is_none() {
             return;
         }
         let now = MonoTime::now();
         let mut known = self.lock();
-        for news in news {
-            let at = now.before(news.age);
-            if let Some(change) = known.observe(&news.upstream, news.limit, at) {
-                log_change(&known, &news.upstream, change, "instance");
+        for update in updates {
+            let at = now.before(update.age);
+            if let Some(change) = known.record(&update.upstream, update.limit, at) {
+                log_change(&known, &update.upstream, change, "instance");
             }
         }
     }
 
-    /// Returns limits for the next datagram.
+    /// Returns the limits to add to the next datagram.
     pub(super) fn to_gossip(&self) -> Vec<wire::UpstreamLimit> {
-        let news = self.lock().to_gossip(MonoTime::now(), LIMITS_PER_DATAGRAM);
-        news.iter().map(limit_to_wire).collect()
+        let updates = self
+            .lock()
+            .to_gossip(MonoTime::now(), MAX_LIMITS_PER_DATAGRAM);
+        updates.iter().map(limit_to_wire).collect()
     }
 
-    /// Returns limits for a report to a home.
+    /// Returns the limits to add to a report to a home.
     pub(super) fn to_report(&self) -> Vec<wire::UpstreamLimit> {
         let now = MonoTime::now();
-        let news = self.lock().recent(now, REPORTED_AGE, LIMITS_PER_REPORT);
-        news.iter().map(limit_to_wire).collect()
+        let updates = self
+            .lock()
+            .recent(now, MAX_REPORTED_AGE, MAX_LIMITS_PER_REPORT);
+        updates.iter().map(limit_to_wire).collect()
     }
 
-    /// Returns limits for an ask, which the home goes by even if it has just started.
-    pub(super) fn to_ask(&self) -> Vec<wire::UpstreamLimit> {
-        let news = self.lock().in_force(MonoTime::now(), LIMITS_PER_ASK);
-        news.iter().map(limit_to_wire).collect()
+    /// Returns the limits to add to an engine request, so that a home that has just started knows them too.
+    pub(super) fn to_engine_request(&self) -> Vec<wire::UpstreamLimit> {
+        let updates = self.lock().active(MonoTime::now(), MAX_LIMITS_PER_REQUEST);
+        updates.iter().map(limit_to_wire).collect()
     }
 
-    /// Returns the limit of an engine that an asker is to use.
-    pub(super) fn to_asker(&self, upstream: &UpstreamId) -> Option<wire::UpstreamLimit> {
-        let news = self.lock().news_of(MonoTime::now(), upstream);
-        news.as_ref().map(limit_to_wire)
+    /// Returns the limit to add to the reply to an engine request that selected this engine.
+    pub(super) fn for_engine(&self, upstream: &UpstreamId) -> Option<wire::UpstreamLimit> {
+        let update = self.lock().update_of(MonoTime::now(), upstream);
+        update.as_ref().map(limit_to_wire)
     }
 
     fn lock(&self) -> MutexGuard<'_, KnownLimits> {
@@ -115,26 +119,26 @@
 
 fn log_change(known: &KnownLimits, upstream: &UpstreamId, change: LimitChange, source: &str) {
     metrics::gauge!("tc_upstream_limits").set(known.limited() as f64);
-    log::info!(upstream = upstream.as_str(), source = source, per_s = change.after.map(RateLimit::per_s), before_per_s = change.before.map(RateLimit::per_s); "upstream limit changed");
+    log::info!(upstream = upstream.as_str(), source = source, per_s = change.after.map(RateLimit::per_s), before_per_s = change.before.map(RateLimit::per_s); "rate limit of an upstream changed");
 }
 
-fn limit_to_wire(news: &RateLimitUpdate) -> wire::UpstreamLimit {
+fn limit_to_wire(update: &RateLimitUpdate) -> wire::UpstreamLimit {
     wire::UpstreamLimit {
-        upstream: news.upstream.to_string(),
-        per_s: news.limit.map(RateLimit::per_s),
-        age_ms: convert::millis(news.age),
+        upstream: update.upstream.to_string(),
+        per_s: update.limit.map(RateLimit::per_s),
+        age_ms: convert::millis(update.age),
     }
 }
 
-/// Returns `None` for a rate that is none.
-fn limit_from_wire(news: &wire::UpstreamLimit) -> Option<RateLimitUpdate> {
-    let limit = match news.per_s {
+/// Returns `None` if the rate is invalid.
+fn limit_from_wire(update: &wire::UpstreamLimit) -> Option<RateLimitUpdate> {
+    let limit = match update.per_s {
         Some(per_s) => Some(RateLimit::new(per_s)?),
         None => None,
     };
     Some(RateLimitUpdate {
-        upstream: news.upstream.as_str().into(),
+        upstream: update.upstream.as_str().into(),
         limit,
-        age: convert::from_millis(news.age_ms),
+        age: convert::from_millis(update.age_ms),
     })
 }
--- a/crates/tc-fleet/src/mesh/service.rs
+++ b/crates/tc-fleet/src/mesh/service.rs
@@ -1,4 +1,4 @@
-//! What other instances may call here.
+//! gRPC service of the mesh, called by other instances.
 
 use std::sync::Arc;
 
@@ -16,8 +16,8 @@
     actor::{Introduced, MeshMsg},
     limits::UpstreamLimits,
     messages::{
-        PiecesAnswer, answer_to_wire, ask_from_wire, choice_to_wire, engine_ask_from_wire, handles,
-        news_from_wire, outlook_to_wire,
+        PiecesAnswer, choice_to_wire, engine_request_from_wire, outlook_to_wire,
+        pieces_answer_to_wire, results_from_wire, run_report_from_wire, stage_request_from_wire,
     },
     world_news::{WorldHave, WorldNews, world_news_to_wire},
 };
@@ -32,34 +32,34 @@
     suspects::SuspectTable,
 };
 
-/// Chooses an engine for a prompt; `None` when none is known.
+/// Chooses an engine for a prompt. Returns `None` if no engine is known.
 pub type ChooseEngine = dyn Fn(&EngineRequest) -> Option<EngineChoice> + Send + Sync;
-/// Takes up what became of runs of a service.
+/// Handles progress reports of runs of a service.
 pub type TellRuns = dyn Fn(&ServiceName, &[RunReport]) + Send + Sync;
 
-/// Tells how the home of a service stands; `None` if it is not here.
+/// Returns the load of a service's home, or `None` if the home is not here.
 pub type TellOutlook = dyn Fn(&ServiceName) -> Option<HomeOutlook> + Send + Sync;
 
-/// What this instance does for others. Futures that are dropped cancel what they stand for.
+/// Handlers of calls from other instances. Dropping a returned future cancels its operation.
 pub struct MeshHandlers {
-    /// Makes the pieces of a stage as the home of its service.
+    /// Processes the pieces of a stage as the home of its service.
     pub make_pieces: Box<dyn Fn(StageRequest) -> BoxFuture<'static, PiecesAnswer> + Send + Sync>,
-    /// How the home of a service stands, if it is here.
+    /// Returns the load of a service's home, if it is here.
     pub outlook: Box<TellOutlook>,
-    /// Gives up results.
+    /// Frees results that are no longer needed.
     pub free_results: Box<dyn Fn(Vec<ResultHandle>) + Send + Sync>,
     /// Chooses an engine as the home of its service.
     pub choose_engine: Box<ChooseEngine>,
-    /// Takes up what became of runs whose engines were chosen here.
+    /// Handles progress reports of runs whose engines were chosen here.
     pub tell_runs: Box<TellRuns>,
-    /// Tells of the store: at once what the asker lacks, then each change, until the stream is dropped.
-    pub world: Box<dyn Fn(WorldHave) -> BoxStream<'static, WorldNews> + Send + Sync>,
+    /// Streams the state of the store: first what is newer than the given revisions, then each change.
+    pub follow_world: Box<dyn Fn(WorldHave) -> BoxStream<'static, WorldNews> + Send + Sync>,
 }
 
-/// The service; cheap to clone.
+/// Implementation of the gRPC service, cheap to clone.
 #[derive(Clone)]
 pub(super) struct Service {
-    pub(super) node: ActorRef<MeshMsg>,
+    pub(super) actor: ActorRef<MeshMsg>,
     pub(super) handlers: Arc<MeshHandlers>,
     pub(super) suspects: Arc<SuspectTable>,
     pub(super) limits: Arc<UpstreamLimits>,
@@ -76,20 +76,20 @@
             .ok_or_else(|| Status::invalid_argument("the introduction has no member"))?;
         let introduced = Introduced {
             other,
-            view: introduction.view,
+            view_digest: introduction.view,
             known: introduction.known.into_iter().collect(),
             only_announces: introduction.only_announces,
         };
         let (reply, answer) = oneshot::channel();
         let _ = self
-            .node
+            .actor
             .cast(MeshMsg::Introduced(Box::new(introduced), reply));
-        let lacking = answer
+        let missing = answer
             .await
             .map_err(|_| Status::unavailable("this instance is stopping"))?;
-        let same_view = lacking.is_none();
-        let lacking = lacking.unwrap_or_default();
-        let members = lacking.iter().map(convert::record_to_wire).collect();
+        let same_view = missing.is_none();
+        let missing = missing.unwrap_or_default();
+        let members = missing.iter().map(convert::record_to_wire).collect();
         Ok(Response::new(MemberList { members, same_view }))
     }
 
@@ -97,9 +97,9 @@
         &self,
         req: Request<PiecesAskMessage>,
     ) -> Result<Response<WireAnswer>, Status> {
-        let ask = ask_from_wire(&req.into_inner());
-        let answer = (self.handlers.make_pieces)(ask).await;
-        Ok(Response::new(answer_to_wire(answer)))
+        let request = stage_request_from_wire(&req.into_inner());
+        let answer = (self.handlers.make_pieces)(request).await;
+        Ok(Response::new(pieces_answer_to_wire(answer)))
     }
 
     async fn tell_outlook(
@@ -117,7 +117,7 @@
         &self,
         req: Request<FreeResultsMessage>,
     ) -> Result<Response<FreeResultsAnswer>, Status> {
-        (self.handlers.free_results)(handles(&req.into_inner().results));
+        (self.handlers.free_results)(results_from_wire(&req.into_inner().results));
         Ok(Response::new(FreeResultsAnswer {}))
     }
 
@@ -127,11 +127,11 @@
     ) -> Result<Response<EngineChoiceMessage>, Status> {
         let message = req.into_inner();
         self.limits.receive(&message.limits);
-        let ask = engine_ask_from_wire(&message);
-        let choice = (self.handlers.choose_engine)(&ask);
+        let request = engine_request_from_wire(&message);
+        let choice = (self.handlers.choose_engine)(&request);
         let limit = choice
             .as_ref()
-            .and_then(|choice| self.limits.to_asker(&choice.upstream));
+            .and_then(|choice| self.limits.for_engine(&choice.upstream));
         Ok(Response::new(choice_to_wire(choice, limit)))
     }
 
@@ -141,8 +141,8 @@
     ) -> Result<Response<RunNewsAnswer>, Status> {
         let message = req.into_inner();
         self.limits.receive(&message.limits);
-        let news: Vec<RunReport> = message.news.iter().map(news_from_wire).collect();
-        (self.handlers.tell_runs)(&message.service.as_str().into(), &news);
+        let reports: Vec<RunReport> = message.news.iter().map(run_report_from_wire).collect();
+        (self.handlers.tell_runs)(&message.service.as_str().into(), &reports);
         Ok(Response::new(RunNewsAnswer {}))
     }
 
@@ -150,7 +150,9 @@
         &self,
         req: Request<SuspectReport>,
     ) -> Result<Response<SuspectAnswer>, Status> {
-        let answer = self.suspects.answer(MonoTime::now(), &req.into_inner());
+        let answer = self
+            .suspects
+            .handle_report(MonoTime::now(), &req.into_inner());
         Ok(Response::new(answer))
     }
 
@@ -161,7 +163,7 @@
         req: Request<WireHave>,
     ) -> Result<Response<Self::FollowWorldStream>, Status> {
         let have = req.into_inner();
-        let news = (self.handlers.world)(WorldHave {
+        let news = (self.handlers.follow_world)(WorldHave {
             config_version: have.config_version,
             upstreams_revision: have.upstreams_revision,
             evacuated_revision: have.evacuated_revision,
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What the node knows, and how a view is made of it.
+//! State of the node actor, from which the fleet view is built.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -16,7 +16,7 @@
 
 use super::{
     VersionCell,
-    table::{self, UpstreamMarks},
+    table::{self, LeavingUpstreams},
 };
 use crate::{
     config, convert,
@@ -30,10 +30,10 @@
     suspects::{SUSPECTS_PER_DATAGRAM, SuspectTable},
 };
 
-/// Summaries of own homes put into one datagram at most.
+/// Maximum number of summaries added to a datagram, for upstreams that have their home here.
 const SUMMARIES_PER_DATAGRAM: usize = 6;
 
-/// What the node shares with other parts.
+/// State that the node actor shares with the rest of the process.
 #[derive(Clone)]
 pub(crate) struct NodeParts {
     pub(crate) view: Arc<ArcSwap<FleetView>>,
@@ -44,10 +44,10 @@
     pub(crate) held: Arc<HeldTable>,
     pub(crate) limits: Arc<WorkspaceLimiter>,
     pub(crate) suspects: Arc<SuspectTable>,
-    /// Upstreams drained by operators, as last read.
+    /// Upstreams drained by operators, as last read from the store.
     pub(crate) drained: Arc<ArcSwap<BTreeSet<UpstreamId>>>,
     pub(crate) store: Store,
-    /// Version of the configuration object last seen at the platform; 0 before the first.
+    /// Version of the configuration object last read from the platform; 0 before the first read.
     pub(crate) config_version: VersionCell,
     pub(crate) socket: GossipSocket,
 }
@@ -56,15 +56,15 @@
     pub(crate) me: Member,
     pub(crate) parts: NodeParts,
     pub(crate) membership: Membership,
-    pub(crate) spread: ConfigPuller,
-    pub(crate) pause: PauseDetector,
-    pub(crate) object: Arc<ConfigObject>,
+    pub(crate) config_puller: ConfigPuller,
+    pub(crate) pause_detector: PauseDetector,
+    pub(crate) config_object: Arc<ConfigObject>,
     pub(crate) config: Arc<FleetConfig>,
-    pub(crate) list: InstanceList,
-    pub(crate) marks: UpstreamMarks,
+    pub(crate) instance_list: InstanceList,
+    pub(crate) leaving_upstreams: LeavingUpstreams,
     pub(crate) next_summary: usize,
     pub(crate) superseded_by: Option<Incarnation>,
-    states: HashMap<InstanceId, MemberState>,
+    member_states: HashMap<InstanceId, MemberState>,
 }
 
 impl NodeState {
@@ -72,45 +72,45 @@
         me: Member,
         parts: NodeParts,
         membership: Membership,
-        spread: ConfigPuller,
-        pause: PauseDetector,
+        config_puller: ConfigPuller,
+        pause_detector: PauseDetector,
     ) -> Self {
         Self {
             me,
             parts,
             membership,
-            spread,
-            pause,
-            object: Arc::default(),
+            config_puller,
+            pause_detector,
+            config_object: Arc::default(),
             config: Arc::default(),
-            list: InstanceList::default(),
-            marks: UpstreamMarks::default(),
+            instance_list: InstanceList::default(),
+            leaving_upstreams: LeavingUpstreams::default(),
             next_summary: 0,
             superseded_by: None,
-            states: HashMap::new(),
+            member_states: HashMap::new(),
         }
     }
 
-    /// Sends membership messages, with this instance's summaries and suspects on them.
+    /// Sends membership messages with summaries and suspects piggybacked.
     pub(crate) fn send(&mut self, outgoing: Vec<Outgoing>) {
         for out in outgoing {
             let mut datagram = convert::message_to_wire(&out.message);
-            self.piggyback(&mut datagram);
+            self.add_piggyback(&mut datagram);
             self.parts.socket.send(out.to, &datagram);
         }
     }
 
-    fn piggyback(&mut self, datagram: &mut Datagram) {
+    fn add_piggyback(&mut self, datagram: &mut Datagram) {
         let now = MonoTime::now();
         let known = self.parts.known.load();
-        let mine: Vec<&UpstreamId> = known
+        let own_upstreams: Vec<&UpstreamId> = known
             .iter()
-            .filter(|(_, k)| k.mine)
+            .filter(|(_, k)| k.homed_here)
             .map(|(id, _)| id)
             .collect();
-        for _ in 0..mine.len().min(SUMMARIES_PER_DATAGRAM) {
+        for _ in 0..own_upstreams.len().min(SUMMARIES_PER_DATAGRAM) {
             self.next_summary = self.next_summary.wrapping_add(1);
-            let id = mine[self.next_summary % mine.len()];
+            let id = own_upstreams[self.next_summary % own_upstreams.len()];
             let Some(cell) = self.parts.summaries.cell(id) else {
                 continue;
             };
@@ -123,49 +123,54 @@
         datagram.suspects = self.parts.suspects.to_gossip(now, SUSPECTS_PER_DATAGRAM);
     }
 
-    /// Takes up what rides on a datagram.
-    pub(crate) fn take_piggyback(&mut self, now: MonoTime, datagram: &Datagram) {
+    /// Applies the summaries and suspects piggybacked on a datagram.
+    pub(crate) fn apply_piggyback(&mut self, now: MonoTime, datagram: &Datagram) {
         for summary in &datagram.summaries {
             let load = convert::summary_from_wire(summary);
             let summaries = &self.parts.summaries;
             summaries.store(now, &summary.upstream, &load, summary.leaving);
             summaries.note_incarnation(&summary.upstream, Incarnation(summary.incarnation));
         }
-        self.parts.suspects.heard(now, &datagram.suspects);
+        self.parts.suspects.note_gossiped(now, &datagram.suspects);
     }
 
-    /// Puts a configuration in force if it is valid and newer; returns whether it was.
-    pub(crate) fn apply(&mut self, object: ConfigObject) -> bool {
-        if object.revision <= self.spread.active_revision() {
-            self.spread.activate(object.revision);
+    /// Activates a configuration if it is valid and newer than the active one. Returns whether it was activated.
+    pub(crate) fn apply_config(&mut self, object: ConfigObject) -> bool {
+        if object.revision <= self.config_puller.active_revision() {
+            self.config_puller.activate(object.revision);
             return false;
         }
-        match config::read(&object) {
+        match config::parse(&object) {
             Ok(config) => {
-                if !self.spread.activate(object.revision) {
+                if !self.config_puller.activate(object.revision) {
                     return false;
                 }
                 log::info!(revision = object.revision; "configuration in force");
                 metrics::gauge!("tc_config_revision").set(object.revision as f64);
                 self.config = Arc::new(config);
                 self.membership.set_revision(object.revision);
-                self.object = Arc::new(object);
+                self.config_object = Arc::new(object);
                 true
             }
             Err(error) => {
                 log::error!(revision = object.revision; "configuration rejected, the last valid one stays in force: {error}");
                 metrics::counter!("tc_config_rejected_total").increment(1);
-                self.spread.reject(object.revision);
+                self.config_puller.reject(object.revision);
                 false
             }
         }
     }
 
-    /// Publishes the view anew and tells everyone who acts on it.
+    /// Publishes a new view and updates the limits, suspects and homes that depend on it.
     pub(crate) fn publish(&mut self, now: MonoTime) {
         let members: Arc<[Member]> = self.membership.members().into();
-        self.note_state_changes(&members);
-        let table = table::build(&self.config, &self.list, &self.marks, &members);
+        self.handle_state_changes(&members);
+        let table = table::build(
+            &self.config,
+            &self.instance_list,
+            &self.leaving_upstreams,
+            &members,
+        );
         let known = Arc::new(table::for_homes(&table, &self.config, &self.me.id));
         self.parts.summaries.set_upstreams(known.keys());
         self.parts.known.store(Arc::clone(&known));
@@ -182,58 +187,61 @@
             store: self.parts.store.health(),
         });
         self.parts.view.store(Arc::clone(&view));
-        self.parts.limits.set_fleet(&view);
+        self.parts.limits.update(&view);
         let crashes = self.config.policy.crashes_to_quarantine;
         self.parts.suspects.set_crashes_to_quarantine(now, crashes);
-        let _ = self.parts.homes.cast(HomesMsg::Assign(known));
-        self.announce_moved(now, &view);
+        let _ = self.parts.homes.cast(HomesMsg::SetUpstreams(known));
+        self.announce_moved_permits(now, &view);
     }
 
-    /// Lets go of instances that are gone, and of asks waiting at suspect ones.
-    fn note_state_changes(&mut self, members: &[Member]) {
+    /// Handles members whose state has changed since the last call. Members missing from the list count as dead.
+    fn handle_state_changes(&mut self, members: &[Member]) {
         let mut states = HashMap::with_capacity(members.len());
         for member in members {
             if member.id == self.me.id {
                 continue;
             }
-            let before = self.states.get(&member.id).copied();
+            let before = self.member_states.get(&member.id).copied();
             if before != Some(member.state) {
-                self.state_changed(&member.id, member.state);
+                self.handle_state_change(&member.id, member.state);
             }
             states.insert(member.id.clone(), member.state);
         }
         let gone: Vec<InstanceId> = self
-            .states
+            .member_states
             .keys()
             .filter(|id| !states.contains_key(*id))
             .cloned()
             .collect();
         for id in gone {
-            self.state_changed(&id, MemberState::Dead);
+            self.handle_state_change(&id, MemberState::Dead);
         }
-        self.states = states;
+        self.member_states = states;
     }
 
-    fn state_changed(&mut self, id: &InstanceId, state: MemberState) {
+    fn handle_state_change(&mut self, id: &InstanceId, state: MemberState) {
         log::info!(instance = id.as_str(); "instance is {state:?}");
         match state {
             MemberState::Dead => {
-                self.parts.peers.give_up_asks(id);
+                self.parts.peers.fail_pending_asks(id);
                 self.parts.peers.forget(id);
-                self.spread.remove_peer(id);
-                let _ = self.parts.homes.cast(HomesMsg::EntryGone(id.clone()));
+                self.config_puller.remove_peer(id);
+                let _ = self.parts.homes.cast(HomesMsg::RemoveEntry(id.clone()));
             }
-            MemberState::Suspect => self.parts.peers.give_up_asks(id),
+            MemberState::Suspect => self.parts.peers.fail_pending_asks(id),
             MemberState::Alive | MemberState::Leaving => {}
         }
     }
 
-    fn announce_moved(&self, now: MonoTime, view: &FleetView) {
+    fn announce_moved_permits(&self, now: MonoTime, view: &FleetView) {
         for moved in self.parts.held.rehome(now, view) {
             let upstream = moved.upstream;
             let held = moved.permit;
             if moved.home == self.me.id {
-                let _ = self.parts.homes.cast(HomesMsg::Held { upstream, held });
+                let _ = self
+                    .parts
+                    .homes
+                    .cast(HomesMsg::AdoptPermit { upstream, held });
             } else if let Some(member) = view.member(&moved.home) {
                 self.parts
                     .peers
--- a/crates/tc-fleet/src/server.rs
+++ b/crates/tc-fleet/src/server.rs
@@ -1,4 +1,4 @@
-//! What other instances may call here.
+//! gRPC service of the fleet, called by other instances.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -19,36 +19,36 @@
         ShareGrants, ShareReport, SuspectAnswer, SuspectReport, fleet_server::Fleet,
         permit_reply::Verdict,
     },
-    homes::{HomeAnswer, HomeAsk, HomeVerdict, HomesMsg, ReplyTo},
+    homes::{HomeAnswer, HomeRequest, HomeVerdict, HomesMsg, ReplyTo},
     key::TOKEN_HEADER,
     node::{NodeMsg, NodeParts},
-    orders::OrderDesk,
+    orders::OrderRelay,
     peers::unused_release,
     summary::SummaryTable,
 };
 
-/// Answers in one batch at most.
-const BATCH: usize = 64;
-/// Batches waiting for a slow entry before the home waits for it.
-const BATCHES_WAITING: usize = 16;
+/// Maximum number of replies in a batch.
+const MAX_BATCH_REPLIES: usize = 64;
+/// Maximum number of batches queued for a slow entry. Beyond it, replies stay in the unbounded channel.
+const MAX_QUEUED_BATCHES: usize = 16;
 
-/// Gives the JSON of an explanation kept here, or of this instance's report.
-pub(crate) type JsonOf<Q> = Box<dyn Fn(Q) -> BoxFuture<'static, Option<String>> + Send + Sync>;
+/// Returns the JSON of an explanation stored here, or of this instance's report.
+pub(crate) type JsonSource<Q> = Box<dyn Fn(Q) -> BoxFuture<'static, Option<String>> + Send + Sync>;
 
-/// The service; cheap to clone.
+/// Implementation of the gRPC service, cheap to clone.
 #[derive(Clone)]
 pub(crate) struct FleetService(pub(crate) Arc<ServiceParts>);
 
-/// What the service answers from.
+/// State and functions that the service uses.
 pub(crate) struct ServiceParts {
     pub(crate) parts: NodeParts,
     pub(crate) node: ActorRef<NodeMsg>,
-    pub(crate) orders: Arc<OrderDesk>,
-    pub(crate) explain: JsonOf<RequestId>,
-    pub(crate) report: JsonOf<()>,
+    pub(crate) orders: Arc<OrderRelay>,
+    pub(crate) explain: JsonSource<RequestId>,
+    pub(crate) report: JsonSource<()>,
 }
 
-/// Refuses calls without the fleet's token.
+/// Returns an interceptor that rejects calls without a valid fleet token.
 pub(crate) fn check_token(
     keys: FleetKeys,
 ) -> impl FnMut(Request<()>) -> Result<Request<()>, Status> + Clone {
@@ -57,7 +57,7 @@
             .metadata()
             .get(TOKEN_HEADER)
             .map(|token| token.as_bytes().to_vec());
-        if token.is_some_and(|token| keys.token_fits(&token)) {
+        if token.is_some_and(|token| keys.verify_token(&token)) {
             return Ok(req);
         }
         metrics::counter!("tc_fleet_calls_refused_total").increment(1);
@@ -80,7 +80,8 @@
         let homes = self.0.parts.homes.clone();
         tokio::spawn(read_batches(req.into_inner(), homes, answers));
         let batches =
-            ReceiverStream::new(batched(to_wire, Arc::clone(&self.0.parts.summaries))).map(Ok);
+            ReceiverStream::new(batch_replies(to_wire, Arc::clone(&self.0.parts.summaries)))
+                .map(Ok);
         Ok(Response::new(Box::pin(batches)))
     }
 
@@ -102,7 +103,7 @@
             .and_then(convert::record_from_wire);
         let newcomer =
             newcomer.ok_or_else(|| Status::invalid_argument("the introduction has no member"))?;
-        let _ = self.0.node.cast(NodeMsg::Learn(vec![newcomer]));
+        let _ = self.0.node.cast(NodeMsg::MergeRecords(vec![newcomer]));
         let records = ask(&self.0.node, NodeMsg::Records).await?;
         let members = records.iter().map(convert::record_to_wire).collect();
         Ok(Response::new(MemberList {
@@ -117,7 +118,7 @@
             .0
             .parts
             .limits
-            .answer(MonoTime::now(), &view, &req.into_inner());
+            .handle_report(MonoTime::now(), &view, &req.into_inner());
         Ok(Response::new(grants))
     }
 
@@ -129,7 +130,7 @@
             .0
             .parts
             .suspects
-            .answer(MonoTime::now(), &req.into_inner());
+            .handle_report(MonoTime::now(), &req.into_inner());
         Ok(Response::new(answer))
     }
 
@@ -143,14 +144,14 @@
     }
 
     async fn pass_order(&self, req: Request<OrderPass>) -> Result<Response<OrderAnswer>, Status> {
-        Ok(Response::new(self.0.orders.pass(req.into_inner()).await))
+        Ok(Response::new(self.0.orders.relay(req.into_inner()).await))
     }
 
     async fn leave(&self, req: Request<LeaveOrder>) -> Result<Response<LeaveAnswer>, Status> {
         let message = if req.into_inner().leave {
             NodeMsg::Leave
         } else {
-            NodeMsg::Stay
+            NodeMsg::CancelLeave
         };
         let _ = self.0.node.cast(message);
         Ok(Response::new(LeaveAnswer {}))
@@ -165,7 +166,7 @@
     }
 }
 
-/// Asks the node actor; fails only while this instance stops.
+/// Sends a request to the node actor and waits for the reply. Fails only while this instance is stopping.
 pub(crate) async fn ask<T>(
     node: &ActorRef<NodeMsg>,
     question: impl FnOnce(oneshot::Sender<T>) -> NodeMsg,
@@ -177,17 +178,17 @@
         .map_err(|_| Status::unavailable("this instance is stopping"))
 }
 
-struct Numbered {
+struct AskReply {
     ask: u64,
     upstream: UpstreamId,
     answer: Option<HomeAnswer>,
 }
 
-/// Hands an entry's asks and releases to the homes until its stream ends.
+/// Forwards an entry's asks and releases to the homes until its stream ends.
 async fn read_batches(
     mut batches: Streaming<EntryBatch>,
     homes: ActorRef<HomesMsg>,
-    answers: mpsc::UnboundedSender<Numbered>,
+    answers: mpsc::UnboundedSender<AskReply>,
 ) {
     while let Ok(Some(batch)) = batches.message().await {
         let entry = InstanceId::from(batch.from.as_str());
@@ -199,31 +200,31 @@
         for held in &batch.held {
             let upstream = held.upstream.as_str().into();
             let held = convert::held_from_wire(&entry, held);
-            let _ = homes.cast(HomesMsg::Held { upstream, held });
+            let _ = homes.cast(HomesMsg::AdoptPermit { upstream, held });
         }
         for ask in batch.cancelled_asks {
             let entry = entry.clone();
             let _ = homes.cast(HomesMsg::Cancel {
                 upstream: None,
                 entry,
-                ask,
+                number: ask,
             });
         }
         for ask in &batch.asks {
-            pass_ask(&homes, &entry, ask, &answers);
+            forward_ask(&homes, &entry, ask, &answers);
         }
     }
 }
 
-fn pass_ask(
+fn forward_ask(
     homes: &ActorRef<HomesMsg>,
     entry: &InstanceId,
     ask: &PermitAsk,
-    answers: &mpsc::UnboundedSender<Numbered>,
+    answers: &mpsc::UnboundedSender<AskReply>,
 ) {
     let upstream = UpstreamId::from(ask.upstream.as_str());
     let number = ask.ask;
-    let waiting = Numbered {
+    let waiting = AskReply {
         ask: number,
         upstream: upstream.clone(),
         answer: None,
@@ -233,29 +234,29 @@
         let _ = to_entry.send(waiting);
     });
     let reply = reply_to(homes.clone(), upstream.clone(), number, answers.clone());
-    let ask = home_ask(entry, ask);
-    let _ = homes.cast(HomesMsg::Ask {
+    let ask = home_ask_from_wire(entry, ask);
+    let _ = homes.cast(HomesMsg::RequestPermit {
         upstream,
-        ask,
+        request: ask,
         on_queued,
         reply,
     });
 }
 
-/// Puts the answer on the stream; a grant for an entry that is gone is taken back.
+/// Returns a function that sends the answer on the stream. If the stream has ended, a granted permit is released.
 fn reply_to(
     homes: ActorRef<HomesMsg>,
     upstream: UpstreamId,
     ask: u64,
-    answers: mpsc::UnboundedSender<Numbered>,
+    answers: mpsc::UnboundedSender<AskReply>,
 ) -> ReplyTo {
     Box::new(move |answer| {
-        let numbered = Numbered {
+        let ask_reply = AskReply {
             ask,
             upstream,
             answer: Some(answer),
         };
-        let Err(mpsc::error::SendError(lost)) = answers.send(numbered) else {
+        let Err(mpsc::error::SendError(lost)) = answers.send(ask_reply) else {
             return;
         };
         if let Some(HomeVerdict::Granted { permit, .. }) = lost.answer.map(|a| a.verdict) {
@@ -268,16 +269,16 @@
     })
 }
 
-/// Gathers what is ready into batches, so that one write carries many answers under load and none waits.
-fn batched(
-    mut answers: mpsc::UnboundedReceiver<Numbered>,
-    loads: Arc<SummaryTable>,
+/// Collects the replies that are ready into batches. Under load one write carries many of them, and none is delayed.
+fn batch_replies(
+    mut answers: mpsc::UnboundedReceiver<AskReply>,
+    table: Arc<SummaryTable>,
 ) -> mpsc::Receiver<HomeBatch> {
-    let (to_wire, batches) = mpsc::channel(BATCHES_WAITING);
+    let (to_wire, batches) = mpsc::channel(MAX_QUEUED_BATCHES);
     tokio::spawn(async move {
-        let mut ready = Vec::with_capacity(BATCH);
-        while answers.recv_many(&mut ready, BATCH).await > 0 {
-            let batch = batch_of(ready.drain(..), &loads);
+        let mut ready = Vec::with_capacity(MAX_BATCH_REPLIES);
+        while answers.recv_many(&mut ready, MAX_BATCH_REPLIES).await > 0 {
+            let batch = build_batch(ready.drain(..), &table);
             let bytes = batch.encoded_len() as u64;
             metrics::counter!("tc_fleet_stream_bytes_total", "role" => "home").increment(bytes);
             if to_wire.send(batch).await.is_err() {
@@ -288,28 +289,28 @@
     batches
 }
 
-fn batch_of(answers: impl Iterator<Item = Numbered>, loads: &SummaryTable) -> HomeBatch {
+fn build_batch(answers: impl Iterator<Item = AskReply>, table: &SummaryTable) -> HomeBatch {
     let mut batch = HomeBatch::default();
     let mut summaries = HashMap::new();
-    for numbered in answers {
-        let verdict = match &numbered.answer {
+    for ask_reply in answers {
+        let verdict = match &ask_reply.answer {
             Some(answer) => {
-                summaries.insert(numbered.upstream.clone(), (answer.summary, answer.leaving));
+                summaries.insert(ask_reply.upstream.clone(), (answer.summary, answer.leaving));
                 verdict_to_wire(&answer.verdict)
             }
             None => Verdict::Queued(QueuedAsk {}),
         };
         batch.replies.push(PermitReply {
-            ask: numbered.ask,
+            ask: ask_reply.ask,
             verdict: Some(verdict),
         });
     }
-    // A verdict in the same batch makes the "queued" before it needless.
-    drop_answered(&mut batch.replies);
+    // A verdict in the same batch makes the preceding "queued" redundant.
+    drop_superseded(&mut batch.replies);
     batch.summaries = summaries
         .iter()
         .map(|(id, (summary, leaving))| {
-            let incarnation = loads
+            let incarnation = table
                 .cell(id)
                 .map(|cell| cell.incarnation())
                 .unwrap_or_default();
@@ -319,21 +320,21 @@
     batch
 }
 
-fn drop_answered(replies: &mut Vec<PermitReply>) {
-    let decided: std::collections::HashSet<u64> = replies
+fn drop_superseded(replies: &mut Vec<PermitReply>) {
+    let answered: std::collections::HashSet<u64> = replies
         .iter()
         .filter(|reply| !matches!(reply.verdict, Some(Verdict::Queued(_))))
         .map(|reply| reply.ask)
         .collect();
     replies.retain(|reply| {
-        !matches!(reply.verdict, Some(Verdict::Queued(_))) || !decided.contains(&reply.ask)
+        !matches!(reply.verdict, Some(Verdict::Queued(_))) || !answered.contains(&reply.ask)
     });
 }
 
-fn home_ask(entry: &InstanceId, ask: &PermitAsk) -> HomeAsk {
-    HomeAsk {
+fn home_ask_from_wire(entry: &InstanceId, ask: &PermitAsk) -> HomeRequest {
+    HomeRequest {
         entry: entry.clone(),
-        ask: ask.ask,
+        number: ask.ask,
         workspace: ask.workspace.as_str().into(),
         weight: ask.weight,
         priority: ask.priority.min(7) as u8,
@@ -368,7 +369,7 @@
             reason,
             retry_after,
         } => Verdict::Refused(RefusedAsk {
-            reason: convert::reason_number(*reason),
+            reason: convert::reason_to_wire(*reason),
             retry_after_ms: convert::millis(*retry_after),
         }),
     }
--- a/crates/tc-gateway/src/budgets.rs
+++ b/crates/tc-gateway/src/budgets.rs
@@ -1,4 +1,4 @@
-//! This instance's share of the fleet's budget for sending requests again.
+//! This instance's share of the fleet-wide retry budget.
 
 use std::{
     collections::HashMap,
@@ -8,52 +8,52 @@
 use tc_policy::{RetryBudget, RetryLimits};
 use tc_protocol::{MonoTime, ServiceName};
 
-use crate::settings::RepeatSettings;
+use crate::settings::RetryBudgetSettings;
 
-/// Part of the budget that is used. The rest covers instances whose lists of members differ for a moment, and
-/// requests that are counted by the instance that got them while their repeats are not.
-const USED_PART: f64 = 0.8;
+/// Fraction of the budget that is used. The rest covers instances whose member lists differ for a moment, and
+/// requests counted by the instance that received them while their retries are not.
+const USED_FRACTION: f64 = 0.8;
 
-/// Budgets by service.
+/// Retry budgets by service.
 ///
-/// Each instance takes its own requests' share and an equal part of what is allowed besides, so that the sum over
-/// all of them keeps the fleet's budget with nothing to be agreed.
-pub(crate) struct RepeatBudgets {
-    settings: RepeatSettings,
+/// Each instance may retry a fraction of its own requests, plus an equal part of the fixed extra allowance. The sum
+/// over all instances stays within the fleet-wide budget without coordination.
+pub(crate) struct RetryBudgets {
+    settings: RetryBudgetSettings,
     by_service: Mutex<HashMap<ServiceName, RetryBudget>>,
 }
 
-impl RepeatBudgets {
-    pub(crate) fn new(settings: RepeatSettings) -> Self {
+impl RetryBudgets {
+    pub(crate) fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
             by_service: Mutex::default(),
         }
     }
 
-    /// The share of one of `instances` instances.
+    /// Returns the limits of one out of `instances` instances.
     pub(crate) fn share(&self, instances: usize) -> RetryLimits {
         RetryLimits {
-            ratio: self.settings.ratio * USED_PART,
-            extra: self.settings.extra * USED_PART / instances.max(1) as f64,
+            ratio: self.settings.ratio * USED_FRACTION,
+            extra: self.settings.extra * USED_FRACTION / instances.max(1) as f64,
             window: self.settings.window,
         }
     }
 
-    /// The budget of the one instance that calls a service's upstreams for all.
+    /// Returns the limits of the one instance that calls the upstreams of a service for all.
     ///
-    /// For a moment there may be two such instances, so it takes half.
-    pub(crate) fn of_home(&self) -> RetryLimits {
+    /// While the home moves there may be two such instances, so each takes half.
+    pub(crate) fn home_share(&self) -> RetryLimits {
         self.share(2)
     }
 
-    pub(crate) fn note_request(&self, service: &ServiceName, instances: usize) {
+    pub(crate) fn record_request(&self, service: &ServiceName, instances: usize) {
         self.with(service, instances, |budget| {
             budget.record_request(MonoTime::now());
         });
     }
 
-    /// Takes one repeat if the budget allows it.
+    /// Spends one retry if the budget allows it.
     pub(crate) fn try_spend(&self, service: &ServiceName, instances: usize) -> bool {
         self.with(service, instances, |budget| {
             budget.try_spend(MonoTime::now())
@@ -64,7 +64,7 @@
         &self,
         service: &ServiceName,
         instances: usize,
-        act: impl FnOnce(&mut RetryBudget) -> T,
+        action: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let limits = self.share(instances);
         let mut budgets = self
@@ -75,6 +75,6 @@
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(limits));
         budget.set_limits(limits);
-        act(budget)
+        action(budget)
     }
 }
--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -1,4 +1,4 @@
-//! What other instances may ask of this one, and how results go back to those who count their room.
+//! Handlers of calls from other instances, and the release of results that are no longer needed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,38 +8,39 @@
 
 use crate::{
     engines::EngineHomes,
-    homes::{BatchHomes, GivenUp},
-    world::{WorldCell, tell_world},
+    homes::{BatchHomes, ReleaseQueue},
+    world::{WorldCell, relay_world},
 };
 
-/// What this instance does for others.
+/// Returns the handlers of calls from other instances.
 pub(crate) fn mesh_handlers(
-    beat: Duration,
+    heartbeat_interval: Duration,
     homes: &Arc<BatchHomes>,
     engines: &Arc<EngineHomes>,
     world: &Arc<WorldCell>,
 ) -> Arc<MeshHandlers> {
-    let choosers = Arc::clone(engines);
-    let told = Arc::clone(engines);
-    let makers = Arc::clone(homes);
-    let freers = Arc::clone(homes);
-    let standing = Arc::clone(homes);
+    let engines_for_choice = Arc::clone(engines);
+    let engines_for_news = Arc::clone(engines);
+    let homes_for_pieces = Arc::clone(homes);
+    let homes_for_freeing = Arc::clone(homes);
+    let homes_for_outlooks = Arc::clone(homes);
     let world = Arc::clone(world);
     Arc::new(MeshHandlers {
         make_pieces: Box::new(move |ask| {
-            let homes = Arc::clone(&makers);
+            let homes = Arc::clone(&homes_for_pieces);
             async move { homes.make_pieces(ask).await }.boxed()
         }),
-        outlook: Box::new(move |service| standing.outlook(service)),
-        free_results: Box::new(move |results| freers.free_results(&results)),
-        choose_engine: Box::new(move |ask| choosers.choose(ask)),
-        tell_runs: Box::new(move |service, news| told.note(service, news)),
-        world: Box::new(move |have| tell_world(&world, have, beat)),
+        outlook: Box::new(move |service| homes_for_outlooks.outlook(service)),
+        free_results: Box::new(move |results| homes_for_freeing.free_results(&results)),
+        choose_engine: Box::new(move |ask| engines_for_choice.choose(ask)),
+        tell_runs: Box::new(move |service, news| engines_for_news.record(service, news)),
+        follow_world: Box::new(move |have| relay_world(&world, have, heartbeat_interval)),
     })
 }
 
-/// Results go back through the home of their service; without it, straight to their makers.
-pub(crate) async fn free_results(given_up: GivenUp, mesh: Mesh, homes: Arc<BatchHomes>) {
+/// Releases results through the home of their service or, without another home, directly at the
+/// upstreams that hold them.
+pub(crate) async fn free_results(release_queue: ReleaseQueue, mesh: Mesh, homes: Arc<BatchHomes>) {
     let free = move |service: ServiceName, results: Vec<ResultHandle>| {
         let (mesh, homes) = (mesh.clone(), Arc::clone(&homes));
         async move {
@@ -50,10 +51,10 @@
                 return;
             };
             if let Err(error) = mesh.free_results(&home, &results).await {
-                log::debug!(error = error.to_string().as_str(); "the home of results cannot be told");
+                log::debug!(error = error.to_string().as_str(); "the home of the results could not be told to free them");
                 homes.free_results(&results);
             }
         }
     };
-    given_up.gather(free).await;
+    release_queue.for_each_batch(free).await;
 }
--- a/crates/tc-gateway/src/lib.rs
+++ b/crates/tc-gateway/src/lib.rs
@@ -1,14 +1,15 @@
-//! Routed requests: a caller's request is passed on to an upstream of its route's service, after the stages that the
-//! route names, and the upstream's answer comes back as it is.
+//! Routing of requests: forwards a caller's request to an upstream of its route's service, after
+//! the stages that the route defines, and returns the upstream's response unchanged.
 //!
-//! The rules, limits, retries and recovery live here. How headers, configuration and the store spell things is told
-//! by [`Edges`], plain functions that the crate speaking to the outside provides.
+//! This crate contains the rules, limits, retries and recovery. The formats of headers,
+//! configuration and store objects are defined by [`PlatformCodec`], a set of functions provided by the
+//! crate that handles external interfaces.
 
 mod backoffs;
 mod budgets;
 mod call;
+mod codec;
 mod cold;
-mod edges;
 mod engines;
 mod events;
 mod freeze;
@@ -24,17 +25,18 @@
 mod start;
 mod stop;
 mod unknown_headers;
-mod upstreams;
+mod upstream_stats;
 mod world;
 
 pub use call::{
-    AnnouncedBackoff, AnswerHead, CallHead, HeadError, Lifecycle, Taken, UpstreamHead, UpstreamLoad,
+    Acceptance, AnnouncedBackoff, AnswerHead, HeadError, Lifecycle, RequestHead, UpstreamLoad,
+    UpstreamRequestHead,
 };
-pub use edges::{DirectoryQuestion, Edges, StoreKinds};
+pub use codec::{DirectoryQuery, PlatformCodec, StoreKinds};
 pub use events::{Event, EventSplitter};
 pub use freeze::{SuspendedTime, suspended_time};
 pub use routing::{RouteTable, RouteTableError};
-pub use serve::MetricsText;
-pub use settings::{ColdAllowance, GatewaySettings, RepeatSettings};
+pub use serve::MetricsRenderer;
+pub use settings::{ColdAllowance, GatewaySettings, RetryBudgetSettings};
 pub use start::{Gateway, GatewayError, run};
-pub use world::{TakenUp, UpstreamTable};
+pub use world::{ApplyOutcome, UpstreamTable};
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -1,106 +1,106 @@
-//! One send of a request to an upstream.
+//! Sends a request to an upstream and checks its answer.
 
 use std::{sync::Arc, time::Duration};
 
 use http::{Request, Uri, uri::PathAndQuery};
 use http_body_util::Full;
 use tc_protocol::{RunState, UpstreamId, routing::RegisteredUpstream};
-use tc_upstream::{CallError, CallErrorKind, RawCall, RawReply};
+use tc_upstream::{CallError, CallErrorKind, RawCall, RawResponse};
 use tokio::time::Instant;
 
 use super::{Refusal, RoutedRequest, RunContext, stages::StageResults, target::Target};
 use crate::{
-    call::{AnswerHead, Taken, UpstreamHead},
+    call::{Acceptance, AnswerHead, UpstreamRequestHead},
     engines::EngineRun,
-    upstreams::{CallHealth, InFlight},
+    upstream_stats::{CallOutcome, InFlight},
 };
 
-/// A request with less time left is not sent any more: no upstream could answer it.
-const LEAST_TIME: Duration = Duration::from_millis(10);
+/// A request with less time left is not sent: no upstream could answer in time.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// Sends of one request that upstreams may turn away before it is given up. What was turned away has not run, so it does not
-/// count towards the runs that its route allows; but each one is a repeat that the others' budget lacks, and an upstream that
-/// is full tells that its peers soon are.
-const MOST_TURNED_AWAY: u32 = 3;
+/// Number of times that upstreams may refuse a request before the gateway gives up. A refused request has not run, so
+/// it does not count towards the attempts that its route allows. Each repeat still uses retry budget that other
+/// requests may need, and when one upstream is full its peers are likely to be full soon.
+const MAX_REFUSED_SENDS: u32 = 3;
 
-/// What was learnt from sends of one request so far.
+/// State of the attempts of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
-    /// Sends that left this process and may have run.
+    /// Attempts that were sent and may have run.
     pub(super) sent: u32,
-    /// Sends that an upstream turned away without having run the request.
-    turned_away: u32,
-    /// Whether any send may have run.
+    /// Attempts that an upstream refused without running the request.
+    refused: u32,
+    /// Whether any attempt may have run.
     pub(super) may_have_run: bool,
-    /// Upstreams not to be tried again.
+    /// Upstreams that are not tried again.
     pub(super) tried: Vec<UpstreamId>,
-    /// Whether the next send is a repeat of one that reached an upstream.
-    arrived: bool,
-    /// Whom the send in progress is for.
-    current: Option<UpstreamId>,
+    /// Whether an earlier attempt reached an upstream, so that the next one uses retry budget.
+    reached_upstream: bool,
+    /// The upstream of the attempt in progress.
+    current_upstream: Option<UpstreamId>,
 }
 
-/// Why a send brought no answer that can be used.
+/// Why an attempt produced no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendFailure {
-    /// It has not run there.
+    /// The upstream did not run the request.
     NotRun,
-    /// It has not run there because its inputs are gone.
+    /// The upstream did not run the request because results that it reads are gone.
     InputGone,
-    /// It may have run.
-    Unknown,
+    /// The upstream may have run the request.
+    MayHaveRun,
     /// No upstream is left to try.
     NoUpstream,
-    /// Upstreams that are left announce rate limits that are used up; the time until one takes another request.
-    Limited(Duration),
+    /// The remaining upstreams are at their announced rate limits; the time until one takes another request.
+    RateLimited(Duration),
     /// Upstreams of the service have requested backoffs; the time until the first one expires.
     BackingOff(Duration),
-    /// No time is left.
-    NoTime,
+    /// The time of the request is used up.
+    TimedOut,
 }
 
 /// What is wrong with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Spoilt {
-    /// It ended before its end, as when the upstream crashes.
-    Broke,
-    /// It is too late, too large, or another's.
-    Wrong,
+pub(super) enum AnswerFault {
+    /// The connection broke before the answer was complete, as when the upstream crashes.
+    Broken,
+    /// The answer is too late, too large, or belongs to another request.
+    Invalid,
 }
 
-impl From<&CallError> for Spoilt {
+impl From<&CallError> for AnswerFault {
     fn from(error: &CallError) -> Self {
         match error.kind {
-            CallErrorKind::Broken => Self::Broke,
-            _ => Self::Wrong,
+            CallErrorKind::Broken => Self::Broken,
+            _ => Self::Invalid,
         }
     }
 }
 
-/// An answer whose head was checked.
+/// An answer whose headers were checked and whose body is still to be read.
 pub(super) struct Answered {
-    pub(super) reply: RawReply,
+    pub(super) reply: RawResponse,
     pub(super) head: AnswerHead,
     pub(super) upstream: Arc<RegisteredUpstream>,
     pub(super) sent_at: Instant,
-    /// Counts the call as in progress while the answer is read.
+    /// Counts the call as in progress while the body is read.
     pub(super) in_flight: InFlight,
-    /// The run at an engine that a home chose.
+    /// The run on an engine that a home chose.
     pub(super) run: Option<EngineRun>,
 }
 
-/// What is sent besides the request.
+/// What an attempt adds to the request itself.
 #[derive(Clone, Copy, Default)]
-pub(super) struct SendWith<'a> {
-    /// What the request's stages left; `None` for routes without stages.
+pub(super) struct SendOptions<'a> {
+    /// Results of the request's stages; `None` for routes without stages.
     pub(super) results: Option<&'a StageResults>,
     pub(super) resume_after: Option<u64>,
-    /// Ends the send before the request's own time.
-    pub(super) limit: Option<Duration>,
+    /// Limits the attempt to less than the request's remaining time.
+    pub(super) timeout: Option<Duration>,
 }
 
 impl Attempts {
-    /// Whether the request may be sent once more after a failure.
+    /// Returns whether the request may be sent again after a failure, and spends retry budget if that is needed.
     pub(super) fn may_send_again(
         &mut self,
         cx: &RunContext,
@@ -109,111 +109,115 @@
     ) -> bool {
         let allowed = match failure {
             SendFailure::NotRun | SendFailure::InputGone => true,
-            SendFailure::Unknown => req.route.kind.allows_retry(),
+            SendFailure::MayHaveRun => req.route.kind.allows_retry(),
             SendFailure::NoUpstream
-            | SendFailure::Limited(_)
+            | SendFailure::RateLimited(_)
             | SendFailure::BackingOff(_)
-            | SendFailure::NoTime => false,
+            | SendFailure::TimedOut => false,
         };
-        let is_used_up =
-            self.sent >= req.route.max_attempts || self.turned_away >= MOST_TURNED_AWAY;
-        if !allowed || is_used_up || req.time_left() < LEAST_TIME {
+        let is_used_up = self.sent >= req.route.max_attempts || self.refused >= MAX_REFUSED_SENDS;
+        if !allowed || is_used_up || req.time_left() < MIN_TIME_LEFT {
             return false;
         }
-        !self.arrived || cx.budgets.try_spend(&req.service, cx.instances())
+        !self.reached_upstream || cx.budgets.try_spend(&req.service, cx.instances())
     }
 
-    /// What to tell the caller when nothing more is tried.
+    /// Returns the refusal for the caller when no further attempt is made.
     pub(super) fn refusal(&self, req: &RoutedRequest, failure: SendFailure) -> Refusal {
         if self.may_have_run {
-            return if req.time_left() < LEAST_TIME {
+            return if req.time_left() < MIN_TIME_LEFT {
                 Refusal::timed_out()
             } else {
-                Refusal::unknown("an upstream broke off and may have run the request")
+                Refusal::outcome_unknown("an upstream broke off and may have run the request")
             };
         }
         match failure {
-            SendFailure::NoUpstream => Refusal::not_run_now("no upstream of the service is known"),
-            SendFailure::Limited(wait) => {
+            SendFailure::NoUpstream => {
+                Refusal::not_run_transient("no upstream of the service is known")
+            }
+            SendFailure::RateLimited(wait) => {
                 Refusal::not_run("upstreams of the service are at their rate limit", wait)
             }
             SendFailure::BackingOff(wait) => {
                 Refusal::not_run("upstreams of the service have asked for a rest", wait)
             }
-            SendFailure::NoTime => Refusal::timed_out(),
-            SendFailure::InputGone => Refusal::not_run_now("results of a stage were lost"),
-            SendFailure::NotRun | SendFailure::Unknown => {
-                Refusal::not_run_now("no upstream took the request")
+            SendFailure::TimedOut => Refusal::timed_out(),
+            SendFailure::InputGone => Refusal::not_run_transient("results of a stage were lost"),
+            SendFailure::NotRun | SendFailure::MayHaveRun => {
+                Refusal::not_run_transient("no upstream took the request")
             }
         }
     }
 
-    /// Sends the request to the upstream that suits best and waits for the head of its answer.
+    /// Sends the request to the most suitable upstream and waits for the headers of its answer.
     pub(super) async fn send(
         &mut self,
         cx: &RunContext,
         req: &RoutedRequest,
-        with: SendWith<'_>,
+        options: SendOptions<'_>,
     ) -> Result<Answered, SendFailure> {
         let time_left = req.time_left();
-        if time_left < LEAST_TIME {
-            return Err(SendFailure::NoTime);
+        if time_left < MIN_TIME_LEFT {
+            return Err(SendFailure::TimedOut);
         }
-        cx.world.read_anew().await;
-        let mut target = self.choose(cx, req, with.results).await?;
+        cx.world.wait_until_fresh().await;
+        let mut target = self.choose(cx, req, options.results).await?;
         let upstream = Arc::clone(&target.upstream);
-        let remaining = with.limit.map_or(time_left, |limit| limit.min(time_left));
+        let remaining = options
+            .timeout
+            .map_or(time_left, |timeout| timeout.min(time_left));
         let call = RawCall {
             upstream: upstream.id.clone(),
             address: upstream.address,
-            request: request_to(cx, req, &target, &with),
+            request: request_to(cx, req, &target, &options),
             remaining,
             reuse: false,
         };
         let sent_at = Instant::now();
         self.sent += 1;
-        self.current = Some(upstream.id.clone());
+        self.current_upstream = Some(upstream.id.clone());
         let exchanged = cx.client.exchange_raw(call).await;
         let reply = match exchanged {
             Ok(reply) => reply,
             Err(error) => {
                 let not_run = error.run_state == RunState::NotRun;
-                log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), not_run = not_run, error = error.to_string().as_str(), after_ms = sent_at.elapsed().as_millis() as u64; "a send brought no answer");
+                log::info!(request = &*req.head.request, upstream = upstream.id.as_str(), not_run = not_run, error = error.to_string().as_str(), after_ms = sent_at.elapsed().as_millis() as u64; "no answer from upstream");
                 if error.kind == CallErrorKind::Broken {
-                    broke_under(cx, req, &upstream.id);
+                    report_crash(cx, req, &upstream.id);
                 }
-                cx.book.note(&upstream.id, CallHealth::Failed);
+                cx.upstream_stats.record(&upstream.id, CallOutcome::Failed);
                 if let Some(run) = &mut target.run {
                     run.failed();
                 }
                 self.tried.push(upstream.id.clone());
-                return Err(self.unanswered(not_run));
+                return Err(self.record_send_error(not_run));
             }
         };
-        self.arrived = true;
+        self.reached_upstream = true;
         let answered = Answered {
-            head: (cx.edges.read_answer)(&reply.head),
+            head: (cx.codec.read_answer)(&reply.head),
             reply,
             upstream,
             sent_at,
             in_flight: target.in_flight,
             run: target.run,
         };
-        self.check(cx, req, answered)
+        self.check_answer(cx, req, answered)
     }
 
-    fn unanswered(&mut self, not_run: bool) -> SendFailure {
+    fn record_send_error(&mut self, not_run: bool) -> SendFailure {
         if not_run {
             self.sent -= 1;
             return SendFailure::NotRun;
         }
-        self.arrived = true;
+        self.reached_upstream = true;
         self.may_have_run = true;
-        SendFailure::Unknown
+        SendFailure::MayHaveRun
     }
 
-    /// Tells answers that belong to this request and are genuine from all others.
-    fn check(
+    /// Records what the headers of an answer announce, and accepts the answer only if it is genuine and belongs to
+    /// this request.
+    fn check_answer(
         &mut self,
         cx: &RunContext,
         req: &RoutedRequest,
@@ -222,29 +226,29 @@
         let head = &answered.head;
         let id = &answered.upstream.id;
         if let Some(load) = head.load {
-            cx.book.note_load(id, load);
+            cx.upstream_stats.record_load(id, load);
         }
-        cx.unknown_headers.record(id, &head.unknown);
+        cx.unknown_headers.record(id, &head.unknown_headers);
         if head.announces_leaving() {
             cx.world.mark_leaving(id);
         }
-        if let Some(announced) = head.limit_news(answered.reply.head.status) {
+        if let Some(announced) = head.announced_limit(answered.reply.head.status) {
             cx.limits.limits().observe(id, announced);
         }
         cx.backoffs.observe(id, head);
-        if head.taken != Taken::Yes {
+        if head.acceptance != Acceptance::Yes {
             let status = answered.reply.head.status.as_u16();
-            log::info!(request = &*req.head.request, upstream = id.as_str(), status = status, taken = format!("{:?}", head.taken).as_str(); "an upstream did not take a request");
-            cx.book.note(id, CallHealth::Full);
+            log::info!(request = &*req.head.request, upstream = id.as_str(), status = status, taken = format!("{:?}", head.acceptance).as_str(); "request refused by upstream");
+            cx.upstream_stats.record(id, CallOutcome::Full);
             self.tried.push(id.clone());
             self.sent -= 1;
-            self.turned_away += 1;
-            if head.taken != Taken::InputGone
+            self.refused += 1;
+            if head.acceptance != Acceptance::InputGone
                 && let Some(run) = &mut answered.run
             {
                 run.failed();
             }
-            return Err(if head.taken == Taken::InputGone {
+            return Err(if head.acceptance == Acceptance::InputGone {
                 SendFailure::InputGone
             } else {
                 SendFailure::NotRun
@@ -257,64 +261,64 @@
         let is_genuine = head.sealed && !head.encoded;
         let is_success = answered.reply.head.status.is_success();
         if !is_ours || (is_success && !is_genuine) {
-            log::warn!(request = &*req.head.request, upstream = id.as_str(), ours = is_ours, sealed = head.sealed, encoded = head.encoded; "an answer is not this request's or not genuine");
-            return Err(self.spoilt(cx, req, id, Spoilt::Wrong));
+            log::warn!(request = &*req.head.request, upstream = id.as_str(), ours = is_ours, sealed = head.sealed, encoded = head.encoded; "answer rejected: it belongs to another request or is not genuine");
+            return Err(self.record_faulty_answer(cx, req, id, AnswerFault::Invalid));
         }
         Ok(answered)
     }
 
-    /// The next send goes to another upstream than the last one.
-    pub(super) fn leave_out_current(&mut self) {
-        self.tried.extend(self.current.take());
+    /// Excludes the upstream of the current attempt from later ones.
+    pub(super) fn exclude_current(&mut self) {
+        self.tried.extend(self.current_upstream.take());
     }
 
-    /// A send was given up while its answer was awaited.
-    pub(super) fn gave_up_waiting(&mut self, cx: &RunContext) {
-        self.arrived = true;
+    /// Records that an attempt timed out while its answer was awaited.
+    pub(super) fn record_timeout(&mut self, cx: &RunContext) {
+        self.reached_upstream = true;
         self.may_have_run = true;
-        if let Some(id) = self.current.take() {
-            cx.book.note(&id, CallHealth::Failed);
+        if let Some(id) = self.current_upstream.take() {
+            cx.upstream_stats.record(&id, CallOutcome::Failed);
             self.tried.push(id);
         }
     }
 
-    /// The upstream ran the request, but its answer cannot be used.
-    pub(super) fn spoilt(
+    /// Records an answer that cannot be used; the upstream may have run the request.
+    pub(super) fn record_faulty_answer(
         &mut self,
         cx: &RunContext,
         req: &RoutedRequest,
         id: &UpstreamId,
-        how: Spoilt,
+        fault: AnswerFault,
     ) -> SendFailure {
-        if how == Spoilt::Broke {
-            broke_under(cx, req, id);
+        if fault == AnswerFault::Broken {
+            report_crash(cx, req, id);
         }
-        cx.book.note(id, CallHealth::Failed);
+        cx.upstream_stats.record(id, CallOutcome::Failed);
         self.tried.push(id.clone());
         self.may_have_run = true;
-        SendFailure::Unknown
+        SendFailure::MayHaveRun
     }
 }
 
-/// An upstream may have crashed of the request it ran.
-fn broke_under(cx: &RunContext, req: &RoutedRequest, upstream: &UpstreamId) {
+/// Reports that an upstream broke the connection while it ran the request, which may have crashed it.
+fn report_crash(cx: &RunContext, req: &RoutedRequest, upstream: &UpstreamId) {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
     cx.mesh
-        .broke_under(input, &req.service, &workspace, upstream.clone());
+        .record_crash(input, &req.service, &workspace, upstream.clone());
 }
 
 fn request_to(
     cx: &RunContext,
     req: &RoutedRequest,
     target: &Target,
-    with: &SendWith<'_>,
+    options: &SendOptions<'_>,
 ) -> Request<Full<bytes::Bytes>> {
-    let own = UpstreamHead {
+    let own = UpstreamRequestHead {
         remaining: req.time_left(),
         upstream: &target.upstream.id,
         workspace: req.workspace.as_ref().map(|w| &w.name),
-        inputs: with.results.map(|results| &*results.inputs),
-        resume_after: with.resume_after.or(req.head.resume_after),
+        inputs: options.results.map(|results| &*results.inputs),
+        resume_after: options.resume_after.or(req.head.resume_after),
         fetch_from: target.fetch_from,
     };
     let path = req.parts.uri.path_and_query();
@@ -322,6 +326,6 @@
     let mut request = Request::new(Full::new(req.body.clone()));
     *request.method_mut() = req.parts.method.clone();
     *request.uri_mut() = Uri::from(path);
-    *request.headers_mut() = (cx.edges.upstream_headers)(&req.parts.headers, &own);
+    *request.headers_mut() = (cx.codec.upstream_headers)(&req.parts.headers, &own);
     request
 }
--- a/crates/tc-gateway/src/run/outlooks.rs
+++ b/crates/tc-gateway/src/run/outlooks.rs
@@ -1,20 +1,20 @@
-//! What the stages' homes last told, shared by all requests of this instance.
+//! Latest outlooks reported by the homes of batch services, shared by all requests of this instance.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use tc_policy::{ChainQuery, ExpectedStageTimes, HomeOutlook, StageOutlooks};
 use tc_protocol::{MonoTime, ServiceName};
 
-/// See [`StageOutlooks`].
+/// Thread-safe [`StageOutlooks`].
 #[derive(Debug, Default)]
 pub(crate) struct SharedOutlooks(Mutex<StageOutlooks>);
 
 impl SharedOutlooks {
-    pub(crate) fn note(&self, service: &ServiceName, home: HomeOutlook) {
+    pub(crate) fn record(&self, service: &ServiceName, home: HomeOutlook) {
         self.lock().record(MonoTime::now(), service, home);
     }
 
-    pub(crate) fn expect(&self, request: &ChainQuery<'_>) -> ExpectedStageTimes {
+    pub(crate) fn estimate(&self, request: &ChainQuery<'_>) -> ExpectedStageTimes {
         self.lock().estimate(MonoTime::now(), request)
     }
 
--- a/crates/tc-gateway/src/run/target.rs
+++ b/crates/tc-gateway/src/run/target.rs
@@ -1,4 +1,4 @@
-//! Choice of the upstream that a request is sent to.
+//! Chooses the upstream that a request is sent to.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,32 +12,33 @@
     stages::StageResults,
 };
 use crate::{
-    engines::{EngineRun, ask_for_engine},
-    upstreams::InFlight,
+    engines::{EngineRun, request_engine},
+    upstream_stats::InFlight,
 };
 
-/// The upstream for one send.
+/// The upstream for one attempt.
 pub(super) struct Target {
     pub(super) upstream: Arc<RegisteredUpstream>,
     pub(super) in_flight: InFlight,
-    /// Another engine from which it fetches kept parts of the prompt.
+    /// Another engine from which the upstream fetches cached parts of the prompt.
     pub(super) fetch_from: Option<SocketAddr>,
-    /// The run at an engine that a home chose.
+    /// The run on an engine that a home chose.
     pub(super) run: Option<EngineRun>,
 }
 
 impl Attempts {
-    /// Chooses the upstream for the next send: by the service's home if it has one, else by what this instance knows.
+    /// Chooses the upstream for the next attempt: through the home of the service if it has one, otherwise from what
+    /// this instance knows.
     pub(super) async fn choose(
         &self,
         cx: &RunContext,
         req: &RoutedRequest,
         results: Option<&StageResults>,
     ) -> Result<Target, SendFailure> {
-        if let Some(ask) = self.engine_ask(cx, req, results)
-            && let Some(chosen) = ask_for_engine(cx, &req.head.request, &ask).await
+        if let Some(engine_request) = self.engine_request(cx, req, results)
+            && let Some(chosen) = request_engine(cx, &req.head.request, &engine_request).await
         {
-            let in_flight = cx.book.count(&chosen.upstream.id);
+            let in_flight = cx.upstream_stats.begin_call(&chosen.upstream.id);
             return Ok(Target {
                 upstream: chosen.upstream,
                 in_flight,
@@ -45,11 +46,11 @@
                 run: Some(chosen.run),
             });
         }
-        self.choose_here(cx, req, results)
+        self.choose_locally(cx, req, results)
     }
 
-    /// Builds the ask for the home of a model service; `None` for requests without a prompt.
-    fn engine_ask(
+    /// Builds the engine request for the home of a model service; `None` for requests without a prompt.
+    fn engine_request(
         &self,
         cx: &RunContext,
         req: &RoutedRequest,
@@ -64,7 +65,7 @@
             service: req.service.clone(),
             prompt,
             inputs: results
-                .map(|results| results.lie_in.clone())
+                .map(|results| results.bytes_by_domain.clone())
                 .unwrap_or_default(),
             excluded: self
                 .tried
@@ -77,8 +78,8 @@
         })
     }
 
-    /// Chooses by what this instance knows itself.
-    fn choose_here(
+    /// Chooses from what this instance knows itself.
+    fn choose_locally(
         &self,
         cx: &RunContext,
         req: &RoutedRequest,
@@ -87,7 +88,7 @@
         let world = cx.world.load();
         let all = world.upstreams.of_service(req.service.as_str());
         let affinity_key = req.head.prompt.as_ref().and_then(Prompt::shared_prefix_id);
-        let wish = PickPreference {
+        let preference = PickPreference {
             affinity_key,
             domain: results.and_then(StageResults::largest_domain),
             tie_breaker: xxh3_64(req.head.request.as_bytes()),
@@ -105,11 +106,13 @@
             };
             cx.backoffs.remaining(&upstream.id).is_none() && within_limits()
         };
-        let chosen = cx.book.choose(all, &self.tried, admits, &wish);
-        let (upstream, in_flight) = chosen.ok_or_else(|| self.nobody_left(cx, all))?;
+        let chosen = cx
+            .upstream_stats
+            .choose(all, &self.tried, admits, &preference);
+        let (upstream, in_flight) = chosen.ok_or_else(|| self.no_upstream_reason(cx, all))?;
         cx.limits.record(&upstream.id);
         if let Some(service) = service {
-            cx.cold.note(service, &upstream.id);
+            cx.cold.record(service, &upstream.id);
         }
         Ok(Target {
             upstream,
@@ -120,7 +123,7 @@
     }
 
     /// Returns why no upstream of `all` could be chosen.
-    fn nobody_left(&self, cx: &RunContext, all: &[Arc<RegisteredUpstream>]) -> SendFailure {
+    fn no_upstream_reason(&self, cx: &RunContext, all: &[Arc<RegisteredUpstream>]) -> SendFailure {
         let working = all.iter().filter(|upstream| upstream.takes_work());
         let (backing_off, others): (Vec<_>, Vec<_>) = working
             .map(|upstream| &upstream.id)
@@ -133,7 +136,7 @@
             .min();
         match (limited, backoff) {
             (Some(wait), Some(backoff)) if backoff < wait => SendFailure::BackingOff(backoff),
-            (Some(wait), _) => SendFailure::Limited(wait),
+            (Some(wait), _) => SendFailure::RateLimited(wait),
             (None, Some(backoff)) => SendFailure::BackingOff(backoff),
             (None, None) => SendFailure::NoUpstream,
         }
--- a/crates/tc-gateway/src/serve/mod.rs
+++ b/crates/tc-gateway/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Listening: callers' connections, and the small questions that other listeners answer.
+//! Serving of callers' requests and of the readiness, directory and metrics endpoints.
 
 mod accept;
 mod callers;
@@ -7,4 +7,4 @@
 pub(crate) use accept::{ConnectionLimits, Connections, accept};
 pub(crate) use callers::CallerService;
 pub(crate) use info::InfoService;
-pub use info::MetricsText;
+pub use info::MetricsRenderer;
--- a/crates/tc-gateway/src/world/config.rs
+++ b/crates/tc-gateway/src/world/config.rs
@@ -1,4 +1,4 @@
-//! A configuration in force.
+//! The active configuration.
 
 use std::sync::Arc;
 
@@ -8,31 +8,35 @@
     routing::{RoutedService, RoutingConfig},
 };
 
-use crate::{edges::Edges, routing::RouteTable};
+use crate::{codec::PlatformCodec, routing::RouteTable};
 
-/// A valid configuration, ready to be used.
-pub(crate) struct ConfigInForce {
+/// A validated configuration with its routing table.
+pub(crate) struct ActiveConfig {
     pub(crate) routing: RoutingConfig,
     pub(crate) routes: RouteTable,
-    /// As it lies in the store, to be handed on.
+    /// The stored value, relayed unchanged to other instances.
     pub(crate) raw: Arc<Value>,
-    /// The store's revision of its object.
+    /// Revision of the configuration object in the store.
     pub(crate) revision: u64,
-    /// When this instance decoded the configuration.
-    pub(crate) read_at: MonoTime,
+    /// Time at which this instance decoded the configuration.
+    pub(crate) decoded_at: MonoTime,
 }
 
-impl ConfigInForce {
-    /// Decodes and checks a configuration; the error says what is wrong with it.
-    pub(crate) fn read(edges: &Edges, raw: &Arc<Value>, revision: u64) -> Result<Self, String> {
-        let routing = (edges.read_config)(raw)?;
+impl ActiveConfig {
+    /// Decodes and validates a configuration, or returns a description of what is invalid.
+    pub(crate) fn decode(
+        codec: &PlatformCodec,
+        raw: &Arc<Value>,
+        revision: u64,
+    ) -> Result<Self, String> {
+        let routing = (codec.read_config)(raw)?;
         let routes = RouteTable::new(&routing).map_err(|error| error.to_string())?;
         Ok(Self {
             routing,
             routes,
             raw: Arc::clone(raw),
             revision,
-            read_at: MonoTime::now(),
+            decoded_at: MonoTime::now(),
         })
     }
 
--- a/crates/tc-gateway/src/world/evacuated.rs
+++ b/crates/tc-gateway/src/world/evacuated.rs
@@ -1,40 +1,41 @@
-//! The failure domains that operators have evacuated.
+//! Failure domains that operators have evacuated.
 //!
-//! An entry of the store named like a failure domain asks that nothing new be sent to the upstreams there for as long as the
-//! entry lies there. Only its name counts: what else is in it is for those who read it. A name that no upstream's domain
-//! bears changes nothing until one registers there.
+//! A store entry with the name of a failure domain excludes the upstreams of that domain from new
+//! requests for as long as the entry exists. Only the name matters; the content is informational. A
+//! name that matches no registered upstream's domain has no effect until one registers there.
 
 use tc_fleet::EvacuatedDomains;
 use tc_platform::Purpose;
 
 use super::{
     WorldPart,
-    kind_watch::{Seen, WATCH_WAIT},
+    kind_watch::{KindUpdate, WATCH_WAIT},
     watch::{GatedWatch, WatchContext},
 };
 
-/// Keeps the evacuated failure domains up to date; runs until it is dropped.
+/// Keeps the evacuated failure domains up to date until the future is dropped.
 ///
-/// A change counts at once: there are few, and those that come together concern domains, not single upstreams.
+/// Changes are applied at once, without batching: they are rare, and simultaneous changes concern
+/// whole domains rather than single upstreams.
 pub(crate) async fn watch_evacuations(cx: WatchContext) {
-    let kind = cx.edges.kinds.evacuations;
+    let kind = cx.codec.kinds.evacuations;
     let part = WorldPart::Evacuations;
-    let followed = cx.followed(part, kind, Purpose::Registry, "evacuated failure domains");
-    let mut watch = GatedWatch::new(&cx, followed);
-    while let Some(seen) = watch.next(WATCH_WAIT).await {
-        let (revision, reading, is_list) = match seen {
-            Seen::All(page, reading) => (page.at, reading, true),
-            Seen::Changes(page, reading) => (page.at, reading, false),
-            Seen::Failed => continue,
+    let target = cx.target(part, kind, Purpose::Registry, "evacuated failure domains");
+    let mut watch = GatedWatch::new(&cx, target);
+    while let Some(update) = watch.next(WATCH_WAIT).await {
+        let (revision, store_read, is_list) = match update {
+            KindUpdate::List(page, store_read) => (page.at, store_read, true),
+            KindUpdate::Changes(page, store_read) => (page.at, store_read, false),
+            KindUpdate::Failed => continue,
         };
         let names = watch.names().iter();
         cx.cell.apply_evacuated(&EvacuatedDomains {
             revision,
             domains: names.map(|name| (**name).into()).collect(),
         });
-        cx.cell.confirm(part, &reading);
+        cx.cell.confirm(part, &store_read);
         if is_list {
-            cx.cell.note_read(part, reading.absences);
+            cx.cell.record_full_read(part, store_read.pauses);
         }
     }
 }
--- a/crates/tc-gateway/src/world/removals.rs
+++ b/crates/tc-gateway/src/world/removals.rs
@@ -1,20 +1,21 @@
-//! Removals held back after an outage of the store.
+//! Delays removals of upstreams after an outage of the store.
 //!
-//! Upstreams that could not renew their entries during an outage lapse and are back a moment after it. Taking every
-//! removal at its word would leave services without upstreams just when the store returns, seen as a wave of
-//! refusals although every upstream is well.
+//! Entries of upstreams that could not renew them during an outage expire, and are registered again
+//! shortly after it. If every removal took effect at once, services would lose their upstreams just
+//! when the store returns, and refuse many requests although all upstreams are healthy.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use tc_platform::ObjectEvent;
 use tc_protocol::MonoTime;
 
-/// How long after the store's return an entry may still be on its way back.
-const RETURN_TIME: Duration = Duration::from_millis(2_200);
-/// An outage from this length on can have let entries lapse: shorter than three heartbeats of any upstream.
-const LEAST_OUTAGE: Duration = Duration::from_secs(1);
+/// Time after the store's return within which an expired entry may be registered again.
+const REREGISTRATION_TIME: Duration = Duration::from_millis(2_200);
+/// Minimum duration of an outage in which entries can expire. It is shorter than three heartbeats
+/// of any upstream.
+const MIN_OUTAGE: Duration = Duration::from_secs(1);
 
-/// Decides when removals count.
+/// Holds removals back for a while after an outage.
 #[derive(Debug, Default)]
 pub(super) struct HeldRemovals {
     failing_since: Option<MonoTime>,
@@ -23,42 +24,42 @@
 }
 
 impl HeldRemovals {
-    /// The store did not answer.
-    pub(super) fn failed(&mut self, now: MonoTime) {
+    /// Records that a call to the store failed.
+    pub(super) fn record_failure(&mut self, now: MonoTime) {
         self.failing_since.get_or_insert(now);
     }
 
-    /// The store answered.
-    pub(super) fn answered(&mut self, now: MonoTime) {
+    /// Records that the store answered.
+    pub(super) fn record_answer(&mut self, now: MonoTime) {
         let Some(since) = self.failing_since.take() else {
             return;
         };
-        if now.since(since) >= LEAST_OUTAGE {
-            self.held_until = now.after(RETURN_TIME);
+        if now.since(since) >= MIN_OUTAGE {
+            self.held_until = now.after(REREGISTRATION_TIME);
         }
     }
 
-    /// The changes that count now; removals just after an outage are held.
-    pub(super) fn sift(&mut self, now: MonoTime, events: Vec<ObjectEvent>) -> Vec<ObjectEvent> {
-        let holds = now < self.held_until;
-        let mut counted = Vec::with_capacity(events.len());
+    /// Returns the changes to apply now, and holds back removals shortly after an outage.
+    pub(super) fn filter(&mut self, now: MonoTime, events: Vec<ObjectEvent>) -> Vec<ObjectEvent> {
+        let is_holding = now < self.held_until;
+        let mut passed = Vec::with_capacity(events.len());
         for event in events {
             match event {
                 ObjectEvent::Put(object) => {
                     self.held.remove(&object.name);
-                    counted.push(ObjectEvent::Put(object));
+                    passed.push(ObjectEvent::Put(object));
                 }
-                ObjectEvent::Removed { name, revision } if holds => {
+                ObjectEvent::Removed { name, revision } if is_holding => {
                     self.held.insert(name, revision);
                 }
-                removed @ ObjectEvent::Removed { .. } => counted.push(removed),
+                removed @ ObjectEvent::Removed { .. } => passed.push(removed),
             }
         }
-        counted
+        passed
     }
 
-    /// Removals whose entries did not come back.
-    pub(super) fn due(&mut self, now: MonoTime) -> Vec<ObjectEvent> {
+    /// Returns the held removals whose time is over and whose entries were not registered again.
+    pub(super) fn take_due(&mut self, now: MonoTime) -> Vec<ObjectEvent> {
         if now < self.held_until {
             return Vec::new();
         }
@@ -68,8 +69,9 @@
             .collect()
     }
 
-    /// When [`HeldRemovals::due`] should be asked, if anything is held.
-    pub(super) fn next(&self) -> Option<MonoTime> {
+    /// Returns when [`HeldRemovals::take_due`] should be called next, or `None` if no removal is
+    /// held.
+    pub(super) fn next_due(&self) -> Option<MonoTime> {
         (!self.held.is_empty()).then_some(self.held_until)
     }
 }
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -1,4 +1,4 @@
-//! The registered upstreams, by service.
+//! The registered upstreams, indexed by service.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -8,62 +8,64 @@
 };
 
 use serde_json::Value;
-use tc_fleet::{Gone, UpstreamNews, WorldObject};
+use tc_fleet::{RegistryEntry, Removed, UpstreamNews};
 use tc_platform::{ObjectEvent, StoredObject};
 use tc_protocol::{
     FailureDomain, MonoTime, ServiceName, UpstreamId,
     routing::{RegisteredUpstream, ResultHandle},
 };
 
-use crate::edges::Edges;
+use crate::codec::PlatformCodec;
 
 /// Minimum time for which the announcement of an unregistered upstream is kept.
 const LEAVING_RETENTION: Duration = Duration::from_mins(10);
 
-/// What came of another instance's news.
+/// Result of applying news from another instance.
 #[derive(Clone, Debug)]
-pub enum TakenUp {
-    /// The list with them.
-    Newer(UpstreamTable),
-    /// They are older than what is known here.
-    Older,
-    /// They are differences from another list than this one: ask for what is lacking.
+pub enum ApplyOutcome {
+    /// The table with the news applied.
+    Updated(UpstreamTable),
+    /// The news are older than this table.
+    Outdated,
+    /// The news are relative to another table than this one: the missing part must be requested.
     ///
-    /// An instance that goes on with a source which is behind it would otherwise keep for ever what was both written and
-    /// removed between the source's list and its own, seen as calls to upstreams that are long gone.
-    Unfit,
+    /// Otherwise, an instance that continues with a source that is behind it would keep forever the
+    /// entries that were both written and removed between the source's table and its own, and send
+    /// calls to upstreams that are long gone.
+    BaseMismatch,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     revision: u64,
     raw: Arc<Value>,
-    /// `None` when the entry cannot be read; it is kept so that it is handed on as it is.
+    /// `None` if the entry cannot be decoded. It is kept so that it is relayed unchanged.
     upstream: Option<Arc<RegisteredUpstream>>,
 }
 
-/// A list of upstreams as of a revision of the store.
+/// The registered upstreams as of a revision of the store.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamTable {
     revision: u64,
     entries: BTreeMap<Arc<str>, Entry>,
     by_service: HashMap<ServiceName, Vec<Arc<RegisteredUpstream>>>,
     by_address: HashMap<SocketAddr, Arc<RegisteredUpstream>>,
-    lives: HashSet<UpstreamId>,
+    ids: HashSet<UpstreamId>,
     marks: Arc<UpstreamMarks>,
 }
 
 /// Restrictions on upstreams that come from other sources than their entries.
 #[derive(Clone, Debug, Default)]
 struct UpstreamMarks {
-    /// Where nothing new may be sent to any of them.
+    /// Failure domains whose upstreams receive no new requests.
     evacuated: BTreeSet<FailureDomain>,
-    /// Upstreams that have announced that they are leaving, with the time of the first announcement.
+    /// Upstreams that have announced that they are leaving, with the time of the first
+    /// announcement.
     leaving: HashMap<UpstreamId, MonoTime>,
 }
 
 impl UpstreamTable {
-    /// The store's revision that it shows.
+    /// Returns the revision of the store that this table reflects.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -73,20 +75,24 @@
         self.entries.len()
     }
 
-    /// Upstreams of a service, those that are leaving included, in order of identifier.
+    /// Returns the upstreams of a service, including leaving ones, ordered by identifier.
     pub(crate) fn of_service(&self, service: &str) -> &[Arc<RegisteredUpstream>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Who keeps a result, if it is registered.
-    pub(crate) fn maker_of(&self, result: &ResultHandle) -> Option<&Arc<RegisteredUpstream>> {
+    /// Returns the registered upstream that holds a result.
+    pub(crate) fn upstream_of_result(
+        &self,
+        result: &ResultHandle,
+    ) -> Option<&Arc<RegisteredUpstream>> {
         let address: SocketAddr = result.upstream_address()?.parse().ok()?;
         self.by_address.get(&address)
     }
 
-    /// Whether this life of a process is registered.
+    /// Returns true if this upstream process is registered. A restarted process has another
+    /// identifier.
     pub(crate) fn contains(&self, id: &UpstreamId) -> bool {
-        self.lives.contains(id)
+        self.ids.contains(id)
     }
 
     /// Returns true if this upstream process has announced that it is leaving.
@@ -116,7 +122,7 @@
         Self::from_entries(self.entries.clone(), self.revision, Arc::new(marks))
     }
 
-    /// Names of all entries.
+    /// Returns the names of all entries.
     pub(crate) fn names(&self) -> impl Iterator<Item = &Arc<str>> {
         self.entries.keys()
     }
@@ -128,17 +134,18 @@
         upstreams(self) == upstreams(other)
     }
 
-    /// What a list of an earlier revision lacks; the names of all entries tell what is gone from it.
+    /// Returns the news for a table of an earlier revision: the changed entries and the names of
+    /// all entries, which show what is gone.
     #[must_use]
     pub fn news_since(&self, revision: u64) -> UpstreamNews {
         UpstreamNews {
             revision: self.revision,
             changed: self.objects(|_, entry| entry.revision > revision),
-            gone: Gone::AllBut(self.entries.keys().cloned().collect()),
+            removed: Removed::AllExcept(self.entries.keys().cloned().collect()),
         }
     }
 
-    /// How this list differs from an earlier one; `None` if it does not.
+    /// Returns the difference from an earlier table, or `None` if there is none.
     #[must_use]
     pub fn news_after(&self, earlier: &Self) -> Option<UpstreamNews> {
         let is_new = |name: &str, entry: &Entry| {
@@ -152,19 +159,19 @@
         differs.then(|| UpstreamNews {
             revision: self.revision,
             changed: self.objects(is_new),
-            gone: Gone::Named {
+            removed: Removed::Named {
                 since: earlier.revision,
                 names,
             },
         })
     }
 
-    /// Entries as they lie in the store, to be handed on.
-    fn objects(&self, which: impl Fn(&str, &Entry) -> bool) -> Vec<WorldObject> {
+    /// Returns the stored entries selected by a predicate, to be relayed unchanged.
+    fn objects(&self, predicate: impl Fn(&str, &Entry) -> bool) -> Vec<RegistryEntry> {
         let entries = self.entries.iter();
-        let chosen = entries.filter(|(name, entry)| which(name, entry));
+        let chosen = entries.filter(|(name, entry)| predicate(name, entry));
         chosen
-            .map(|(name, entry)| WorldObject {
+            .map(|(name, entry)| RegistryEntry {
                 name: Arc::clone(name),
                 revision: entry.revision,
                 value: Arc::clone(&entry.raw),
@@ -172,25 +179,25 @@
             .collect()
     }
 
-    /// Takes up another instance's news.
+    /// Applies news from another instance.
     #[must_use]
-    pub fn with_news(&self, edges: &Edges, news: &UpstreamNews) -> TakenUp {
+    pub fn with_news(&self, codec: &PlatformCodec, news: &UpstreamNews) -> ApplyOutcome {
         if news.revision < self.revision {
-            return TakenUp::Older;
+            return ApplyOutcome::Outdated;
         }
-        let gone: Vec<Arc<str>> = match &news.gone {
-            Gone::Named { since, .. } if *since != self.revision => {
+        let gone: Vec<Arc<str>> = match &news.removed {
+            Removed::Named { since, .. } if *since != self.revision => {
                 let is_newer = news.revision > self.revision;
                 return if is_newer {
-                    TakenUp::Unfit
+                    ApplyOutcome::BaseMismatch
                 } else {
-                    TakenUp::Older
+                    ApplyOutcome::Outdated
                 };
             }
-            Gone::Named { names, .. } => names.clone(),
-            Gone::AllBut(names) => {
-                let left: HashSet<&Arc<str>> = names.iter().collect();
-                let gone = self.entries.keys().filter(|name| !left.contains(name));
+            Removed::Named { names, .. } => names.clone(),
+            Removed::AllExcept(names) => {
+                let remaining: HashSet<&Arc<str>> = names.iter().collect();
+                let gone = self.entries.keys().filter(|name| !remaining.contains(name));
                 gone.cloned().collect()
             }
         };
@@ -206,26 +213,27 @@
             })
         });
         let events: Vec<ObjectEvent> = put.chain(removed).collect();
-        TakenUp::Newer(self.with_events(edges, &events, news.revision))
+        ApplyOutcome::Updated(self.with_events(codec, &events, news.revision))
     }
 
-    /// This table with changes taken up.
+    /// Returns this table with changes applied.
     #[must_use]
-    pub fn with_events(&self, edges: &Edges, events: &[ObjectEvent], at: u64) -> Self {
+    pub fn with_events(&self, codec: &PlatformCodec, events: &[ObjectEvent], at: u64) -> Self {
         let mut entries = self.entries.clone();
         for event in events {
             match event {
                 ObjectEvent::Put(object) => {
-                    // Read once only: how long it stays cold counts from when it was first heard.
+                    // Decoded only once, because an upstream's cold time counts from its first
+                    // decoding.
                     let known = entries.get(&object.name).map(|e| e.revision);
                     if known.is_none_or(|known| object.revision > known) {
-                        let entry = read(edges, &object.name, object.revision, &object.value);
+                        let entry = decode(codec, &object.name, object.revision, &object.value);
                         entries.insert(Arc::clone(&object.name), entry);
                     }
                 }
                 ObjectEvent::Removed { name, revision } => {
                     let known = entries.get(name).map_or(0, |e| e.revision);
-                    // A removal seen again after the entry came back must not take it away.
+                    // A repeated removal must not remove an entry that was registered again.
                     if *revision == 0 || *revision >= known {
                         entries.remove(name);
                     }
@@ -235,10 +243,11 @@
         Self::from_entries(entries, self.revision.max(at), Arc::clone(&self.marks))
     }
 
-    /// This table with other failure domains evacuated.
+    /// Returns this table with another set of evacuated failure domains.
     ///
-    /// Upstreams of a domain that is taken back may have lost what they had warmed up, and say so only with their next
-    /// heartbeat: until their own word comes they count as cold until `cold_until` tells, by their service.
+    /// Upstreams of a domain that is no longer evacuated may have lost their warm state, but report
+    /// that only with their next heartbeat. Until then they count as cold, up to the time that
+    /// `cold_until` returns for their service.
     #[must_use]
     pub fn with_evacuated(
         &self,
@@ -261,8 +270,13 @@
         Self::from_entries(entries, self.revision, Arc::new(marks))
     }
 
-    /// The table of a whole list.
-    pub(crate) fn replaced(&self, edges: &Edges, objects: &[WorldObject], at: u64) -> Self {
+    /// Returns the table of a full list, reusing decoded entries with the same revision.
+    pub(crate) fn with_list(
+        &self,
+        codec: &PlatformCodec,
+        objects: &[RegistryEntry],
+        at: u64,
+    ) -> Self {
         let entries = objects
             .iter()
             .map(|object| {
@@ -270,7 +284,7 @@
                 let entry = known
                     .filter(|entry| entry.revision == object.revision)
                     .cloned()
-                    .unwrap_or_else(|| read(edges, &object.name, object.revision, &object.value));
+                    .unwrap_or_else(|| decode(codec, &object.name, object.revision, &object.value));
                 (Arc::clone(&object.name), entry)
             })
             .collect();
@@ -284,10 +298,10 @@
     ) -> Self {
         let mut by_service: HashMap<ServiceName, Vec<Arc<RegisteredUpstream>>> = HashMap::new();
         let mut by_address = HashMap::new();
-        let mut lives = HashSet::new();
+        let mut ids = HashSet::new();
         for registered in entries.values().filter_map(|e| e.upstream.as_ref()) {
-            let upstream = marked(registered, &marks);
-            lives.insert(upstream.id.clone());
+            let upstream = with_marks(registered, &marks);
+            ids.insert(upstream.id.clone());
             by_address.insert(upstream.address, Arc::clone(&upstream));
             by_service
                 .entry(upstream.service.clone())
@@ -299,13 +313,16 @@
             entries,
             by_service,
             by_address,
-            lives,
+            ids,
             marks,
         }
     }
 }
 
-fn marked(registered: &Arc<RegisteredUpstream>, marks: &UpstreamMarks) -> Arc<RegisteredUpstream> {
+fn with_marks(
+    registered: &Arc<RegisteredUpstream>,
+    marks: &UpstreamMarks,
+) -> Arc<RegisteredUpstream> {
     let evacuated = marks.evacuated.contains(&registered.failure_domain);
     let leaving = marks.leaving.contains_key(&registered.id);
     if !evacuated && !leaving {
@@ -318,11 +335,11 @@
     })
 }
 
-fn read(edges: &Edges, name: &str, revision: u64, raw: &Arc<Value>) -> Entry {
-    let upstream = match (edges.read_upstream)(name, raw, MonoTime::now()) {
+fn decode(codec: &PlatformCodec, name: &str, revision: u64, raw: &Arc<Value>) -> Entry {
+    let upstream = match (codec.read_upstream)(name, raw, MonoTime::now()) {
         Ok(upstream) => Some(Arc::new(upstream)),
         Err(problem) => {
-            log::warn!(upstream = name, revision = revision, problem = problem.as_str(); "a registered upstream cannot be read and is left out");
+            log::warn!(upstream = name, revision = revision, problem = problem.as_str(); "ignoring a registered upstream that cannot be decoded");
             metrics::counter!("tc_registry_unreadable_total").increment(1);
             None
         }
--- a/crates/tc-policy/src/batch/job.rs
+++ b/crates/tc-policy/src/batch/job.rs
@@ -14,11 +14,11 @@
     pub struct JobKey;
 }
 
-/// Offset added to the due time of a job for each rank below the most urgent.
+/// Offset added to the due time of a job for each priority below the most urgent.
 ///
 /// About half a call of typical services (200 to 370 ms): a more urgent request overtakes jobs that would start up to
-/// one call before it, and no rank starves behind a stream of more urgent requests.
-pub(super) const RANK_OFFSET: Duration = Duration::from_millis(250);
+/// one call before it, and no priority starves behind a stream of more urgent requests.
+pub(super) const PRIORITY_OFFSET: Duration = Duration::from_millis(250);
 /// Subtracted from the due time of a job that has started. It exceeds the spread of due times within a service, so
 /// started jobs are finished first.
 const STARTED_ADVANCE: Duration = Duration::from_secs(5);
@@ -50,8 +50,8 @@
     pub input: PieceInput,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// Priority rank; 0 is the most urgent.
-    pub rank: u8,
+    /// Priority; 0 is the most urgent.
+    pub priority: u8,
     /// Latest time at which the job can finish for the request to be answered on time.
     pub in_time_until: MonoTime,
     /// Time after which the caller no longer waits for an answer.
@@ -64,7 +64,7 @@
     /// them.
     pub is_last_reader: bool,
     /// Number of pieces of the stages that read its results, by service.
-    pub following: Vec<(ServiceName, u32)>,
+    pub dependent_pieces: Vec<(ServiceName, u32)>,
 }
 
 /// Sort key of a job in the queue; the lowest value goes first.
@@ -72,7 +72,7 @@
 pub(super) struct QueuePosition {
     /// Late jobs go after all jobs that can still be on time.
     pub(super) is_late: bool,
-    /// Due time, adjusted by rank and failure domain.
+    /// Due time, adjusted by priority and failure domain.
     pub(super) due: MonoTime,
 }
 
@@ -181,7 +181,7 @@
         };
         QueuePosition {
             is_late,
-            due: due.after(RANK_OFFSET * u32::from(self.params.rank)),
+            due: due.after(PRIORITY_OFFSET * u32::from(self.params.priority)),
         }
     }
 
@@ -199,13 +199,18 @@
         }
     }
 
-    /// Bytes that all readers of the results fetch together: each piece of a following stage reads all results.
+    /// Bytes that all readers of the results fetch together: each piece of a dependent stage reads all results.
     ///
     /// Four results of 60 KB that six pieces read are 1.4 MB of transfers, more than two results of 500 KB that one
     /// engine reads.
     fn total_read_bytes(&self) -> u64 {
         let results = self.params.result_bytes * u64::from(self.params.pieces);
-        let readers: u32 = self.params.following.iter().map(|(_, pieces)| pieces).sum();
+        let readers: u32 = self
+            .params
+            .dependent_pieces
+            .iter()
+            .map(|(_, pieces)| pieces)
+            .sum();
         results.saturating_mul(u64::from(readers.max(1)))
     }
 
--- a/crates/tc-policy/src/cold.rs
+++ b/crates/tc-policy/src/cold.rs
@@ -25,7 +25,7 @@
 /// ```
 /// use tc_policy::ColdLimit;
 /// let limit = ColdLimit::new(15.0, 1.5, 5.0);
-/// assert_eq!((limit.total(), limit.home_share(), limit.senders_without_home()), (27, 9, 9));
+/// assert_eq!((limit.total(), limit.home_share(), limit.uncoordinated_senders()), (27, 9, 9));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdLimit {
@@ -33,12 +33,12 @@
 }
 
 impl ColdLimit {
-    /// Creates the limit for an upstream that can serve `cold_per_s` requests per second while it is cold, with
+    /// Creates the limit for an upstream that can serve `max_requests_per_s` requests per second while it is cold, with
     /// `excess` as a multiplier and `slack` additional requests per second.
     #[must_use]
-    pub fn new(cold_per_s: f64, excess: f64, slack: f64) -> Self {
+    pub fn new(max_requests_per_s: f64, excess: f64, slack: f64) -> Self {
         Self {
-            total: (cold_per_s * excess + slack).max(0.0) as u32,
+            total: (max_requests_per_s * excess + slack).max(0.0) as u32,
         }
     }
 
@@ -59,12 +59,12 @@
     /// yet. Beyond it, upstreams that received fewer requests are preferred.
     #[must_use]
     pub fn home_share_if_warm(self) -> u32 {
-        self.total - self.senders_without_home()
+        self.total - self.uncoordinated_senders()
     }
 
-    /// Returns how many instances may send one request per second each without the home while it does not answer.
+    /// Returns how many instances may send one uncoordinated request per second each while the home does not answer.
     #[must_use]
-    pub const fn senders_without_home(self) -> u32 {
+    pub const fn uncoordinated_senders(self) -> u32 {
         self.total / SHARES
     }
 }
@@ -87,7 +87,7 @@
 impl RecentSends {
     /// Records a send.
     pub fn record(&mut self, now: MonoTime) {
-        self.drop_expired(now);
+        self.remove_expired(now);
         self.at.push_back(now);
     }
 
@@ -98,7 +98,7 @@
         recent.take_while(|at| now.since(**at) < WINDOW).count() as u32
     }
 
-    fn drop_expired(&mut self, now: MonoTime) {
+    fn remove_expired(&mut self, now: MonoTime) {
         while let Some(oldest) = self.at.front()
             && now.since(*oldest) >= WINDOW
         {
@@ -112,7 +112,7 @@
 /// Instances with the same member list agree on the selection. Each upstream has a different one, so that every
 /// upstream is reachable through some instances.
 #[must_use]
-pub fn may_send_without_home(
+pub fn may_send_uncoordinated(
     me: &InstanceId,
     members: &[Member],
     upstream: &UpstreamId,
--- a/crates/tc-policy/src/lib.rs
+++ b/crates/tc-policy/src/lib.rs
@@ -28,16 +28,16 @@
 pub use backoffs::Backoffs;
 pub use batch::{
     AdmittedChain, BatchCall, BatchPlanner, BatchUpstream, CallEnd, CallKey, ChainAdmission,
-    ChainQuery, DueHistogram, ExpectedStageTimes, FinishedJob, FollowingPieces, HomeOutlook,
+    ChainQuery, DependentPieces, DueHistogram, ExpectedStageTimes, FinishedJob, HomeOutlook,
     JobKey, NewJob, PlannerEffects, StageOutlooks,
 };
 pub use budget::ExtraCallBudget;
 pub use choice::{UpstreamCandidate, UpstreamChoice, choose_upstream};
-pub use cold::{ColdLimit, RecentSends, may_send_without_home};
+pub use cold::{ColdLimit, RecentSends, may_send_uncoordinated};
 pub use engines::{EngineCandidate, EnginePlanner};
 pub use estimate::{Estimators, SizeClass, StageEstimate};
 pub use home::{
-    HeldPermit, Home, HomeConfig, HomeEvent, PermitDecision, PermitRequest, QueuedRequestKey,
+    HeldPermit, Home, HomeConfig, HomeEvent, HomePermitRequest, PermitDecision, QueuedRequestKey,
 };
 pub use limit::{Demand, LimitHome, Share, ShareBucket};
 pub use pick::{PickCandidate, PickPreference, pick_upstream};
--- a/crates/tc-policy/src/stage_graph.rs
+++ b/crates/tc-policy/src/stage_graph.rs
@@ -115,7 +115,7 @@
 
     /// Returns the services and piece counts of the unfinished stages that read a stage's results.
     #[must_use]
-    pub fn following(&self, stage: usize) -> Vec<(ServiceName, u32)> {
+    pub fn dependent_pieces(&self, stage: usize) -> Vec<(ServiceName, u32)> {
         let next = self
             .dependents(stage)
             .filter(|next| !self.is_complete(*next));
@@ -179,20 +179,20 @@
 
     /// Checks whether it is worth starting the stages; otherwise returns a hint for when to retry.
     ///
-    /// A request that can meet its target time is feasible. A request that cannot gets the leftover capacity at every
-    /// stage, so it is feasible only if the stages with the least leftover capacity still allow it. If each stage
+    /// A request that can meet its latency target is feasible. A request that cannot gets the leftover capacity at
+    /// every stage, so it is feasible only if the stages with the least leftover capacity still allow it. If each stage
     /// decided by itself, such a request would pass the first stage and be refused at the next: in a burst, half of the
     /// requests were refused after half a second of work.
     pub fn check_feasible(
         &self,
         expected: &ExpectedStageTimes,
-        until_aim: Duration,
-        until_left: Duration,
+        until_latency_target: Duration,
+        remaining: Duration,
     ) -> Result<(), Duration> {
-        if self.critical_path(&expected.in_time) <= until_aim {
+        if self.critical_path(&expected.in_time) <= until_latency_target {
             return Ok(());
         }
-        if self.critical_path(&expected.late) <= until_left.mul_f64(MAX_LATE_FRACTION) {
+        if self.critical_path(&expected.late) <= remaining.mul_f64(MAX_LATE_FRACTION) {
             return Ok(());
         }
         Err(expected.in_time.iter().max().copied().unwrap_or_default())
@@ -220,7 +220,7 @@
         if self.states[stage] == StageState::Omitted {
             return 0;
         }
-        let following = self.dependents(stage).map(|next| self.chain_length(next));
-        1 + following.max().unwrap_or(0)
+        let dependents = self.dependents(stage).map(|next| self.chain_length(next));
+        1 + dependents.max().unwrap_or(0)
     }
 }
--- a/crates/tc-policy/tests/batch/fuzz.rs
+++ b/crates/tc-policy/tests/batch/fuzz.rs
@@ -13,7 +13,7 @@
     routing::{BatchSpec, PieceFailure, ResultHandle},
 };
 
-use crate::common::{at, job, repeat_budget, spec, upstreams};
+use crate::common::{at, job, retry_budget, spec, upstreams};
 
 /// Size of a large result; eight of them fill an upstream.
 const LARGE: u64 = 1_000_000;
@@ -25,7 +25,7 @@
         pieces: u8,
         large: bool,
         due: u8,
-        rank: u8,
+        priority: u8,
     },
     Cancel(u8),
     /// Ends the call in progress with this index.
@@ -64,7 +64,7 @@
             ..spec()
         };
         let mut oracle = Self {
-            planner: BatchPlanner::new(spec, repeat_budget(200.0)),
+            planner: BatchPlanner::new(spec, retry_budget(200.0)),
             spec,
             now: 0,
             open_jobs: BTreeMap::new(),
@@ -96,8 +96,8 @@
                 pieces,
                 large,
                 due,
-                rank,
-            } => self.push(pieces, large, due, rank),
+                priority,
+            } => self.push(pieces, large, due, priority),
             Op::Cancel(index) => {
                 if let Some(key) = nth(self.open_jobs.keys().copied(), index) {
                     self.open_jobs.remove(&key);
@@ -124,7 +124,7 @@
                 self.now += u64::from(ms) * 4;
                 let now = at(self.now);
                 self.stored.retain(|_, (_, _, until)| *until > now);
-                let effects = self.planner.expire(now);
+                let effects = self.planner.refuse_late_jobs(now);
                 self.apply_effects(effects);
             }
             Op::SetUpstreams(bits) => self.register(bits),
@@ -135,14 +135,14 @@
         }
     }
 
-    fn push(&mut self, pieces: u8, large: bool, due: u8, rank: u8) {
+    fn push(&mut self, pieces: u8, large: bool, due: u8, priority: u8) {
         self.last_id += 1;
         let name = format!("r{}", self.last_id);
         let pieces = u32::from(pieces % 10) + 1;
         let result_bytes = if large { LARGE } else { 8_000 };
         let new = NewJob {
             result_bytes,
-            rank: rank % 3,
+            priority: priority % 3,
             in_time_until: at(self.now + u64::from(due) * 8),
             deadline: at(self.now + 4_000),
             ..job(&name, pieces)
@@ -253,7 +253,7 @@
         self.register(0xF);
         for _ in 0..400 {
             self.now += 100;
-            let effects = self.planner.expire(at(self.now));
+            let effects = self.planner.refuse_late_jobs(at(self.now));
             self.apply_effects(effects);
             let now = at(self.now);
             self.stored.retain(|_, (_, _, until)| *until > now);
--- a/crates/tc-policy/tests/chain/simulation.rs
+++ b/crates/tc-policy/tests/chain/simulation.rs
@@ -15,7 +15,7 @@
     load::{Random, RequestKind, SERVICES, UPSTREAMS, kinds, spec},
 };
 
-/// Number of instances that receive requests; each knows the homes only from the answers to its own asks.
+/// Number of instances that receive requests; each knows the homes only from the answers to its own requests.
 pub(crate) const INSTANCES: usize = 78;
 /// Latency of a message between an instance and a home.
 pub(crate) const NETWORK_LATENCY: Duration = Duration::from_millis(3);
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Simulates `length`. Between `burst.0` and `burst.1`, requests of the first kind arrive `load_factor` times as often, and
-    /// only requests that arrive then are counted.
+    /// Simulates `length`. Between `burst.0` and `burst.1`, requests of the first kind arrive `load_factor` times as
+    /// often, and only requests that arrive then are counted.
     pub(crate) fn run(&mut self, length: Duration, burst: (Duration, Duration), load_factor: f64) {
         let end = START.after(length);
         let (from, until) = (START.after(burst.0), START.after(burst.1));
--- a/crates/tc-policy/tests/cold.rs
+++ b/crates/tc-policy/tests/cold.rs
@@ -5,7 +5,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bolero::{TypeGenerator, generator::produce};
-use tc_policy::{ColdLimit, EngineCandidate, EnginePlanner, RecentSends, may_send_without_home};
+use tc_policy::{ColdLimit, EngineCandidate, EnginePlanner, RecentSends, may_send_uncoordinated};
 use tc_protocol::{
     InstanceId, Member, MonoTime, UpstreamId,
     routing::{EngineRequest, EngineSpec, Prompt, PromptPart, RunProgress},
@@ -25,7 +25,7 @@
     ColdLimit::new(15.0, 1.5, 5.0)
 }
 
-fn ask(family: u64) -> EngineRequest {
+fn request(family: u64) -> EngineRequest {
     let parts = [(family, 6_300), (1_000 + family, 500)];
     EngineRequest {
         service: "model".into(),
@@ -86,7 +86,7 @@
         engine(1, MonoTime::default()),
     ]);
     let cold: UpstreamId = "e0".into();
-    let chosen = (0..200).filter_map(|family| planner.choose(start, &ask(family)));
+    let chosen = (0..200).filter_map(|family| planner.choose(start, &request(family)));
     let cold_count = chosen.filter(|choice| choice.upstream == cold).count();
     assert_eq!(cold_count as u32, limit().home_share());
 }
@@ -98,15 +98,15 @@
     let start = MonoTime::from_millis(10_000);
     let until = start.after(Duration::from_secs(3));
     let mut planner = home(&[engine(0, until), engine(1, until)]);
-    let chosen = (0..200).filter_map(|family| planner.choose(start, &ask(family)));
+    let chosen = (0..200).filter_map(|family| planner.choose(start, &request(family)));
     assert_eq!(chosen.count() as u32, 2 * limit().home_share());
-    assert!(planner.choose(start, &ask(0)).is_none());
-    let alone = planner.choose_without_home(start, &ask(0), |_| true);
+    assert!(planner.choose(start, &request(0)).is_none());
+    let alone = planner.choose_uncoordinated(start, &request(0), |_| true);
     assert!(
         alone.is_none(),
         "without the home, cold engines are not chosen"
     );
-    assert!(planner.choose(until, &ask(0)).is_some());
+    assert!(planner.choose(until, &request(0)).is_some());
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let mut planner = EnginePlanner::new(SPEC);
     planner.set_engines(SPEC, &[engine(0, MonoTime::from_millis(60_000))]);
     let now = MonoTime::from_millis(1_000);
-    let chosen = (0..200).filter_map(|family| planner.choose(now, &ask(family)));
+    let chosen = (0..200).filter_map(|family| planner.choose(now, &request(family)));
     assert_eq!(chosen.count(), 200);
 }
 
@@ -131,7 +131,7 @@
         delay_ms: u8,
     },
     /// An instance that cannot reach a home chooses.
-    WithoutHome {
+    Uncoordinated {
         who: u8,
         family: u8,
         delay_ms: u8,
@@ -147,7 +147,7 @@
 struct Fleet {
     homes: [EnginePlanner; 2],
     members: Vec<Member>,
-    without_home: Vec<(EnginePlanner, Vec<(UpstreamId, RecentSends)>)>,
+    uncoordinated: Vec<(EnginePlanner, Vec<(UpstreamId, RecentSends)>)>,
     arrivals: Vec<(UpstreamId, MonoTime)>,
 }
 
@@ -156,7 +156,7 @@
         Self {
             homes: [home(engines), home(engines)],
             members: members(),
-            without_home: (0..INSTANCES)
+            uncoordinated: (0..INSTANCES)
                 .map(|_| (home(engines), Vec::new()))
                 .collect(),
             arrivals: Vec::new(),
@@ -167,7 +167,7 @@
     /// favour another engine.
     fn send_by_home(&mut self, which: usize, now: MonoTime, family: u8, delay_ms: u8) {
         let home = &mut self.homes[which];
-        if let Some(choice) = home.choose(now, &ask(u64::from(family))) {
+        if let Some(choice) = home.choose(now, &request(u64::from(family))) {
             home.record(now, choice.run, RunProgress::FirstEvent(READ));
             home.record(now, choice.run, RunProgress::Ended);
             let at = now.after(Duration::from_millis(delay_ms.into()));
@@ -175,16 +175,17 @@
         }
     }
 
-    fn send_without_home(&mut self, who: usize, now: MonoTime, family: u8, delay_ms: u8) {
+    fn send_uncoordinated(&mut self, who: usize, now: MonoTime, family: u8, delay_ms: u8) {
         let me: InstanceId = self.members[who].id.clone();
         let members = &self.members;
-        let (planner, sends) = &mut self.without_home[who];
+        let (planner, sends) = &mut self.uncoordinated[who];
         let may = |id: &UpstreamId| {
             let own = sends.iter().find(|(of, _)| of == id);
             let recent = own.map_or(0, |(_, sends)| sends.count(now));
-            recent == 0 && may_send_without_home(&me, members, id, limit().senders_without_home())
+            recent == 0 && may_send_uncoordinated(&me, members, id, limit().uncoordinated_senders())
         };
-        let Some(choice) = planner.choose_without_home(now, &ask(u64::from(family)), may) else {
+        let Some(choice) = planner.choose_uncoordinated(now, &request(u64::from(family)), may)
+        else {
             return;
         };
         let mut recent = RecentSends::default();
@@ -220,12 +221,12 @@
             match op {
                 Op::FirstHome { family, delay_ms } => fleet.send_by_home(0, now, family, delay_ms),
                 Op::SecondHome { family, delay_ms } => fleet.send_by_home(1, now, family, delay_ms),
-                Op::WithoutHome {
+                Op::Uncoordinated {
                     who,
                     family,
                     delay_ms,
                 } => {
-                    fleet.send_without_home(usize::from(who) % INSTANCES, now, family, delay_ms);
+                    fleet.send_uncoordinated(usize::from(who) % INSTANCES, now, family, delay_ms);
                 }
                 // Only once: three homes within a second would require two moves in that second.
                 Op::SecondHomeRestarts if !has_restarted => {
@@ -256,7 +257,7 @@
     for step in 0..2_000_u64 {
         let now = start.after(Duration::from_micros(1_100 * step));
         if step % 3 == 0 {
-            fleet.send_without_home((step % INSTANCES as u64) as usize, now, 7, 0);
+            fleet.send_uncoordinated((step % INSTANCES as u64) as usize, now, 7, 0);
         } else {
             fleet.send_by_home(0, now, 7, (step % 200) as u8);
         }
@@ -269,11 +270,11 @@
 }
 
 #[test]
-fn senders_without_home_have_the_given_number_and_differ_by_upstream() {
+fn uncoordinated_senders_have_the_given_number_and_differ_by_upstream() {
     let members = members();
     let who = |upstream: &str| -> Vec<&InstanceId> {
         let ids = members.iter().map(|member| &member.id);
-        ids.filter(|id| may_send_without_home(id, &members, &upstream.into(), 9))
+        ids.filter(|id| may_send_uncoordinated(id, &members, &upstream.into(), 9))
             .collect()
     };
     assert_eq!(who("e1").len(), 9);
--- a/crates/tc-policy/tests/stage_graph.rs
+++ b/crates/tc-policy/tests/stage_graph.rs
@@ -77,12 +77,12 @@
             result_ttl: Duration::from_secs(4),
             link_bytes_per_s: 1.25e9,
         };
-        let repeats = RetryBudget::new(RetryLimits {
+        let retry_budget = RetryBudget::new(RetryLimits {
             ratio: 0.2,
             extra: 50.0,
             window: Duration::from_secs(10),
         });
-        let mut planner = BatchPlanner::new(spec, repeats);
+        let mut planner = BatchPlanner::new(spec, retry_budget);
         let all: Vec<BatchUpstream> = (0..upstreams)
             .map(|number| BatchUpstream {
                 id: format!("u{number}").into(),
@@ -113,7 +113,7 @@
                 .end_call(now, key, CallEnd::Answered(made.collect()));
             over.extend(settled.finished);
         }
-        over.extend(self.planner.expire(now).finished);
+        over.extend(self.planner.refuse_late_jobs(now).finished);
         while let Some(call) = self.planner.next_call(now) {
             let took = ms(200) + ms(6) * call.pieces.len() as u32;
             self.ends
@@ -143,7 +143,7 @@
     late: usize,
 }
 
-const AIM: Duration = ms(1_500);
+const LATENCY_TARGET: Duration = ms(1_500);
 const CALLER_TIMEOUT: Duration = ms(6_000);
 
 struct Request {
@@ -183,22 +183,22 @@
                 &ChainQuery {
                     graph: &graph,
                     call_times: &[ms(200); 2],
-                    until_aim: AIM,
-                    rank: 0,
+                    until_latency_target: LATENCY_TARGET,
+                    priority: 0,
                 },
             );
             if checks_feasibility
                 && graph
-                    .check_feasible(&expected, AIM, CALLER_TIMEOUT)
+                    .check_feasible(&expected, LATENCY_TARGET, CALLER_TIMEOUT)
                     .is_err()
             {
                 counts.refused_early += 1;
                 continue;
             }
-            let following = graph.critical_path_after(0, &expected.in_time);
+            let time_after = graph.critical_path_after(0, &expected.in_time);
             match services[0]
                 .planner
-                .push(now, job(0, 1, now, now, following))
+                .push(now, job(0, 1, now, now, time_after))
             {
                 Ok(key) => drop(running[0].insert(key, Request { arrived_at: now })),
                 Err(_) => counts.refused_early += 1,
@@ -220,7 +220,7 @@
                 continue;
             };
             match made {
-                true if now.since(request.arrived_at) <= AIM => counts.in_time += 1,
+                true if now.since(request.arrived_at) <= LATENCY_TARGET => counts.in_time += 1,
                 true => counts.late += 1,
                 false => counts.refused_late += 1,
             }
@@ -234,22 +234,25 @@
     pieces: u32,
     now: MonoTime,
     arrived_at: MonoTime,
-    following: Duration,
+    time_after: Duration,
 ) -> NewJob {
-    let aim = arrived_at.after(AIM).since(now).saturating_sub(following);
+    let in_time_for = arrived_at
+        .after(LATENCY_TARGET)
+        .since(now)
+        .saturating_sub(time_after);
     NewJob {
         request: "r".into(),
         stage,
         pieces,
         input: PieceInput::Request("k".into()),
         result_bytes: 8_000,
-        rank: 0,
-        in_time_until: now.after(aim),
+        priority: 0,
+        in_time_until: now.after(in_time_for),
         deadline: arrived_at.after(CALLER_TIMEOUT),
         preferred_domain: None,
         held_bytes: 0,
         is_last_reader: false,
-        following: match stage {
+        dependent_pieces: match stage {
             0 => vec![("second".into(), 4)],
             _ => Vec::new(),
         },
@@ -306,11 +309,11 @@
             &ChainQuery {
                 graph: &graph,
                 call_times: &[ms(200); 2],
-                until_aim: AIM,
-                rank: u8::MAX,
+                until_latency_target: LATENCY_TARGET,
+                priority: u8::MAX,
             },
         );
         // Any decision is accepted, as long as there is no panic.
-        let _ = graph.check_feasible(&expected, AIM, CALLER_TIMEOUT);
+        let _ = graph.check_feasible(&expected, LATENCY_TARGET, CALLER_TIMEOUT);
     }
 }
--- a/crates/tc-protocol/src/routing/piece.rs
+++ b/crates/tc-protocol/src/routing/piece.rs
@@ -66,7 +66,7 @@
     /// Priority of the request, 0 most urgent.
     pub priority: u8,
     /// Time until the stage must complete for the request to meet its latency target; zero if that time has passed.
-    pub until_latency_target: Duration,
+    pub in_time_for: Duration,
     /// Time until the caller no longer waits for the response.
     pub remaining: Duration,
     /// Failure domain in which the results will be read, if known and relevant.
@@ -76,7 +76,7 @@
     /// Whether no other stage will read the inputs, so that they are freed as soon as the pieces have read them.
     pub is_last_reader: bool,
     /// Service and number of pieces of each stage that reads the results.
-    pub dependents: Vec<(ServiceName, u32)>,
+    pub dependent_pieces: Vec<(ServiceName, u32)>,
     /// All stages of the request, if this is the first one: the home decides whether to admit them.
     pub chain: Option<StageChain>,
 }
--- a/crates/tc-upstream/examples/call_overhead.rs
+++ b/crates/tc-upstream/examples/call_overhead.rs
@@ -1,7 +1,8 @@
-//! Measures what a pool call costs beside a bare exchange of the same bytes on one `hyper` connection.
+//! Compares the latency of a pool call with that of an exchange of the same bytes on a bare `hyper` connection.
 //!
-//! `cargo run --release -p tc-upstream --example call_overhead -- [CALLS]` prints p50 and p99 in microseconds of
-//! both, taken in turns against the same zero-work stand-in, so that a busy machine slows both alike.
+//! `cargo run --release -p tc-upstream --example call_overhead -- [CALLS]` prints the p50 and p99 of both in
+//! microseconds. Both call the same stand-in, which does no work, in alternation, so that other load on the machine
+//! affects them equally.
 
 use std::{
     env,
@@ -28,10 +29,10 @@
 const WARM_UP: u64 = 500;
 const INPUT_BYTES: usize = 2_000;
 
-type Failure = Box<dyn Error + Send + Sync>;
+type BoxError = Box<dyn Error + Send + Sync>;
 
 #[tokio::main]
-async fn main() -> Result<(), Failure> {
+async fn main() -> Result<(), BoxError> {
     let calls = match env::args().nth(1) {
         Some(text) => text.parse()?,
         None => DEFAULT_CALLS,
@@ -42,11 +43,11 @@
         Recorder::new(),
     )
     .await?;
-    // A traffic task, as in the server: the main task of the runtime is scheduled differently.
+    // Runs in a spawned task, as in the server: the runtime schedules its main task differently.
     tokio::spawn(measure(pool.address(), calls)).await?
 }
 
-async fn measure(address: SocketAddr, calls: u64) -> Result<(), Failure> {
+async fn measure(address: SocketAddr, calls: u64) -> Result<(), BoxError> {
     let client = UpstreamClient::new(ClientSettings::default());
     let mut bare = connect(address).await?;
     let mut bare_times = Histogram::<u64>::new(3)?;
@@ -95,7 +96,7 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, Failure> {
+async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>, BoxError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
@@ -103,11 +104,11 @@
     Ok(sender)
 }
 
-/// The same request with its body encoded before the clock starts, and the answer's bytes unread.
+/// Sends the same request. The time excludes the encoding of the request body, and the response is not decoded.
 async fn bare_exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     call: &StageCall,
-) -> Result<Duration, Failure> {
+) -> Result<Duration, BoxError> {
     let body = serde_json::to_vec(&PoolRequest {
         request_id: call.request.clone(),
         stage: call.stage.clone(),
--- a/crates/tc-upstream/src/lib.rs
+++ b/crates/tc-upstream/src/lib.rs
@@ -1,6 +1,7 @@
-//! Calls to engines, pools and plain services.
+//! HTTP client for calls to engines, pools and plain services.
 
 mod call;
+mod call_context;
 mod check;
 mod client;
 mod connection;
@@ -13,14 +14,13 @@
 mod meter;
 mod plain;
 mod raw;
-mod site;
 mod stage;
 mod stream;
 
-pub use call::{PlainCall, PlainReply, StageCall, StageReply};
+pub use call::{PlainCall, PlainResponse, StageCall, StageResponse};
 pub use client::{ClientSettings, UpstreamClient};
 pub use error::{CallError, CallErrorKind, OrderError};
 pub use hop_by_hop::remove_hop_by_hop;
 pub use plain::PlainBody;
-pub use raw::{RawBody, RawCall, RawReply};
+pub use raw::{RawBody, RawCall, RawResponse};
 pub use stream::{EngineStream, StreamItem};
