--- a/crates/tc-fleet/src/orders/planner.rs
+++ b/crates/tc-fleet/src/orders/planner.rs
@@ -7,7 +7,9 @@
 };
 
 use tc_membership::{EngineState, ModelLoad, ModelRequirements, Plan, home_of, plan};
-use tc_platform::{Expect, Held, Lease, LeaseError, LeaseSettings, Purpose, SureWrite};
+use tc_platform::{
+    HeldLease, Lease, LeaseError, LeaseSettings, Precondition, Purpose, WriteResult,
+};
 use tc_protocol::{FleetView, MonoTime, Service, ServiceKind, ServiceName, UpstreamState};
 use tc_upstream::UpstreamClient;
 
@@ -37,7 +39,7 @@
 /// State of one service's planner between rounds.
 struct ServicePlanner {
     lease: Lease,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     plan: Plan,
     /// Plan record in the platform, if it is known to be the one written here.
     written: Option<PlanRecord>,
@@ -150,8 +152,8 @@
             .next_loads(now, self.ordered.len(), MAX_CONCURRENT_LOADS)
         {
             // Checked again before each order, because the process may have been paused since the last one.
-            let Some(fence) = self.held.as_ref().and_then(Held::fence) else {
-                return Err(LeaseError::Lapsed);
+            let Some(fence) = self.held.as_ref().and_then(HeldLease::fence) else {
+                return Err(LeaseError::Expired);
             };
             let answer = send_order(parts, relay, view, name, &load, fence).await;
             self.plan.defer(now, &load.upstream);
@@ -181,7 +183,7 @@
             Some(held) => held,
             None => self.lease.acquire().await?,
         };
-        let fence = held.fence().ok_or(LeaseError::Lapsed)?;
+        let fence = held.fence().ok_or(LeaseError::Expired)?;
         self.held = Some(held);
         Ok(fence)
     }
@@ -203,13 +205,13 @@
         let store = &parts.store;
         let found = store.get(Purpose::Leases, PLAN_KIND, name.as_str()).await?;
         let expect = match found {
-            None => Expect::Absent,
+            None => Precondition::Absent,
             Some(found) => {
                 let stored: PlanRecord = serde_json::from_value(found.value).unwrap_or_default();
                 if stored.fence > fence {
                     return Err(LeaseError::HeldByOther);
                 }
-                Expect::Version(found.version)
+                Precondition::Version(found.version)
             }
         };
         let Ok(value) = serde_json::to_value(&record) else {
@@ -220,7 +222,7 @@
             serde_json::from_value::<PlanRecord>(stored.clone()).is_ok_and(|stored| stored == ours)
         };
         let written = store
-            .write_sure(
+            .write_verified(
                 Purpose::Leases,
                 PLAN_KIND,
                 name.as_str(),
@@ -230,13 +232,13 @@
             )
             .await;
         match written {
-            SureWrite::Ours { .. } => {
+            WriteResult::Written { .. } => {
                 self.written = Some(record);
                 Ok(())
             }
-            SureWrite::Conflict { .. } => Err(LeaseError::HeldByOther),
-            SureWrite::NotWritten(error) => Err(error.into()),
-            SureWrite::Unknown { .. } => Err(LeaseError::Unknown),
+            WriteResult::Conflict { .. } => Err(LeaseError::HeldByOther),
+            WriteResult::NotWritten(error) => Err(error.into()),
+            WriteResult::Unknown { .. } => Err(LeaseError::Unknown),
         }
     }
 }
--- a/crates/tc-gateway/src/world/evacuated.rs
+++ b/crates/tc-gateway/src/world/evacuated.rs
@@ -24,8 +24,8 @@
     let mut watch = GatedWatch::new(&cx, target);
     while let Some(update) = watch.next(WATCH_WAIT).await {
         let (revision, store_read, is_list) = match update {
-            KindUpdate::List(page, store_read) => (page.at, store_read, true),
-            KindUpdate::Changes(page, store_read) => (page.at, store_read, false),
+            KindUpdate::List(page, store_read) => (page.revision, store_read, true),
+            KindUpdate::Changes(page, store_read) => (page.revision, store_read, false),
             KindUpdate::Failed => continue,
         };
         let names = watch.names().iter();
--- a/crates/tc-gateway/src/world/kind_watch.rs
+++ b/crates/tc-gateway/src/world/kind_watch.rs
@@ -8,7 +8,8 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use tc_platform::{
-    Freshness, KindDialect, ListPage, ObjectEvent, Purpose, Store, StoreError, WatchPage, Watched,
+    Freshness, KindDialect, ListPage, ObjectEvent, Purpose, Store, StoreError, WatchPage,
+    WatchResult,
 };
 use tc_protocol::MonoTime;
 use tokio::{sync::watch::Receiver, time::sleep, time::timeout};
@@ -59,7 +60,7 @@
 
 /// Result of a watch that was checked by lists.
 enum WatchOutcome {
-    Answered(Watched, StoreRead),
+    Answered(WatchResult, StoreRead),
     /// A list shows changes that the watch did not report.
     Missed(ListPage, StoreRead),
 }
@@ -86,7 +87,7 @@
         let watching = self
             .store
             .watch_kind(self.purpose, &self.dialect, self.kind, from, wait);
-        let answered = |watched: Watched| WatchOutcome::Answered(watched, store_read);
+        let answered = |watched: WatchResult| WatchOutcome::Answered(watched, store_read);
         tokio::pin!(watching);
         let (page, list_read) = tokio::select! {
             answer = &mut watching => return answer.map(answered),
@@ -95,7 +96,7 @@
         if let Ok(answer) = timeout(MAX_WATCH_LAG, &mut watching).await {
             return answer.map(answered);
         }
-        log::warn!(what = self.description, watched_from = from, listed = page.at; "a watch does not report a change that a list shows; restarting it");
+        log::warn!(what = self.description, watched_from = from, listed = page.revision; "a watch does not report a change that a list shows; restarting it");
         Ok(WatchOutcome::Missed(page, list_read))
     }
 
@@ -210,7 +211,7 @@
     }
 
     fn apply_list(&mut self, page: ListPage, store_read: StoreRead) -> KindUpdate {
-        self.from = Some(page.at);
+        self.from = Some(page.revision);
         self.names = page
             .items
             .iter()
@@ -227,13 +228,13 @@
             _ = self.pauses.changed() => return Ok(None),
         };
         match watched {
-            WatchOutcome::Answered(Watched::Changes(page), store_read) => {
-                self.from = Some(page.at);
+            WatchOutcome::Answered(WatchResult::Changes(page), store_read) => {
+                self.from = Some(page.revision);
                 self.note_unreadable(&page.unreadable);
                 self.note_names(&page.events);
                 Ok(Some(KindUpdate::Changes(page, store_read)))
             }
-            WatchOutcome::Answered(Watched::HistoryGone, _) => Ok(None),
+            WatchOutcome::Answered(WatchResult::HistoryGone, _) => Ok(None),
             WatchOutcome::Missed(page, store_read) => Ok(Some(self.apply_list(page, store_read))),
         }
     }
--- a/crates/tc-gateway/src/world/watch.rs
+++ b/crates/tc-gateway/src/world/watch.rs
@@ -170,7 +170,7 @@
             KindUpdate::Changes(page, store_read) => {
                 self.removals.record_answer(now);
                 let any = !page.events.is_empty();
-                self.apply_events(page.events, page.at);
+                self.apply_events(page.events, page.revision);
                 self.cell.confirm(WorldPart::Upstreams, &store_read);
                 any
             }
@@ -195,7 +195,7 @@
                     value: object.value,
                 })
                 .collect();
-            self.cell.replace_upstreams(&objects, page.at);
+            self.cell.replace_upstreams(&objects, page.revision);
             return;
         }
         let is_listed = |name: &str| page.items.iter().any(|object| *object.name == *name);
@@ -209,7 +209,7 @@
             })
             .collect();
         let present = page.items.into_iter().map(ObjectEvent::Put);
-        self.apply_events(present.chain(gone).collect(), page.at);
+        self.apply_events(present.chain(gone).collect(), page.revision);
     }
 
     /// Returns the duration of the next watch, which is shorter while removals are held so that
--- a/crates/tc-operator/src/serve/ports.rs
+++ b/crates/tc-operator/src/serve/ports.rs
@@ -30,7 +30,7 @@
         }),
         join_claim: Arc::new(move |key, wait| {
             let claims = join.clone();
-            Box::pin(async move { claims.wait_recorded(&key, wait).await })
+            Box::pin(async move { claims.wait_for_outcome(&key, wait).await })
         }),
         crashed: Arc::new(move |input, upstream| crashed.report_crash(input, upstream)),
         ran_whole: Arc::new(move |input| ran_whole.report_completed(input)),
--- a/crates/tc-platform/src/claims/batch.rs
+++ b/crates/tc-platform/src/claims/batch.rs
@@ -6,7 +6,7 @@
 
 use super::{
     model::{Entry, Head, KeyDigest, json_len},
-    op::{Found, Judged, Op, Recording, Reply, Ticket},
+    op::{Found, Judged, Op, RecordResult, Reply, Ticket},
     shard::{Prepared, Queued, Shard, Step},
 };
 use crate::Versioned;
@@ -129,7 +129,7 @@
             Some(Reply::Claim(ClaimVerdict::Unavailable))
         }
         Op::Record { .. } if shard.head_bytes >= shard.limits.last_room() => {
-            Some(Reply::Record(Recording::Full))
+            Some(Reply::Record(RecordResult::Full))
         }
         _ => None,
     }
--- a/crates/tc-platform/src/claims/feedback.rs
+++ b/crates/tc-platform/src/claims/feedback.rs
@@ -21,7 +21,7 @@
 
 impl Shard {
     /// Feeds back [`Step::ReadHead`].
-    pub fn on_head(
+    pub fn on_head_read(
         &mut self,
         now: MonoTime,
         result: Result<Option<Versioned<Value>>, StoreError>,
@@ -81,7 +81,7 @@
     }
 
     /// Feeds back [`Step::ReadSegment`].
-    pub fn on_segment(
+    pub fn on_segment_read(
         &mut self,
         now: MonoTime,
         name: &Arc<str>,
@@ -114,7 +114,7 @@
 
     /// Feeds back [`Step::CreateSegment`]. That it exists already is as good: whoever made it from the same version
     /// of the head wrote the same.
-    pub fn on_created(
+    pub fn on_segment_created(
         &mut self,
         now: MonoTime,
         name: &Arc<str>,
@@ -135,7 +135,7 @@
     }
 
     /// Feeds back [`Step::WriteHead`].
-    pub fn on_written(&mut self, now: MonoTime, result: Result<u64, StoreError>) -> Progress {
+    pub fn on_head_written(&mut self, now: MonoTime, result: Result<u64, StoreError>) -> Progress {
         let Some(batch) = self.batch.take() else {
             return Progress::None;
         };
@@ -190,7 +190,7 @@
     }
 
     /// Feeds back [`Step::Delete`]; after a failure it is tried again only after the next commit.
-    pub fn on_deleted(&mut self, name: &Arc<str>, done: bool) {
+    pub fn on_segment_deleted(&mut self, name: &Arc<str>, done: bool) {
         if done {
             self.garbage.retain(|n| n != name);
         } else {
--- a/crates/tc-platform/src/claims/group.rs
+++ b/crates/tc-platform/src/claims/group.rs
@@ -23,7 +23,7 @@
     CLAIM_KIND,
     grant::Grant,
     model::KeyDigest,
-    op::{Op, Recording, Reply, Ticket},
+    op::{Op, RecordResult, Reply, Ticket},
     shard::{Progress, Shard, Step},
 };
 use crate::{Backoff, Purpose, Store, StoreError, Versioned};
@@ -48,8 +48,8 @@
 
 pub(super) enum Waiter {
     Claim(KeyDigest, oneshot::Sender<Grant>),
-    Look(oneshot::Sender<ClaimVerdict>),
-    Record(oneshot::Sender<Recording>),
+    Lookup(oneshot::Sender<ClaimVerdict>),
+    Record(oneshot::Sender<RecordResult>),
     Nobody,
 }
 
@@ -63,7 +63,7 @@
     fn has_left(&self) -> bool {
         match self {
             Self::Claim(_, tx) => tx.is_closed(),
-            Self::Look(tx) => tx.is_closed(),
+            Self::Lookup(tx) => tx.is_closed(),
             Self::Record(_) | Self::Nobody => false,
         }
     }
@@ -101,7 +101,7 @@
             self.collect().await;
             loop {
                 self.drain();
-                let turn = self.take_turns(self.shard.calls_ahead()).await;
+                let turn = self.take_turns(self.shard.expected_calls()).await;
                 self.drain();
                 let done = match turn {
                     Ok(()) => self.step().await,
@@ -143,9 +143,9 @@
         let shared = &self.shared;
         self.shard
             .drop_abandoned(|ticket| waiters.get(&ticket).is_some_and(Waiter::has_left));
-        if waiters.len() > self.shard.waiting() {
+        if waiters.len() > self.shard.queue_len() {
             let before = waiters.len();
-            waiters.retain(|ticket, _| self.shard.has(*ticket));
+            waiters.retain(|ticket, _| self.shard.is_queued(*ticket));
             shared
                 .waiting
                 .fetch_sub(before - waiters.len(), Ordering::Relaxed);
@@ -167,20 +167,21 @@
             Step::Idle => return None,
             Step::ReadHead => {
                 let found = self.get(&self.head_name.clone()).await;
-                self.shard.on_head(MonoTime::now(), found)
+                self.shard.on_head_read(MonoTime::now(), found)
             }
             Step::ReadSegment(name) => {
                 let found = self.get(&name).await;
-                self.shard.on_segment(MonoTime::now(), &name, found)
+                self.shard.on_segment_read(MonoTime::now(), &name, found)
             }
             Step::CreateSegment(name, value) => {
                 let created = self.create(&name, &value).await;
-                self.shard.on_created(MonoTime::now(), &name, &created)
+                self.shard
+                    .on_segment_created(MonoTime::now(), &name, &created)
             }
             Step::WriteHead(base, value) => self.write_head(base, &value).await,
             Step::Delete(name) => {
                 let deleted = self.delete(&name).await;
-                self.shard.on_deleted(&name, deleted.is_ok());
+                self.shard.on_segment_deleted(&name, deleted.is_ok());
                 Progress::Made
             }
         };
@@ -218,11 +219,11 @@
     async fn write_head(&mut self, base: u64, value: &Value) -> Progress {
         let written = self.put_head(base, value).await;
         let committed = written.is_ok();
-        let progress = self.shard.on_written(MonoTime::now(), written);
+        let progress = self.shard.on_head_written(MonoTime::now(), written);
         if committed {
             self.deliver();
             self.last_commit = Some(Instant::now());
-            if self.shard.waiting() > 0 {
+            if self.shard.queue_len() > 0 {
                 self.collect().await;
             }
         }
@@ -255,7 +256,7 @@
                     };
                     let _ = tx.send(Grant::new(key, verdict, requests));
                 }
-                (Waiter::Look(tx), Reply::Look(verdict)) => {
+                (Waiter::Lookup(tx), Reply::Lookup(verdict)) => {
                     let _ = tx.send(verdict);
                 }
                 (Waiter::Record(tx), Reply::Record(recording)) => {
--- a/crates/tc-platform/src/claims/mod.rs
+++ b/crates/tc-platform/src/claims/mod.rs
@@ -33,12 +33,12 @@
     },
 };
 
-use crate::{Backoff, Expect, Purpose, Store, StoreError, SureWrite};
+use crate::{Backoff, Precondition, Purpose, Store, StoreError, WriteResult};
 use group::{Committer, Request, Shared, Waiter};
 use outage::Outage;
 
 pub use model::{KeyDigest, MAX_OUTCOME_BYTES};
-pub use op::{Op, Recording, Reply, ShardLimits, Ticket};
+pub use op::{Op, RecordResult, Reply, ShardLimits, Ticket};
 pub use shard::{Progress, Shard, Step};
 
 /// Kind of the objects that hold claims.
@@ -139,7 +139,7 @@
         let asked = async {
             let op = Op::Claim {
                 key,
-                body: body_hash,
+                body_hash,
                 claim_id: self.new_claim_id(),
             };
             self.ask(key, op, Waiter::Claim(key, tx)).await?;
@@ -183,9 +183,9 @@
         };
         self.ask(key, op, Waiter::Record(tx)).await?;
         match tokio::time::timeout(RECORD_WAIT, rx).await {
-            Ok(Ok(Recording::Done)) => Ok(()),
-            Ok(Ok(Recording::NotOurs)) => Err(StoreError::Conflict { current: None }),
-            Ok(Ok(Recording::Full)) => Err(StoreError::TooLarge),
+            Ok(Ok(RecordResult::Recorded)) => Ok(()),
+            Ok(Ok(RecordResult::NotHolder)) => Err(StoreError::Conflict { current: None }),
+            Ok(Ok(RecordResult::Full)) => Err(StoreError::TooLarge),
             Ok(Err(_)) | Err(_) => Err(StoreError::MaybeApplied),
         }
     }
@@ -194,7 +194,7 @@
     ///
     /// [`ClaimVerdict::Held`] when it has not in time, or when the store could not tell;
     /// [`ClaimVerdict::Unavailable`] when the claim was released, so the request surely did not run.
-    pub async fn wait_recorded(&self, key: &ClaimKey, wait: Duration) -> ClaimVerdict {
+    pub async fn wait_for_outcome(&self, key: &ClaimKey, wait: Duration) -> ClaimVerdict {
         let key = KeyDigest::of(key);
         tokio::time::timeout(wait, self.look_until_settled(key))
             .await
@@ -214,7 +214,7 @@
         let mut backoff = Backoff::new(FIRST_LOOK_DELAY, LONGEST_LOOK_DELAY);
         loop {
             let (tx, rx) = oneshot::channel();
-            let asked = self.ask(key, Op::Look { key }, Waiter::Look(tx)).await;
+            let asked = self.ask(key, Op::Lookup { key }, Waiter::Lookup(tx)).await;
             if asked.is_ok()
                 && let Ok(verdict) = rx.await
                 && verdict != ClaimVerdict::Held
@@ -234,7 +234,7 @@
         let waiting = &self.inner.shared.waiting;
         if waiter.is_counted() && waiting.fetch_add(1, Ordering::Relaxed) >= MAX_WAITING {
             waiting.fetch_sub(1, Ordering::Relaxed);
-            return Err(StoreError::Paced);
+            return Err(StoreError::RateLimited);
         }
         let lane = self.lane(key.shard(shards));
         lane.send(Request { op, waiter })
@@ -306,18 +306,18 @@
 /// Creates the layout and returns the one in force, which never changes once it exists.
 async fn create_layout(store: &Store, wanted: &Layout) -> Result<Value, StoreError> {
     let value = serde_json::to_value(wanted).map_err(|_| StoreError::Malformed)?;
-    let (purpose, absent) = (Purpose::Claims, Expect::Absent);
+    let (purpose, absent) = (Purpose::Claims, Precondition::Absent);
     let written = store
-        .write_sure(purpose, CLAIM_KIND, LAYOUT_NAME, absent, &value, |found| {
+        .write_verified(purpose, CLAIM_KIND, LAYOUT_NAME, absent, &value, |found| {
             *found == value
         })
         .await;
     match written {
-        SureWrite::Ours { .. } => Ok(value),
-        SureWrite::Conflict { current: Some(c) } | SureWrite::Unknown { current: Some(c) } => {
+        WriteResult::Written { .. } => Ok(value),
+        WriteResult::Conflict { current: Some(c) } | WriteResult::Unknown { current: Some(c) } => {
             Ok(c.value)
         }
-        SureWrite::NotWritten(e) => Err(e),
+        WriteResult::NotWritten(e) => Err(e),
         _ => Err(StoreError::Unreachable),
     }
 }
--- a/crates/tc-platform/src/claims/op.rs
+++ b/crates/tc-platform/src/claims/op.rs
@@ -17,7 +17,7 @@
         /// The key.
         key: KeyDigest,
         /// Hash of the request's body.
-        body: u64,
+        body_hash: u64,
         /// Used for no other claim, ever.
         claim_id: Arc<str>,
     },
@@ -38,7 +38,7 @@
         claim_id: Arc<str>,
     },
     /// Look what is known of the key.
-    Look {
+    Lookup {
         /// The key.
         key: KeyDigest,
     },
@@ -50,13 +50,13 @@
             Self::Claim { key, .. }
             | Self::Record { key, .. }
             | Self::Release { key, .. }
-            | Self::Look { key } => *key,
+            | Self::Lookup { key } => *key,
         }
     }
 
     /// Whether it need not be carried out once nobody waits for its answer.
     pub(super) const fn may_be_dropped(&self) -> bool {
-        matches!(self, Self::Claim { .. } | Self::Look { .. })
+        matches!(self, Self::Claim { .. } | Self::Lookup { .. })
     }
 }
 
@@ -66,20 +66,20 @@
     /// To [`Op::Claim`].
     Claim(ClaimVerdict),
     /// To [`Op::Record`].
-    Record(Recording),
+    Record(RecordResult),
     /// To [`Op::Release`].
     Released,
-    /// To [`Op::Look`]: recorded, held, or `Unavailable` when the key is not claimed (any more).
-    Look(ClaimVerdict),
+    /// To [`Op::Lookup`]: recorded, held, or `Unavailable` when the key is not claimed (any more).
+    Lookup(ClaimVerdict),
 }
 
 /// What became of recording an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recording {
+pub enum RecordResult {
     /// It is recorded.
-    Done,
+    Recorded,
     /// The claim is not ours, has expired, or another outcome was recorded for it.
-    NotOurs,
+    NotHolder,
     /// The shard has no room left.
     Full,
 }
@@ -148,8 +148,12 @@
         };
         let live = entry.filter(|e| e.state != EntryState::Released);
         match self {
-            Self::Claim { body, claim_id, .. } => judge_claim(live, *body, claim_id, fresh),
-            Self::Look { .. } => judge_look(live, fresh),
+            Self::Claim {
+                body_hash,
+                claim_id,
+                ..
+            } => judge_claim(live, *body_hash, claim_id, fresh),
+            Self::Lookup { .. } => judge_look(live, fresh),
             Self::Release { claim_id, .. } => judge_release(live, claim_id, sealed),
             Self::Record {
                 claim_id, outcome, ..
@@ -194,7 +198,7 @@
         Some(_) => ClaimVerdict::Held,
         None => ClaimVerdict::Unavailable,
     };
-    Judged::Answer(Reply::Look(verdict))
+    Judged::Answer(Reply::Lookup(verdict))
 }
 
 fn judge_release(live: Option<&Entry>, claim_id: &Arc<str>, sealed: bool) -> Judged {
@@ -223,11 +227,11 @@
                 state: EntryState::Recorded(outcome.clone()),
                 ..entry.clone()
             };
-            return Judged::Change(Some(recorded), Reply::Record(Recording::Done));
+            return Judged::Change(Some(recorded), Reply::Record(RecordResult::Recorded));
         }
-        Some((_, EntryState::Recorded(known))) if known == outcome => Recording::Done,
+        Some((_, EntryState::Recorded(known))) if known == outcome => RecordResult::Recorded,
         _ if !fresh => return Judged::Stale,
-        _ => Recording::NotOurs,
+        _ => RecordResult::NotHolder,
     };
     Judged::Answer(Reply::Record(recording))
 }
--- a/crates/tc-platform/src/claims/shard.rs
+++ b/crates/tc-platform/src/claims/shard.rs
@@ -26,15 +26,15 @@
 pub enum Step {
     /// Nothing to do until an operation comes.
     Idle,
-    /// Read the head; then [`Shard::on_head`].
+    /// Read the head; then [`Shard::on_head_read`].
     ReadHead,
-    /// Read this segment; then [`Shard::on_segment`].
+    /// Read this segment; then [`Shard::on_segment_read`].
     ReadSegment(Arc<str>),
-    /// Create this segment; then [`Shard::on_created`].
+    /// Create this segment; then [`Shard::on_segment_created`].
     CreateSegment(Arc<str>, Value),
-    /// Write the head if its version still is this one (0: it does not exist); then [`Shard::on_written`].
+    /// Write the head if its version still is this one (0: it does not exist); then [`Shard::on_head_written`].
     WriteHead(u64, Value),
-    /// Delete this segment whatever its version; then [`Shard::on_deleted`].
+    /// Delete this segment whatever its version; then [`Shard::on_segment_deleted`].
     Delete(Arc<str>),
 }
 
@@ -143,13 +143,13 @@
 
     /// Operations that have no answer yet.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
     /// Whether this operation has no answer yet.
     #[must_use]
-    pub fn has(&self, ticket: Ticket) -> bool {
+    pub fn is_queued(&self, ticket: Ticket) -> bool {
         self.queue
             .binary_search_by_key(&ticket, |q| q.ticket)
             .is_ok()
@@ -157,7 +157,7 @@
 
     /// Calls that the waiting operations most likely take: a write, and a read of the head if it has to be read.
     #[must_use]
-    pub fn calls_ahead(&self) -> u32 {
+    pub fn expected_calls(&self) -> u32 {
         let write = u32::from(!self.queue.is_empty());
         write + u32::from(write > 0 && self.must_read_head())
     }
--- a/crates/tc-platform/src/config.rs
+++ b/crates/tc-platform/src/config.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use tc_protocol::wire::{CONFIG_KIND, CONFIG_NAME, ConfigObject};
 
-use crate::{Expect, Purpose, Store, StoreError, SureWrite, Versioned};
+use crate::{Precondition, Purpose, Store, StoreError, Versioned, WriteResult};
 
 /// What became of an apply.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,19 +60,19 @@
     let Ok(value) = serde_json::to_value(&new) else {
         return ApplyResult::NotApplied(StoreError::Malformed);
     };
-    let expect = base.map_or(Expect::Absent, |b| Expect::Version(b.version));
+    let expect = base.map_or(Precondition::Absent, |b| Precondition::Version(b.version));
     let ours = |v: &Value| v["apply_id"] == new.apply_id.as_str();
     let purpose = Purpose::Operator;
     let written = store
-        .write_sure(purpose, CONFIG_KIND, CONFIG_NAME, expect, &value, ours)
+        .write_verified(purpose, CONFIG_KIND, CONFIG_NAME, expect, &value, ours)
         .await;
     match written {
-        SureWrite::Ours { version } => ApplyResult::Applied { version },
-        SureWrite::NotWritten(e) => ApplyResult::NotApplied(e),
-        SureWrite::Conflict { current } => {
+        WriteResult::Written { version } => ApplyResult::Applied { version },
+        WriteResult::NotWritten(e) => ApplyResult::NotApplied(e),
+        WriteResult::Conflict { current } => {
             ApplyResult::Conflict(current.and_then(|c| decode(c).ok()))
         }
-        SureWrite::Unknown { current } => settle(&new, current),
+        WriteResult::Unknown { current } => settle(&new, current),
     }
 }
 
--- a/crates/tc-platform/src/error.rs
+++ b/crates/tc-platform/src/error.rs
@@ -29,7 +29,7 @@
         code(tc::store::paced),
         help("ask again later, or raise the rate if the platform allows it")
     )]
-    Paced,
+    RateLimited,
     /// The store answered with a status that says the call was not carried out.
     #[error("the store refused the call with status {0}")]
     #[diagnostic(
@@ -64,14 +64,14 @@
     /// The word used as the `result` label of `tc_platform_calls_total`.
     ///
     /// ```
-    /// assert_eq!(tc_platform::StoreError::Paced.as_str(), "paced");
+    /// assert_eq!(tc_platform::StoreError::RateLimited.as_str(), "paced");
     /// ```
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Conflict { .. } => "conflict",
             Self::Unreachable => "unreachable",
-            Self::Paced => "paced",
+            Self::RateLimited => "paced",
             Self::Refused(_) => "refused",
             Self::TooLarge => "too_large",
             Self::MaybeApplied => "maybe_applied",
--- a/crates/tc-platform/src/kinds.rs
+++ b/crates/tc-platform/src/kinds.rs
@@ -33,7 +33,7 @@
     /// Whether more follow after the last of them.
     pub has_more: bool,
     /// The store's revision that the page shows.
-    pub at: u64,
+    pub revision: u64,
     /// Why objects were left out that cannot be read, one line each.
     pub unreadable: Vec<String>,
 }
@@ -58,7 +58,7 @@
     /// The changes, oldest first.
     pub events: Vec<ObjectEvent>,
     /// Where to go on.
-    pub at: u64,
+    pub revision: u64,
     /// Why changes were left out that cannot be read, one line each.
     pub unreadable: Vec<String>,
 }
@@ -93,7 +93,7 @@
 
 /// What a watch brought.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes, none if the wait ended without one.
     Changes(WatchPage),
     /// Changes since then are no longer kept: list again.
@@ -142,16 +142,16 @@
         kind: &str,
         from: u64,
         wait: Duration,
-    ) -> Result<Watched, StoreError> {
+    ) -> Result<WatchResult, StoreError> {
         let path = (dialect.watch_path)(kind, from, wait);
         let timeout = wait + self.timeout();
         let body = self.read_body(Connection::Pooled, purpose, &path, timeout);
         match body.await {
             Ok(body) => (dialect.read_watch)(&body)
-                .map(Watched::Changes)
+                .map(WatchResult::Changes)
                 .ok_or(StoreError::Malformed),
             Err(StoreError::Refused(status)) if status == dialect.history_gone => {
-                Ok(Watched::HistoryGone)
+                Ok(WatchResult::HistoryGone)
             }
             Err(error) => Err(error),
         }
--- a/crates/tc-platform/src/leases.rs
+++ b/crates/tc-platform/src/leases.rs
@@ -7,7 +7,7 @@
 use tc_protocol::{Incarnation, InstanceId, MonoTime, ServiceName};
 use thiserror::Error;
 
-use crate::{Expect, Purpose, Store, StoreError, SureWrite, Versioned};
+use crate::{Precondition, Purpose, Store, StoreError, Versioned, WriteResult};
 
 /// Kind of the lease objects; the name is the service's.
 pub const LEASE_KIND: &str = "tanagercroft-lease";
@@ -35,7 +35,7 @@
     HeldByOther,
     /// It lapsed; it must be acquired anew, with a new fencing number.
     #[error("the lease lapsed")]
-    Lapsed,
+    Expired,
     /// The answer of the write was lost and reading back did not settle it.
     #[error("whether the lease was written is unknown")]
     Unknown,
@@ -71,7 +71,7 @@
 
 /// A lease that was acquired. Its fencing number can only be had while it has not lapsed.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     fence: u64,
     version: u64,
     from: MonoTime,
@@ -79,7 +79,7 @@
     ttl: Duration,
 }
 
-impl Held {
+impl HeldLease {
     /// The fencing number, unless the lease has lapsed by now.
     ///
     /// Besides the monotonic clock, which stands still while a virtual machine is suspended, it asks the wall
@@ -96,12 +96,12 @@
     /// The fencing number, unless the lease has lapsed at `now`.
     #[must_use]
     pub fn fence_at(&self, now: MonoTime) -> Option<u64> {
-        (now < self.until()).then_some(self.fence)
+        (now < self.expires_at()).then_some(self.fence)
     }
 
     /// When it lapses, counted from before the request that acquired or renewed it was sent.
     #[must_use]
-    pub fn until(&self) -> MonoTime {
+    pub fn expires_at(&self) -> MonoTime {
         self.from.after(self.ttl)
     }
 }
@@ -122,17 +122,17 @@
     ///
     /// A foreign lease counts as overdue when its object has not changed for its whole duration and a margin, as
     /// seen by this instance, so a fresh instance waits at least that long.
-    pub async fn acquire(&mut self) -> Result<Held, LeaseError> {
+    pub async fn acquire(&mut self) -> Result<HeldLease, LeaseError> {
         let found = self
             .store
             .get(Purpose::Leases, LEASE_KIND, self.name.as_str())
             .await?;
         let expect = match found {
-            None => Expect::Absent,
+            None => Precondition::Absent,
             Some(object) => {
                 let version = object.version;
                 self.check_free(object)?;
-                Expect::Version(version)
+                Precondition::Version(version)
             }
         };
         self.write(expect, Some(self.settings.holder.clone())).await
@@ -140,18 +140,19 @@
 
     /// Makes a held lease last longer; the fencing number stays. After a failure the lease still ends when it would
     /// have, and may have to be acquired anew.
-    pub async fn renew(&mut self, held: &mut Held) -> Result<(), LeaseError> {
-        let fence = held.fence().ok_or(LeaseError::Lapsed)?;
-        let expect = Expect::Version(held.version);
+    pub async fn renew(&mut self, held: &mut HeldLease) -> Result<(), LeaseError> {
+        let fence = held.fence().ok_or(LeaseError::Expired)?;
+        let expect = Precondition::Version(held.version);
         let holder = Some(self.settings.holder.clone());
         let renewed = self.write(expect, holder).await?;
-        *held = Held { fence, ..renewed };
+        *held = HeldLease { fence, ..renewed };
         Ok(())
     }
 
     /// Gives the lease up, so that another instance need not wait for its end.
-    pub async fn release(&mut self, held: Held) -> Result<(), LeaseError> {
-        self.write(Expect::Version(held.version), None).await?;
+    pub async fn release(&mut self, held: HeldLease) -> Result<(), LeaseError> {
+        self.write(Precondition::Version(held.version), None)
+            .await?;
         Ok(())
     }
 
@@ -182,7 +183,11 @@
         Err(LeaseError::HeldByOther)
     }
 
-    async fn write(&self, expect: Expect, holder: Option<InstanceId>) -> Result<Held, LeaseError> {
+    async fn write(
+        &self,
+        expect: Precondition,
+        holder: Option<InstanceId>,
+    ) -> Result<HeldLease, LeaseError> {
         let (from, from_wall) = (MonoTime::now(), SystemTime::now());
         let record = Record {
             holder,
@@ -195,15 +200,15 @@
         let name = self.name.as_str();
         let written = self
             .store
-            .write_sure(Purpose::Leases, LEASE_KIND, name, expect, &value, ours)
+            .write_verified(Purpose::Leases, LEASE_KIND, name, expect, &value, ours)
             .await;
         let version = match written {
-            SureWrite::Ours { version } => version,
-            SureWrite::Conflict { .. } => return Err(LeaseError::HeldByOther),
-            SureWrite::NotWritten(e) => return Err(e.into()),
-            SureWrite::Unknown { .. } => return Err(LeaseError::Unknown),
+            WriteResult::Written { version } => version,
+            WriteResult::Conflict { .. } => return Err(LeaseError::HeldByOther),
+            WriteResult::NotWritten(e) => return Err(e.into()),
+            WriteResult::Unknown { .. } => return Err(LeaseError::Unknown),
         };
-        Ok(Held {
+        Ok(HeldLease {
             fence: version,
             version,
             from,
--- a/crates/tc-platform/src/lib.rs
+++ b/crates/tc-platform/src/lib.rs
@@ -13,16 +13,18 @@
 pub use claims::{CLAIM_KIND, Claims, ClaimsSettings, MAX_OUTCOME_BYTES};
 pub use config::{ApplyResult, apply_config, read_config, watch_config};
 pub use error::StoreError;
-pub use kinds::{Freshness, KindDialect, ListPage, ObjectEvent, StoredObject, WatchPage, Watched};
-pub use leases::{Held, LEASE_KIND, Lease, LeaseError, LeaseSettings};
+pub use kinds::{
+    Freshness, KindDialect, ListPage, ObjectEvent, StoredObject, WatchPage, WatchResult,
+};
+pub use leases::{HeldLease, LEASE_KIND, Lease, LeaseError, LeaseSettings};
 pub use quarantine::{
     QUARANTINE_KIND, Quarantined, add_quarantined, list_quarantined, remove_quarantined,
 };
-pub use store::{Expect, Purpose, Store, StoreSettings, SureWrite, Versioned};
+pub use store::{Precondition, Purpose, Store, StoreSettings, Versioned, WriteResult};
 
 /// The state machine of a claim shard, without clock and I/O. [`Claims`] drives it; so do tests.
 pub mod claim_shard {
     pub use crate::claims::{
-        KeyDigest, Op, Progress, Recording, Reply, Shard, ShardLimits, Step, Ticket,
+        KeyDigest, Op, Progress, RecordResult, Reply, Shard, ShardLimits, Step, Ticket,
     };
 }
--- a/crates/tc-platform/src/quarantine.rs
+++ b/crates/tc-platform/src/quarantine.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use tc_protocol::{Fingerprint, ServiceName, WorkspaceName};
 
-use crate::{Expect, Purpose, Store, StoreError, SureWrite};
+use crate::{Precondition, Purpose, Store, StoreError, WriteResult};
 
 /// Kind of the objects that hold quarantined fingerprints.
 pub const QUARANTINE_KIND: &str = "tanagercroft-quarantine";
@@ -40,19 +40,19 @@
     let name = object_name(entry.fingerprint);
     let purpose = Purpose::Quarantine;
     let written = store
-        .write_sure(
+        .write_verified(
             purpose,
             QUARANTINE_KIND,
             &name,
-            Expect::Absent,
+            Precondition::Absent,
             &value,
             |_| true,
         )
         .await;
     match written {
-        SureWrite::Ours { .. } | SureWrite::Conflict { .. } => Ok(()),
-        SureWrite::NotWritten(e) => Err(e),
-        SureWrite::Unknown { .. } => Err(StoreError::MaybeApplied),
+        WriteResult::Written { .. } | WriteResult::Conflict { .. } => Ok(()),
+        WriteResult::NotWritten(e) => Err(e),
+        WriteResult::Unknown { .. } => Err(StoreError::MaybeApplied),
     }
 }
 
--- a/crates/tc-platform/src/store/mod.rs
+++ b/crates/tc-platform/src/store/mod.rs
@@ -27,7 +27,7 @@
 use wire::HttpClient;
 pub(crate) use wire::{Answer, Connection, Effect};
 
-pub use sure::{Expect, SureWrite};
+pub use sure::{Precondition, WriteResult};
 pub use tally::Purpose;
 
 /// How the store is reached.
@@ -147,7 +147,7 @@
     /// Creates an object and returns its version.
     ///
     /// Fails with [`StoreError::Conflict`] when it exists, and with [`StoreError::MaybeApplied`] when the answer
-    /// was lost; see [`Store::write_sure`].
+    /// was lost; see [`Store::write_verified`].
     pub async fn create(
         &self,
         purpose: Purpose,
@@ -155,7 +155,8 @@
         name: &str,
         value: &Value,
     ) -> Result<u64, StoreError> {
-        self.put(purpose, kind, name, Expect::Absent, value).await
+        self.put(purpose, kind, name, Precondition::Absent, value)
+            .await
     }
 
     /// Writes an object whose version still is `version` and returns the new one.
@@ -169,7 +170,7 @@
         version: u64,
         value: &Value,
     ) -> Result<u64, StoreError> {
-        self.put(purpose, kind, name, Expect::Version(version), value)
+        self.put(purpose, kind, name, Precondition::Version(version), value)
             .await
     }
 
@@ -254,7 +255,7 @@
         purpose: Purpose,
         kind: &str,
         name: &str,
-        expect: Expect,
+        expect: Precondition,
         value: &Value,
     ) -> Result<u64, StoreError> {
         let path = object_path(kind, name)?;
@@ -266,8 +267,8 @@
             .method(Method::PUT)
             .header(header::CONTENT_TYPE, "application/json");
         let req = match expect {
-            Expect::Absent => req.header(header::IF_NONE_MATCH, "*"),
-            Expect::Version(v) => req.header(header::IF_MATCH, format!("\"{v}\"")),
+            Precondition::Absent => req.header(header::IF_NONE_MATCH, "*"),
+            Precondition::Version(v) => req.header(header::IF_MATCH, format!("\"{v}\"")),
         };
         let timeout = self.inner.settings.timeout;
         self.call(purpose, req, &path, body.into(), Effect::Write, timeout)
--- a/crates/tc-platform/src/store/pace.rs
+++ b/crates/tc-platform/src/store/pace.rs
@@ -33,7 +33,7 @@
 
     /// Waits for so many tokens together.
     ///
-    /// Fails with [`StoreError::Paced`] at once when the turn would come only after `longest`.
+    /// Fails with [`StoreError::RateLimited`] at once when the turn would come only after `longest`.
     ///
     /// Turns that had to be waited for are jittered: instances with the same rate would otherwise keep step, and
     /// two that write the same object would meet there at every turn, seen as claims that conflict many times.
@@ -61,7 +61,7 @@
         let reserved = (*until).max(now) + self.interval * tokens;
         let wait = reserved.duration_since(now).saturating_sub(self.burst);
         if wait > longest {
-            return Err(StoreError::Paced);
+            return Err(StoreError::RateLimited);
         }
         *until = reserved;
         Ok(wait)
--- a/crates/tc-platform/src/store/sure.rs
+++ b/crates/tc-platform/src/store/sure.rs
@@ -14,7 +14,7 @@
 
 /// What an object must be like for a write to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Expect {
+pub enum Precondition {
     /// It must not exist.
     Absent,
     /// It must have this version.
@@ -23,9 +23,9 @@
 
 /// What became of a write.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SureWrite {
+pub enum WriteResult {
     /// It took effect.
-    Ours {
+    Written {
         /// Version of the object that holds it.
         version: u64,
     },
@@ -48,49 +48,49 @@
     ///
     /// `is_ours` recognises the value of this very write, by a random identifier in it; it must not hold for
     /// anybody else's write, nor for an earlier one of ours.
-    pub async fn write_sure(
+    pub async fn write_verified(
         &self,
         purpose: Purpose,
         kind: &str,
         name: &str,
-        expect: Expect,
+        expect: Precondition,
         value: &Value,
         is_ours: impl Fn(&Value) -> bool,
-    ) -> SureWrite {
+    ) -> WriteResult {
         let mut backoff = Backoff::new(FIRST_DELAY, LONGEST_DELAY);
         let mut maybe_applied = false;
         for _ in 0..TRIES {
             match self.put(purpose, kind, name, expect, value).await {
-                Ok(version) => return SureWrite::Ours { version },
+                Ok(version) => return WriteResult::Written { version },
                 Err(StoreError::Conflict { .. }) if !maybe_applied => {
                     let current = self.get(purpose, kind, name).await.ok().flatten();
-                    return SureWrite::Conflict { current };
+                    return WriteResult::Conflict { current };
                 }
                 Err(StoreError::MaybeApplied) => maybe_applied = true,
-                Err(e) if !maybe_applied => return SureWrite::NotWritten(e),
+                Err(e) if !maybe_applied => return WriteResult::NotWritten(e),
                 Err(_) => {}
             }
             // Lost answer: the object itself knows. An unchanged object says nothing, since the write may still be
             // on its way; writing the same again with the same condition settles it.
             match self.get(purpose, kind, name).await {
                 Ok(Some(current)) if is_ours(&current.value) => {
-                    return SureWrite::Ours {
+                    return WriteResult::Written {
                         version: current.version,
                     };
                 }
                 Ok(current) if !fits(expect, current.as_ref()) => {
-                    return SureWrite::Unknown { current };
+                    return WriteResult::Unknown { current };
                 }
                 Ok(_) | Err(_) => backoff.wait().await,
             }
         }
-        SureWrite::Unknown { current: None }
+        WriteResult::Unknown { current: None }
     }
 }
 
-fn fits(expect: Expect, current: Option<&Versioned<Value>>) -> bool {
+fn fits(expect: Precondition, current: Option<&Versioned<Value>>) -> bool {
     match expect {
-        Expect::Absent => current.is_none(),
-        Expect::Version(v) => current.is_some_and(|c| c.version == v),
+        Precondition::Absent => current.is_none(),
+        Precondition::Version(v) => current.is_some_and(|c| c.version == v),
     }
 }
--- a/crates/tc-platform/tests/claim_shard/expiry.rs
+++ b/crates/tc-platform/tests/claim_shard/expiry.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use tc_platform::claim_shard::{Op, Recording, Reply, Shard, ShardLimits, Step};
+use tc_platform::claim_shard::{Op, RecordResult, Reply, Shard, ShardLimits, Step};
 use tc_protocol::{ClaimVerdict, MonoTime, RecordedOutcome, RunState};
 
 use crate::{
@@ -33,7 +33,7 @@
     let key = digest(key);
     let ticket = shard.push(Op::Claim {
         key,
-        body: 1,
+        body_hash: 1,
         claim_id,
     });
     let replies = settle(shard, store, now);
@@ -114,7 +114,7 @@
         }),
     });
     let replies = settle(&mut shard, &mut store, at(0.1));
-    assert_eq!(replies, [(ticket, Reply::Record(Recording::Done))]);
+    assert_eq!(replies, [(ticket, Reply::Record(RecordResult::Recorded))]);
     assert_eq!(claim(&mut shard, &mut store, at(1.1), 3), "ours");
 }
 
@@ -131,7 +131,7 @@
     let key = digest(3);
     slow.push(Op::Claim {
         key,
-        body: 1,
+        body_hash: 1,
         claim_id: "slow".into(),
     });
     loop {
--- a/crates/tc-platform/tests/claim_shard/steps.rs
+++ b/crates/tc-platform/tests/claim_shard/steps.rs
@@ -35,14 +35,14 @@
 
 pub(crate) fn feed(shard: &mut Shard, now: MonoTime, step: &Step, outcome: Outcome) -> Progress {
     match (step, outcome) {
-        (Step::ReadHead, Outcome::Read(found)) => shard.on_head(now, found),
-        (Step::ReadSegment(name), Outcome::Read(found)) => shard.on_segment(now, name, found),
+        (Step::ReadHead, Outcome::Read(found)) => shard.on_head_read(now, found),
+        (Step::ReadSegment(name), Outcome::Read(found)) => shard.on_segment_read(now, name, found),
         (Step::CreateSegment(name, _), Outcome::Written(done)) => {
-            shard.on_created(now, name, &done)
+            shard.on_segment_created(now, name, &done)
         }
-        (Step::WriteHead(..), Outcome::Written(done)) => shard.on_written(now, done),
+        (Step::WriteHead(..), Outcome::Written(done)) => shard.on_head_written(now, done),
         (Step::Delete(name), Outcome::Deleted(done)) => {
-            shard.on_deleted(name, done);
+            shard.on_segment_deleted(name, done);
             Progress::Made
         }
         (step, _) => panic!("no such outcome of {step:?}"),
--- a/crates/tc-platform/tests/claim_shard/world.rs
+++ b/crates/tc-platform/tests/claim_shard/world.rs
@@ -6,7 +6,9 @@
     time::Duration,
 };
 
-use tc_platform::claim_shard::{Op, Progress, Recording, Reply, Shard, ShardLimits, Step, Ticket};
+use tc_platform::claim_shard::{
+    Op, Progress, RecordResult, Reply, Shard, ShardLimits, Step, Ticket,
+};
 use tc_protocol::{ClaimVerdict, MonoTime, RecordedOutcome, RunState};
 
 use crate::{
@@ -104,7 +106,7 @@
         let writer = &mut self.writers[at];
         let ticket = writer.shard.push(Op::Claim {
             key: digest(key),
-            body,
+            body_hash: body,
             claim_id,
         });
         let call = Call {
@@ -175,12 +177,12 @@
         }
         let Writer { shard, calls, .. } = &mut self.writers[at];
         shard.drop_abandoned(|ticket| calls.get(&ticket).is_some_and(|c| c.left));
-        calls.retain(|ticket, _| shard.has(*ticket));
+        calls.retain(|ticket, _| shard.is_queued(*ticket));
         let step = shard.next_step(self.now);
         self.take_replies(at);
         if step == Step::Idle {
             // An answer nobody waited for may just have led to a release.
-            return self.writers[at].shard.waiting() > 0;
+            return self.writers[at].shard.queue_len() > 0;
         }
         let life = self.writers[at].life;
         let outcome = carry_out(&mut self.store, life, &step);
@@ -194,13 +196,13 @@
                 Reply::Claim(verdict) => self.judge_claim(at, ticket, verdict),
                 Reply::Record(recording) => {
                     let (key, outcome) = self.writers[at].records.remove(&ticket).unwrap();
-                    assert_eq!(recording, Recording::Done, "outcome of key {key}");
+                    assert_eq!(recording, RecordResult::Recorded, "outcome of key {key}");
                     self.oracle.confirmed.insert(key, outcome);
                 }
                 Reply::Released => {
                     self.writers[at].releases.remove(&ticket);
                 }
-                Reply::Look(_) => {}
+                Reply::Lookup(_) => {}
             }
         }
     }
@@ -289,7 +291,7 @@
     fn settle(&mut self, at: usize) {
         for _ in 0..MAX_STEPS {
             if !self.half_step_at(at) {
-                assert_eq!(self.writers[at].shard.waiting(), 0);
+                assert_eq!(self.writers[at].shard.queue_len(), 0);
                 return;
             }
         }
--- a/crates/tc-platform/tests/claims.rs
+++ b/crates/tc-platform/tests/claims.rs
@@ -242,7 +242,7 @@
     let recorded = a.record(&key("k"), &id, ran.clone()).await;
     assert_eq!(recorded, Err(StoreError::MaybeApplied));
     platform.faults().set_down(false);
-    let joined = b.wait_recorded(&key("k"), LONG).await;
+    let joined = b.wait_for_outcome(&key("k"), LONG).await;
     assert_eq!(joined, ClaimVerdict::Recorded(ran));
 }
 
@@ -258,9 +258,9 @@
     let (ended_key, refused_key, running_key) = (key("ended"), key("refused"), key("running"));
     let joins = async {
         tokio::join!(
-            b.wait_recorded(&ended_key, LONG),
-            b.wait_recorded(&refused_key, LONG),
-            b.wait_recorded(&running_key, SHORT),
+            b.wait_for_outcome(&ended_key, LONG),
+            b.wait_for_outcome(&refused_key, LONG),
+            b.wait_for_outcome(&running_key, SHORT),
         )
     };
     let (joined, ()) = tokio::join!(joins, async {
--- a/crates/tc-platform/tests/kinds.rs
+++ b/crates/tc-platform/tests/kinds.rs
@@ -19,7 +19,7 @@
         Some(ListPage {
             items: Vec::new(),
             has_more: false,
-            at: 1,
+            revision: 1,
             unreadable: Vec::new(),
         })
     },
@@ -27,7 +27,7 @@
     read_watch: |_| {
         Some(WatchPage {
             events: Vec::new(),
-            at: 1,
+            revision: 1,
             unreadable: Vec::new(),
         })
     },
--- a/crates/tc-platform/tests/leases.rs
+++ b/crates/tc-platform/tests/leases.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{platform, settings, store};
-use tc_platform::{Held, Lease, LeaseError, LeaseSettings, Store, StoreSettings};
+use tc_platform::{HeldLease, Lease, LeaseError, LeaseSettings, Store, StoreSettings};
 use tc_protocol::Incarnation;
 
 const TTL: Duration = Duration::from_millis(100);
@@ -25,7 +25,7 @@
     Lease::new(store, "engines".into(), settings)
 }
 
-async fn take_over(lease: &mut Lease) -> Held {
+async fn take_over(lease: &mut Lease) -> HeldLease {
     loop {
         match lease.acquire().await {
             Ok(held) => return held,
@@ -47,10 +47,10 @@
         let [holder, other] = &mut names;
         // Fails on a machine so busy that the lease is over already, which is one more way of stopping.
         let renewed = holder.renew(&mut held).await;
-        assert!(matches!(renewed, Ok(()) | Err(LeaseError::Lapsed)));
+        assert!(matches!(renewed, Ok(()) | Err(LeaseError::Expired)));
         let next = take_over(other).await;
         assert_eq!(held.fence(), None);
-        assert!(next.until() > held.until());
+        assert!(next.expires_at() > held.expires_at());
         held = next;
         names.reverse();
     }
--- a/crates/tc-platform/tests/objects.rs
+++ b/crates/tc-platform/tests/objects.rs
@@ -91,9 +91,9 @@
     let mut held = a.acquire().await.unwrap();
     let fence = held.fence().unwrap();
     assert_eq!(b.acquire().await.unwrap_err(), LeaseError::HeldByOther);
-    let until = held.until();
+    let until = held.expires_at();
     a.renew(&mut held).await.unwrap();
-    assert!(held.until() > until);
+    assert!(held.expires_at() > until);
     assert_eq!(held.fence(), Some(fence));
     a.release(held).await.unwrap();
     assert!(b.acquire().await.unwrap().fence().unwrap() > fence);
@@ -109,14 +109,14 @@
     // A new life of the same instance is another holder: the old one may only be paused.
     let mut b = lease(&platform, "a", 2, LONG);
     let mut held = a.acquire().await.unwrap();
-    let old = held.fence_at(held.until());
+    let old = held.fence_at(held.expires_at());
     assert_eq!(old, None);
     assert_eq!(b.acquire().await.unwrap_err(), LeaseError::HeldByOther);
     tokio::time::sleep(SHORT.mul_f64(1.2)).await;
     assert_eq!(held.fence(), None);
     let taken = b.acquire().await.unwrap();
     assert!(taken.fence().is_some());
-    assert_eq!(a.renew(&mut held).await, Err(LeaseError::Lapsed));
+    assert_eq!(a.renew(&mut held).await, Err(LeaseError::Expired));
     assert_eq!(a.release(held).await, Err(LeaseError::HeldByOther));
 }
 
--- a/crates/tc-platform/tests/store.rs
+++ b/crates/tc-platform/tests/store.rs
@@ -7,7 +7,7 @@
 use common::{TIMEOUT, platform, settings, store};
 use futures::future::join_all;
 use serde_json::{Value, json};
-use tc_platform::{Expect, Purpose, Store, StoreError, StoreSettings, SureWrite};
+use tc_platform::{Precondition, Purpose, Store, StoreError, StoreSettings, WriteResult};
 use tc_protocol::wire::{ListedInstance, ListedState};
 use tc_stand_ins::{Platform, RateLimits};
 
@@ -161,10 +161,12 @@
         break_it(&platform);
         let ours = json!("ours");
         let written = store
-            .write_sure(PURPOSE, KIND, "a", Expect::Absent, &ours, |v| *v == ours)
+            .write_verified(PURPOSE, KIND, "a", Precondition::Absent, &ours, |v| {
+                *v == ours
+            })
             .await;
         assert_eq!(word(&written), expected, "{fault}");
-        if let SureWrite::Ours { version } = written {
+        if let WriteResult::Written { version } = written {
             assert_eq!(platform.object(KIND, "a"), Some((version, ours)), "{fault}");
         }
     }
@@ -175,8 +177,17 @@
     let platform = platform().await;
     let store = store(&platform);
     create(&store, "a").await.unwrap();
-    let write = || store.write_sure(PURPOSE, KIND, "a", Expect::Absent, &Value::Null, |_| false);
-    let SureWrite::Conflict {
+    let write = || {
+        store.write_verified(
+            PURPOSE,
+            KIND,
+            "a",
+            Precondition::Absent,
+            &Value::Null,
+            |_| false,
+        )
+    };
+    let WriteResult::Conflict {
         current: Some(found),
     } = write().await
     else {
@@ -188,12 +199,12 @@
     assert_eq!(word(&write().await), "unknown");
 }
 
-const fn word(written: &SureWrite) -> &'static str {
+const fn word(written: &WriteResult) -> &'static str {
     match written {
-        SureWrite::Ours { .. } => "ours",
-        SureWrite::Conflict { .. } => "conflict",
-        SureWrite::NotWritten(_) => "not written",
-        SureWrite::Unknown { .. } => "unknown",
+        WriteResult::Written { .. } => "ours",
+        WriteResult::Conflict { .. } => "conflict",
+        WriteResult::NotWritten(_) => "not written",
+        WriteResult::Unknown { .. } => "unknown",
     }
 }
 
@@ -228,7 +239,9 @@
     let names: Vec<_> = (0..5).map(|n| format!("n{n}")).collect();
     let reads = names.iter().map(|name| store.get(PURPOSE, KIND, name));
     let results = join_all(reads).await;
-    let paced = results.iter().filter(|r| **r == Err(StoreError::Paced));
+    let paced = results
+        .iter()
+        .filter(|r| **r == Err(StoreError::RateLimited));
     assert_eq!(paced.count(), 3);
     assert_eq!(
         platform.calls(),
