--- a/crates/tc-platform/src/backoff.rs
+++ b/crates/tc-platform/src/backoff.rs
@@ -22,26 +22,26 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Duration,
-    most: Duration,
+    initial: Duration,
+    max: Duration,
     window: Duration,
 }
 
 impl Backoff {
     /// Windows grow from `first` to `most`.
     #[must_use]
-    pub fn new(first: Duration, most: Duration) -> Self {
+    pub fn new(initial: Duration, max: Duration) -> Self {
         Self {
-            first,
-            most,
-            window: first.min(most),
+            initial,
+            max,
+            window: initial.min(max),
         }
     }
 
     /// The next delay for a random number from 0 up to 1.
     pub fn next_delay(&mut self, random: f64) -> Duration {
         let window = self.window;
-        self.window = (window * FACTOR).min(self.most);
+        self.window = (window * FACTOR).min(self.max);
         window.mul_f64(0.5 + random.clamp(0.0, 1.0) / 2.0)
     }
 
@@ -52,6 +52,6 @@
 
     /// Starts over after a success.
     pub fn reset(&mut self) {
-        self.window = self.first.min(self.most);
+        self.window = self.initial.min(self.max);
     }
 }
--- a/crates/tc-platform/src/claims/batch.rs
+++ b/crates/tc-platform/src/claims/batch.rs
@@ -6,8 +6,8 @@
 
 use super::{
     model::{Entry, Head, KeyDigest, json_len},
-    op::{Found, Judged, Op, RecordResult, Reply, Ticket},
-    shard::{Prepared, Queued, Shard, Step},
+    op::{Decision, Found, Op, RecordResult, Reply, Ticket},
+    shard::{PreparedSegment, Queued, Shard, Step},
 };
 use crate::Versioned;
 
@@ -25,7 +25,7 @@
     changes: BTreeMap<KeyDigest, Option<Entry>>,
     bytes: usize,
     /// Operations judged, from the front of the queue.
-    pub(super) judged: usize,
+    pub(super) decided: usize,
     /// Whether the shard has no room for another segment.
     full: bool,
     /// Segments dropped by the write.
@@ -46,7 +46,7 @@
                 break;
             }
             batch.take(shard, head, queued)?;
-            batch.judged += 1;
+            batch.decided += 1;
         }
         Ok(batch)
     }
@@ -56,31 +56,31 @@
         let fresh = queued.ticket < shard.fresh_below || self.changes.contains_key(&key);
         let listed = &head.value.segments;
         let in_segments = shard.sealed.find(listed, key);
-        let sealed = !matches!(in_segments, Found::Nothing)
-            || (shard.prepared.is_some() && head.value.entries.contains_key(&key));
+        let sealed = !matches!(in_segments, Found::None)
+            || (shard.prepared_segment.is_some() && head.value.entries.contains_key(&key));
         let found = match (self.changes.get(&key), head.value.entries.get(&key)) {
             (Some(Some(entry)), _) | (None, Some(entry)) => Found::Entry(entry),
-            (Some(None), _) => Found::Nothing,
+            (Some(None), _) => Found::None,
             (None, None) => in_segments,
         };
-        let judged = queued.op.judge(&found, fresh, sealed);
-        self.add(shard, queued, judged)
+        let decision = queued.op.decide(&found, fresh, sealed);
+        self.add(shard, queued, decision)
     }
 
-    fn add(&mut self, shard: &Shard, queued: &Queued, judged: Judged) -> Result<(), Step> {
+    fn add(&mut self, shard: &Shard, queued: &Queued, decision: Decision) -> Result<(), Step> {
         let (ticket, key) = (queued.ticket, queued.op.key());
-        match judged {
-            Judged::Stale => return Err(Step::ReadHead),
-            Judged::Read(name) => return Err(Step::ReadSegment(name)),
-            Judged::Answer(reply) if self.changes.contains_key(&key) => {
+        match decision {
+            Decision::StaleHead => return Err(Step::ReadHead),
+            Decision::ReadSegment(name) => return Err(Step::ReadSegment(name)),
+            Decision::Answer(reply) if self.changes.contains_key(&key) => {
                 self.pending.push((ticket, reply));
             }
-            Judged::Answer(reply) => self.answered.push((ticket, reply)),
-            Judged::Change(entry, reply) => {
+            Decision::Answer(reply) => self.answered.push((ticket, reply)),
+            Decision::Change(entry, reply) => {
                 // An operation that may have been written already is not refused for want of room: its fate has to
                 // be settled by a write first.
                 let may_refuse = queued.maybe_written_on.is_none() && self.full;
-                let refusal = may_refuse.then(|| refused_when_full(shard, &queued.op));
+                let refusal = may_refuse.then(|| refusal_if_full(shard, &queued.op));
                 if let Some(refusal) = refusal.flatten() {
                     self.answered.push((ticket, refusal));
                     return Ok(());
@@ -97,13 +97,13 @@
     pub(super) fn head(
         &self,
         old: &Versioned<Head>,
-        prepared: Option<&Prepared>,
+        prepared_segment: Option<&PreparedSegment>,
         expired: usize,
     ) -> Head {
         let mut new = old.value.clone();
-        if let Some(prepared) = prepared {
+        if let Some(prepared_segment) = prepared_segment {
             new.entries.clear();
-            new.segments.push(prepared.name.clone());
+            new.segments.push(prepared_segment.name.clone());
         }
         if expired > 0 {
             new.retired = new.segments.drain(..expired).collect();
@@ -119,7 +119,7 @@
 }
 
 /// The answer to an operation that the full shard has no room for; `None` when it still has.
-fn refused_when_full(shard: &Shard, op: &Op) -> Option<Reply> {
+fn refusal_if_full(shard: &Shard, op: &Op) -> Option<Reply> {
     match op {
         Op::Claim { .. } => {
             log::error!(
@@ -128,7 +128,7 @@
             );
             Some(Reply::Claim(ClaimVerdict::Unavailable))
         }
-        Op::Record { .. } if shard.head_bytes >= shard.limits.last_room() => {
+        Op::Record { .. } if shard.head_bytes >= shard.limits.max_head_bytes() => {
             Some(Reply::Record(RecordResult::Full))
         }
         _ => None,
--- a/crates/tc-platform/src/claims/grant.rs
+++ b/crates/tc-platform/src/claims/claim_guard.rs
@@ -5,18 +5,18 @@
 use tc_protocol::ClaimVerdict;
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::{group::Request, model::KeyDigest};
+use super::{committer::Request, model::KeyDigest};
 
 /// A verdict that gives its claim up when nobody takes it.
 ///
 /// A claim may be written after its caller has stopped waiting. Without the release on drop, the key would stay
 /// claimed by a run that never happens, and every resend would be told "unknown" until the claim expires.
-pub(super) struct Grant {
+pub(super) struct ClaimGuard {
     verdict: ClaimVerdict,
     release: Option<(KeyDigest, UnboundedSender<Request>)>,
 }
 
-impl Grant {
+impl ClaimGuard {
     pub(super) fn new(
         key: KeyDigest,
         verdict: ClaimVerdict,
@@ -29,13 +29,13 @@
     }
 
     /// Takes the verdict over, and with it the claim.
-    pub(super) fn take(mut self) -> ClaimVerdict {
+    pub(super) fn into_verdict(mut self) -> ClaimVerdict {
         self.release = None;
         self.verdict.clone()
     }
 }
 
-impl Drop for Grant {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         let ClaimVerdict::Acquired { claim_id } = &self.verdict else {
             return;
--- a/crates/tc-platform/src/claims/group.rs
+++ b/crates/tc-platform/src/claims/committer.rs
@@ -21,15 +21,15 @@
 
 use super::{
     CLAIM_KIND,
-    grant::Grant,
+    claim_guard::ClaimGuard,
     model::KeyDigest,
     op::{Op, RecordResult, Reply, Ticket},
     shard::{Progress, Shard, Step},
 };
 use crate::{Backoff, Purpose, Store, StoreError, Versioned};
 
-const FIRST_DELAY: Duration = Duration::from_millis(5);
-const LONGEST_DELAY: Duration = Duration::from_secs(1);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// An operation and who waits for its answer.
 pub(super) struct Request {
@@ -41,30 +41,30 @@
     pub(super) fn release(key: KeyDigest, claim_id: Arc<str>) -> Self {
         Self {
             op: Op::Release { key, claim_id },
-            waiter: Waiter::Nobody,
+            waiter: Waiter::None,
         }
     }
 }
 
 pub(super) enum Waiter {
-    Claim(KeyDigest, oneshot::Sender<Grant>),
+    Claim(KeyDigest, oneshot::Sender<ClaimGuard>),
     Lookup(oneshot::Sender<ClaimVerdict>),
     Record(oneshot::Sender<RecordResult>),
-    Nobody,
+    None,
 }
 
 impl Waiter {
     /// Whether it counts towards the bound on waiting operations. Releases do not: losing one would leave a key
     /// claimed by a run that never happens.
     pub(super) const fn is_counted(&self) -> bool {
-        !matches!(self, Self::Nobody)
+        !matches!(self, Self::None)
     }
 
-    fn has_left(&self) -> bool {
+    fn is_abandoned(&self) -> bool {
         match self {
             Self::Claim(_, tx) => tx.is_closed(),
             Self::Lookup(tx) => tx.is_closed(),
-            Self::Record(_) | Self::Nobody => false,
+            Self::Record(_) | Self::None => false,
         }
     }
 }
@@ -89,22 +89,22 @@
     pub(super) waiters: HashMap<Ticket, Waiter>,
     pub(super) last_commit: Option<Instant>,
     /// Calls whose turn was waited for already.
-    pub(super) turns: u32,
+    pub(super) reserved_calls: u32,
 }
 
 impl Committer {
     /// Runs until all handles are dropped and what they asked for is done, or the store cannot be reached then.
     pub(super) async fn run(mut self) {
-        let mut backoff = Backoff::new(FIRST_DELAY, LONGEST_DELAY);
+        let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
         while let Some(req) = self.rx.recv().await {
             self.accept(req);
-            self.collect().await;
+            self.wait_for_interval().await;
             loop {
-                self.drain();
-                let turn = self.take_turns(self.shard.expected_calls()).await;
-                self.drain();
-                let done = match turn {
-                    Ok(()) => self.step().await,
+                self.accept_queued();
+                let reserved = self.reserve_calls(self.shard.expected_calls()).await;
+                self.accept_queued();
+                let done = match reserved {
+                    Ok(()) => self.run_step().await,
                     Err(_) => Some(Progress::None),
                 };
                 match done {
@@ -118,7 +118,7 @@
     }
 
     /// Lets operations gather until the commit interval since the last commit is over.
-    async fn collect(&self) {
+    async fn wait_for_interval(&self) {
         if let Some(last) = self.last_commit {
             tokio::time::sleep_until(last + self.shared.commit_interval).await;
         }
@@ -126,23 +126,23 @@
 
     /// Waits for the turns of the next calls, before the operations for them are taken: those that come meanwhile
     /// are then in the same commit.
-    async fn take_turns(&mut self, calls: u32) -> Result<(), StoreError> {
-        let missing = calls.saturating_sub(self.turns);
+    async fn reserve_calls(&mut self, calls: u32) -> Result<(), StoreError> {
+        let missing = calls.saturating_sub(self.reserved_calls);
         if missing > 0 {
-            self.shared.store.take_turns(missing).await?;
-            self.turns += missing;
+            self.shared.store.reserve_calls(missing).await?;
+            self.reserved_calls += missing;
         }
         Ok(())
     }
 
-    fn drain(&mut self) {
+    fn accept_queued(&mut self) {
         while let Ok(req) = self.rx.try_recv() {
             self.accept(req);
         }
         let waiters = &mut self.waiters;
         let shared = &self.shared;
         self.shard
-            .drop_abandoned(|ticket| waiters.get(&ticket).is_some_and(Waiter::has_left));
+            .drop_abandoned(|ticket| waiters.get(&ticket).is_some_and(Waiter::is_abandoned));
         if waiters.len() > self.shard.queue_len() {
             let before = waiters.len();
             waiters.retain(|ticket, _| self.shard.is_queued(*ticket));
@@ -158,7 +158,7 @@
     }
 
     /// Carries out one step; `None` when there was none.
-    async fn step(&mut self) -> Option<Progress> {
+    async fn run_step(&mut self) -> Option<Progress> {
         let retention = self.shared.retention_ms.load(Ordering::Relaxed);
         self.shard.set_retention(Duration::from_millis(retention));
         let step = self.shard.next_step(MonoTime::now());
@@ -190,19 +190,19 @@
     }
 
     /// The client for the next call, after waiting for its turn unless that was done before.
-    async fn turn(&mut self) -> Result<Store, StoreError> {
-        self.take_turns(1).await?;
-        self.turns -= 1;
-        Ok(self.shared.store.with_turns())
+    async fn reserved_store(&mut self) -> Result<Store, StoreError> {
+        self.reserve_calls(1).await?;
+        self.reserved_calls -= 1;
+        Ok(self.shared.store.with_reserved_calls())
     }
 
     async fn get(&mut self, name: &str) -> Result<Option<Versioned<Value>>, StoreError> {
-        let store = self.turn().await?;
+        let store = self.reserved_store().await?;
         store.get(Purpose::Claims, CLAIM_KIND, name).await
     }
 
     async fn create(&mut self, name: &str, value: &Value) -> Result<u64, StoreError> {
-        let store = self.turn().await?;
+        let store = self.reserved_store().await?;
         store.create(Purpose::Claims, CLAIM_KIND, name, value).await
     }
 
@@ -210,7 +210,7 @@
         if base == 0 {
             return self.create(&self.head_name.clone(), value).await;
         }
-        let store = self.turn().await?;
+        let store = self.reserved_store().await?;
         store
             .update(Purpose::Claims, CLAIM_KIND, &self.head_name, base, value)
             .await
@@ -224,7 +224,7 @@
             self.deliver();
             self.last_commit = Some(Instant::now());
             if self.shard.queue_len() > 0 {
-                self.collect().await;
+                self.wait_for_interval().await;
             }
         }
         progress
@@ -234,7 +234,7 @@
         let Some(found) = self.get(name).await? else {
             return Ok(());
         };
-        let store = self.turn().await?;
+        let store = self.reserved_store().await?;
         store
             .delete(Purpose::Claims, CLAIM_KIND, name, found.version)
             .await
@@ -251,16 +251,16 @@
             // Whoever left gets nothing; a claim that went to nobody is released by its grant.
             match (waiter, reply) {
                 (Waiter::Claim(key, tx), Reply::Claim(verdict)) => {
-                    let Some(requests) = self.release_lane() else {
+                    let Some(requests) = self.release_sender() else {
                         continue;
                     };
-                    let _ = tx.send(Grant::new(key, verdict, requests));
+                    let _ = tx.send(ClaimGuard::new(key, verdict, requests));
                 }
                 (Waiter::Lookup(tx), Reply::Lookup(verdict)) => {
                     let _ = tx.send(verdict);
                 }
-                (Waiter::Record(tx), Reply::Record(recording)) => {
-                    let _ = tx.send(recording);
+                (Waiter::Record(tx), Reply::Record(record_result)) => {
+                    let _ = tx.send(record_result);
                 }
                 _ => {}
             }
@@ -268,7 +268,7 @@
     }
 
     /// Where a grant sends its release; `None` when no handle is left, so that nobody can wait for a verdict either.
-    fn release_lane(&self) -> Option<UnboundedSender<Request>> {
+    fn release_sender(&self) -> Option<UnboundedSender<Request>> {
         self.tx.upgrade()
     }
 }
--- a/crates/tc-platform/src/claims/mod.rs
+++ b/crates/tc-platform/src/claims/mod.rs
@@ -1,14 +1,14 @@
 //! Claims on idempotency keys: a request that must not run twice runs only under a claim.
 
 mod batch;
-mod feedback;
-mod grant;
-mod group;
+mod claim_guard;
+mod committer;
 mod model;
 mod op;
-mod outage;
-mod sealed;
+mod outage_detector;
+mod sealed_index;
 mod shard;
+mod step_results;
 
 use std::{
     collections::HashMap,
@@ -34,8 +34,8 @@
 };
 
 use crate::{Backoff, Precondition, Purpose, Store, StoreError, WriteResult};
-use group::{Committer, Request, Shared, Waiter};
-use outage::Outage;
+use committer::{Committer, Request, Shared, Waiter};
+use outage_detector::OutageDetector;
 
 pub use model::{KeyDigest, MAX_OUTCOME_BYTES};
 pub use op::{Op, RecordResult, Reply, ShardLimits, Ticket};
@@ -47,11 +47,11 @@
 /// Object that holds the number of shards.
 const LAYOUT_NAME: &str = "layout";
 /// Operations that may wait at once; more are refused, since the store is hopelessly behind.
-const MAX_WAITING: usize = 20_000;
+const MAX_QUEUED: usize = 20_000;
 /// How long recording an outcome is waited for; it goes on in the background.
-const RECORD_WAIT: Duration = Duration::from_secs(2);
-const FIRST_LOOK_DELAY: Duration = Duration::from_millis(20);
-const LONGEST_LOOK_DELAY: Duration = Duration::from_millis(400);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
+const INITIAL_POLL_DELAY: Duration = Duration::from_millis(20);
+const MAX_POLL_DELAY: Duration = Duration::from_millis(400);
 
 /// How claims are made.
 #[derive(Clone, Debug)]
@@ -87,8 +87,8 @@
     settings: ClaimsSettings,
     runtime: Handle,
     shards: OnceCell<u32>,
-    lanes: Mutex<HashMap<u32, UnboundedSender<Request>>>,
-    outage: Outage,
+    commit_queues: Mutex<HashMap<u32, UnboundedSender<Request>>>,
+    outage_detector: OutageDetector,
     /// Random, so that two lives of one instance never make the same claim id, even with a stuck clock.
     nonce: u32,
     next_claim: AtomicU64,
@@ -114,8 +114,8 @@
                 settings,
                 runtime: Handle::current(),
                 shards: OnceCell::new(),
-                lanes: Mutex::default(),
-                outage: Outage::default(),
+                commit_queues: Mutex::default(),
+                outage_detector: OutageDetector::default(),
                 nonce: rand::random(),
                 next_claim: AtomicU64::new(0),
             }),
@@ -131,29 +131,33 @@
         let started = (MonoTime::now(), SystemTime::now());
         let store = &self.inner.shared.store;
         let runtime = &self.inner.runtime;
-        if self.inner.outage.refuses(store, runtime, started.0) {
+        if self
+            .inner
+            .outage_detector
+            .rejects_claim(store, runtime, started.0)
+        {
             return ClaimVerdict::Unavailable;
         }
         let key = KeyDigest::of(&key);
         let (tx, rx) = oneshot::channel();
-        let asked = async {
+        let submitted = async {
             let op = Op::Claim {
                 key,
                 body_hash,
                 claim_id: self.new_claim_id(),
             };
-            self.ask(key, op, Waiter::Claim(key, tx)).await?;
+            self.submit(key, op, Waiter::Claim(key, tx)).await?;
             rx.await.map_err(|_| StoreError::Unreachable)
         };
-        let grant = tokio::select! {
+        let claim_guard = tokio::select! {
             biased;
-            grant = tokio::time::timeout(wait, asked) => grant,
-            () = Outage::gives_up(store) => return ClaimVerdict::Unavailable,
+            claim_guard = tokio::time::timeout(wait, submitted) => claim_guard,
+            () = OutageDetector::wait_until_down(store) => return ClaimVerdict::Unavailable,
         };
-        match grant {
+        match claim_guard {
             // A process that was paused finds its verdict long after its time: the claim may have expired since,
             // and acting on it would run the request beside the next holder's.
-            Ok(Ok(grant)) if !is_over(started, wait) => grant.take(),
+            Ok(Ok(claim_guard)) if !has_elapsed(started, wait) => claim_guard.into_verdict(),
             _ => ClaimVerdict::Unavailable,
         }
     }
@@ -173,16 +177,16 @@
         let claim_id: Arc<str> = claim_id.into();
         if outcome.run_state == RunState::NotRun {
             let op = Op::Release { key, claim_id };
-            return self.ask(key, op, Waiter::Nobody).await;
+            return self.submit(key, op, Waiter::None).await;
         }
         let (tx, rx) = oneshot::channel();
         let op = Op::Record {
             key,
             claim_id,
-            outcome: Arc::new(model::kept(outcome)),
+            outcome: Arc::new(model::truncate_outcome(outcome)),
         };
-        self.ask(key, op, Waiter::Record(tx)).await?;
-        match tokio::time::timeout(RECORD_WAIT, rx).await {
+        self.submit(key, op, Waiter::Record(tx)).await?;
+        match tokio::time::timeout(RECORD_TIMEOUT, rx).await {
             Ok(Ok(RecordResult::Recorded)) => Ok(()),
             Ok(Ok(RecordResult::NotHolder)) => Err(StoreError::Conflict { current: None }),
             Ok(Ok(RecordResult::Full)) => Err(StoreError::TooLarge),
@@ -196,7 +200,7 @@
     /// [`ClaimVerdict::Unavailable`] when the claim was released, so the request surely did not run.
     pub async fn wait_for_outcome(&self, key: &ClaimKey, wait: Duration) -> ClaimVerdict {
         let key = KeyDigest::of(key);
-        tokio::time::timeout(wait, self.look_until_settled(key))
+        tokio::time::timeout(wait, self.poll_outcome(key))
             .await
             .unwrap_or(ClaimVerdict::Held)
     }
@@ -210,12 +214,14 @@
             .store(millis, Ordering::Relaxed);
     }
 
-    async fn look_until_settled(&self, key: KeyDigest) -> ClaimVerdict {
-        let mut backoff = Backoff::new(FIRST_LOOK_DELAY, LONGEST_LOOK_DELAY);
+    async fn poll_outcome(&self, key: KeyDigest) -> ClaimVerdict {
+        let mut backoff = Backoff::new(INITIAL_POLL_DELAY, MAX_POLL_DELAY);
         loop {
             let (tx, rx) = oneshot::channel();
-            let asked = self.ask(key, Op::Lookup { key }, Waiter::Lookup(tx)).await;
-            if asked.is_ok()
+            let submitted = self
+                .submit(key, Op::Lookup { key }, Waiter::Lookup(tx))
+                .await;
+            if submitted.is_ok()
                 && let Ok(verdict) = rx.await
                 && verdict != ClaimVerdict::Held
             {
@@ -225,24 +231,25 @@
         }
     }
 
-    async fn ask(&self, key: KeyDigest, op: Op, waiter: Waiter) -> Result<(), StoreError> {
+    async fn submit(&self, key: KeyDigest, op: Op, waiter: Waiter) -> Result<(), StoreError> {
         let shards = *self
             .inner
             .shards
-            .get_or_try_init(|| self.agree_on_shards())
+            .get_or_try_init(|| self.read_or_create_layout())
             .await?;
         let waiting = &self.inner.shared.waiting;
-        if waiter.is_counted() && waiting.fetch_add(1, Ordering::Relaxed) >= MAX_WAITING {
+        if waiter.is_counted() && waiting.fetch_add(1, Ordering::Relaxed) >= MAX_QUEUED {
             waiting.fetch_sub(1, Ordering::Relaxed);
             return Err(StoreError::RateLimited);
         }
-        let lane = self.lane(key.shard(shards));
-        lane.send(Request { op, waiter })
+        let commit_queue = self.commit_queue(key.shard(shards));
+        commit_queue
+            .send(Request { op, waiter })
             .map_err(|_| StoreError::Unreachable)
     }
 
     /// Reads how many shards there are, or fixes the number if nobody has.
-    async fn agree_on_shards(&self) -> Result<u32, StoreError> {
+    async fn read_or_create_layout(&self) -> Result<u32, StoreError> {
         let store = &self.inner.shared.store;
         let wanted = Layout {
             shards: self.inner.settings.shards.max(1),
@@ -263,9 +270,12 @@
         Ok(layout.shards)
     }
 
-    fn lane(&self, shard: u32) -> UnboundedSender<Request> {
+    fn commit_queue(&self, shard: u32) -> UnboundedSender<Request> {
         let inner = &self.inner;
-        let mut lanes = inner.lanes.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut commit_queues = inner
+            .commit_queues
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let start = || {
             let (tx, rx) = unbounded_channel();
             let limits = ShardLimits {
@@ -280,12 +290,12 @@
                 tx: tx.downgrade(),
                 waiters: HashMap::new(),
                 last_commit: None,
-                turns: 0,
+                reserved_calls: 0,
             };
             inner.runtime.spawn(committer.run());
             tx
         };
-        lanes.entry(shard).or_insert_with(start).clone()
+        commit_queues.entry(shard).or_insert_with(start).clone()
     }
 
     fn new_claim_id(&self) -> Arc<str> {
@@ -323,7 +333,7 @@
 }
 
 /// Whether `wait` has passed, by the monotonic clock or, for a machine that was suspended, by the wall clock.
-fn is_over((mono, wall): (MonoTime, SystemTime), wait: Duration) -> bool {
+fn has_elapsed((mono, wall): (MonoTime, SystemTime), wait: Duration) -> bool {
     let by_mono = MonoTime::now().since(mono) > wait;
     by_mono || wall.elapsed().is_ok_and(|age| age > wait)
 }
--- a/crates/tc-platform/src/claims/model.rs
+++ b/crates/tc-platform/src/claims/model.rs
@@ -89,9 +89,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Entry {
     /// Hash of the request's body.
-    pub(crate) body: u64,
+    #[serde(rename = "body")]
+    pub(crate) body_hash: u64,
     /// Identifies who claimed.
-    pub(crate) claim: Arc<str>,
+    #[serde(rename = "claim")]
+    pub(crate) claim_id: Arc<str>,
     pub(crate) state: EntryState,
 }
 
@@ -116,7 +118,7 @@
 }
 
 /// The outcome as it is kept: without its body when it is too large.
-pub(crate) fn kept(mut outcome: RecordedOutcome) -> RecordedOutcome {
+pub(crate) fn truncate_outcome(mut outcome: RecordedOutcome) -> RecordedOutcome {
     if outcome.content_type.len() > MAX_CONTENT_TYPE_BYTES {
         outcome.content_type.clear();
         outcome.body = None;
--- a/crates/tc-platform/src/claims/op.rs
+++ b/crates/tc-platform/src/claims/op.rs
@@ -110,40 +110,40 @@
 
 impl ShardLimits {
     /// Size of the head's entries beyond which even a full shard takes no outcomes.
-    pub(super) const fn last_room(&self) -> usize {
+    pub(super) const fn max_head_bytes(&self) -> usize {
         MAX_OBJECT_BYTES / 2 - self.batch_bytes
     }
 }
 
 /// The newest entry of a key, wherever it is.
 pub(super) enum Found<'a> {
-    Nothing,
+    None,
     Entry(&'a Entry),
     /// A recorded outcome that is in this segment, which must be read first.
-    In(Arc<str>),
+    InSegment(Arc<str>),
 }
 
 /// What an operation leads to.
-pub(super) enum Judged {
+pub(super) enum Decision {
     /// An answer that holds whatever happens to the batch, unless the batch changed the key.
     Answer(Reply),
     /// An answer that holds once the entry is written; `None` removes it.
     Change(Option<Entry>, Reply),
     /// The shard's head must be read again first: an old one may hide a release or an outcome.
-    Stale,
+    StaleHead,
     /// This segment must be read first.
-    Read(Arc<str>),
+    ReadSegment(Arc<str>),
 }
 
 impl Op {
     /// Judges the operation by the newest entry of its key. `fresh` says that the entry was in force after the
     /// operation was asked for; `sealed` that some segment holds the key.
-    pub(super) fn judge(&self, found: &Found<'_>, fresh: bool, sealed: bool) -> Judged {
+    pub(super) fn decide(&self, found: &Found<'_>, fresh: bool, sealed: bool) -> Decision {
         let entry = match found {
-            Found::In(name) if !matches!(self, Self::Release { .. }) => {
-                return Judged::Read(name.clone());
+            Found::InSegment(name) if !matches!(self, Self::Release { .. }) => {
+                return Decision::ReadSegment(name.clone());
             }
-            Found::Nothing | Found::In(_) => None,
+            Found::None | Found::InSegment(_) => None,
             Found::Entry(entry) => Some(*entry),
         };
         let live = entry.filter(|e| e.state != EntryState::Released);
@@ -152,37 +152,42 @@
                 body_hash,
                 claim_id,
                 ..
-            } => judge_claim(live, *body_hash, claim_id, fresh),
-            Self::Lookup { .. } => judge_look(live, fresh),
-            Self::Release { claim_id, .. } => judge_release(live, claim_id, sealed),
+            } => decide_claim(live, *body_hash, claim_id, fresh),
+            Self::Lookup { .. } => decide_lookup(live, fresh),
+            Self::Release { claim_id, .. } => decide_release(live, claim_id, sealed),
             Self::Record {
                 claim_id, outcome, ..
-            } => judge_record(entry, claim_id, outcome, fresh),
+            } => decide_record(entry, claim_id, outcome, fresh),
         }
     }
 }
 
-fn judge_claim(live: Option<&Entry>, body: u64, claim_id: &Arc<str>, fresh: bool) -> Judged {
+fn decide_claim(
+    live: Option<&Entry>,
+    body_hash: u64,
+    claim_id: &Arc<str>,
+    fresh: bool,
+) -> Decision {
     let Some(entry) = live else {
         let entry = Entry {
-            body,
-            claim: claim_id.clone(),
+            body_hash,
+            claim_id: claim_id.clone(),
             state: EntryState::Held,
         };
-        return Judged::Change(Some(entry), Reply::Claim(ours(claim_id)));
+        return Decision::Change(Some(entry), Reply::Claim(ours(claim_id)));
     };
-    if entry.claim == *claim_id {
-        return Judged::Answer(Reply::Claim(ours(claim_id)));
+    if entry.claim_id == *claim_id {
+        return Decision::Answer(Reply::Claim(ours(claim_id)));
     }
     let verdict = match &entry.state {
-        EntryState::Recorded(outcome) if entry.body == body => {
+        EntryState::Recorded(outcome) if entry.body_hash == body_hash => {
             ClaimVerdict::Recorded(outcome.as_ref().clone())
         }
-        _ if !fresh => return Judged::Stale,
-        _ if entry.body != body => ClaimVerdict::BodyMismatch,
+        _ if !fresh => return Decision::StaleHead,
+        _ if entry.body_hash != body_hash => ClaimVerdict::BodyMismatch,
         _ => ClaimVerdict::Held,
     };
-    Judged::Answer(Reply::Claim(verdict))
+    Decision::Answer(Reply::Claim(verdict))
 }
 
 fn ours(claim_id: &Arc<str>) -> ClaimVerdict {
@@ -191,47 +196,47 @@
     }
 }
 
-fn judge_look(live: Option<&Entry>, fresh: bool) -> Judged {
+fn decide_lookup(live: Option<&Entry>, fresh: bool) -> Decision {
     let verdict = match live.map(|e| &e.state) {
         Some(EntryState::Recorded(outcome)) => ClaimVerdict::Recorded(outcome.as_ref().clone()),
-        _ if !fresh => return Judged::Stale,
+        _ if !fresh => return Decision::StaleHead,
         Some(_) => ClaimVerdict::Held,
         None => ClaimVerdict::Unavailable,
     };
-    Judged::Answer(Reply::Lookup(verdict))
+    Decision::Answer(Reply::Lookup(verdict))
 }
 
-fn judge_release(live: Option<&Entry>, claim_id: &Arc<str>, sealed: bool) -> Judged {
+fn decide_release(live: Option<&Entry>, claim_id: &Arc<str>, sealed: bool) -> Decision {
     match live {
-        Some(e) if e.claim == *claim_id && e.state == EntryState::Held => {
+        Some(e) if e.claim_id == *claim_id && e.state == EntryState::Held => {
             let tombstone = sealed.then(|| Entry {
                 state: EntryState::Released,
                 ..e.clone()
             });
-            Judged::Change(tombstone, Reply::Released)
+            Decision::Change(tombstone, Reply::Released)
         }
-        _ => Judged::Answer(Reply::Released),
+        _ => Decision::Answer(Reply::Released),
     }
 }
 
-fn judge_record(
+fn decide_record(
     entry: Option<&Entry>,
     claim_id: &Arc<str>,
     outcome: &Arc<RecordedOutcome>,
     fresh: bool,
-) -> Judged {
-    let ours = entry.filter(|e| e.claim == *claim_id);
-    let recording = match ours.map(|e| (e, &e.state)) {
+) -> Decision {
+    let ours = entry.filter(|e| e.claim_id == *claim_id);
+    let record_result = match ours.map(|e| (e, &e.state)) {
         Some((entry, EntryState::Held)) => {
             let recorded = Entry {
                 state: EntryState::Recorded(outcome.clone()),
                 ..entry.clone()
             };
-            return Judged::Change(Some(recorded), Reply::Record(RecordResult::Recorded));
+            return Decision::Change(Some(recorded), Reply::Record(RecordResult::Recorded));
         }
         Some((_, EntryState::Recorded(known))) if known == outcome => RecordResult::Recorded,
-        _ if !fresh => return Judged::Stale,
+        _ if !fresh => return Decision::StaleHead,
         _ => RecordResult::NotHolder,
     };
-    Judged::Answer(Reply::Record(recording))
+    Decision::Answer(Reply::Record(record_result))
 }
--- a/crates/tc-platform/src/claims/outage.rs
+++ b/crates/tc-platform/src/claims/outage_detector.rs
@@ -13,41 +13,41 @@
 
 /// The store counts as lost when every call has failed for this long. Shorter, and a lost answer or two would refuse
 /// requests that the next try serves.
-const LOST_AFTER: Duration = Duration::from_secs(1);
+const DOWN_AFTER: Duration = Duration::from_secs(1);
 /// Time between two probes while claims are refused.
-const PROBE_EVERY: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// How often a waiting claim looks whether the store is lost by now.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Tells claims that cannot be made soon from those worth waiting for.
 ///
 /// A claim that waited out its request's whole deadline for a store that is down would tell the caller "not run" only
 /// when nothing can be done about it any more; one would notice refusals that take exactly the deadline.
 #[derive(Default)]
-pub(super) struct Outage {
+pub(super) struct OutageDetector {
     /// When the store may be probed again, as [`MonoTime`].
     next_probe: AtomicU64,
 }
 
-impl Outage {
+impl OutageDetector {
     /// Whether a claim made now is to be refused at once.
     ///
     /// A refused claim makes no call, so one in a while starts a probe that nobody waits for: otherwise nobody might
     /// ever learn that the store is back.
-    pub(super) fn refuses(&self, store: &Store, runtime: &Handle, now: MonoTime) -> bool {
-        if !is_lost(store) {
+    pub(super) fn rejects_claim(&self, store: &Store, runtime: &Handle, now: MonoTime) -> bool {
+        if !is_down(store) {
             return false;
         }
-        if self.takes_probe(now) {
+        if self.try_take_probe(now) {
             let store = store.clone();
             runtime.spawn(async move { store.get(Purpose::Claims, CLAIM_KIND, LAYOUT_NAME).await });
         }
         true
     }
 
-    fn takes_probe(&self, now: MonoTime) -> bool {
+    fn try_take_probe(&self, now: MonoTime) -> bool {
         let due = self.next_probe.load(Ordering::Relaxed);
-        let next = now.after(PROBE_EVERY).0;
+        let next = now.after(PROBE_INTERVAL).0;
         let (done, failed) = (Ordering::Relaxed, Ordering::Relaxed);
         due <= now.0
             && self
@@ -57,13 +57,13 @@
     }
 
     /// Completes when a waiting claim should not be waited for any longer.
-    pub(super) async fn gives_up(store: &Store) {
-        while !is_lost(store) {
-            tokio::time::sleep(LOOK_EVERY).await;
+    pub(super) async fn wait_until_down(store: &Store) {
+        while !is_down(store) {
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
-fn is_lost(store: &Store) -> bool {
-    store.failing_for() >= LOST_AFTER
+fn is_down(store: &Store) -> bool {
+    store.failing_for() >= DOWN_AFTER
 }
--- a/crates/tc-platform/src/claims/sealed.rs
+++ b/crates/tc-platform/src/claims/sealed_index.rs
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub(super) struct SealedIndex {
     segments: BTreeMap<Arc<str>, SealedSegment>,
-    opened: BTreeMap<Arc<str>, Entries>,
+    loaded_outcomes: BTreeMap<Arc<str>, Entries>,
 }
 
 impl SealedIndex {
@@ -38,7 +38,7 @@
     /// Takes in a segment, or opens one that is known already.
     pub(super) fn insert(&mut self, now: MonoTime, name: Arc<str>, entries: Entries) {
         if self.has(&name) {
-            self.opened.insert(name, entries);
+            self.loaded_outcomes.insert(name, entries);
             return;
         }
         let index = entries.into_iter().map(|(key, entry)| {
@@ -59,7 +59,7 @@
 
     /// Forgets the outcomes read for one round of answers; they would pile up in memory.
     pub(super) fn close(&mut self) {
-        self.opened.clear();
+        self.loaded_outcomes.clear();
     }
 
     /// The newest entry of a key in the segments `listed`, oldest first.
@@ -70,12 +70,13 @@
                 None => {}
                 Some(Some(entry)) => return Found::Entry(entry),
                 Some(None) => {
-                    let opened = self.opened.get(name).and_then(|o| o.get(&key));
-                    return opened.map_or_else(|| Found::In(name.clone()), Found::Entry);
+                    let loaded_outcomes = self.loaded_outcomes.get(name).and_then(|o| o.get(&key));
+                    return loaded_outcomes
+                        .map_or_else(|| Found::InSegment(name.clone()), Found::Entry);
                 }
             }
         }
-        Found::Nothing
+        Found::None
     }
 
     /// How many of the segments `listed`, oldest first, hold nothing but expired claims.
--- a/crates/tc-platform/src/claims/shard.rs
+++ b/crates/tc-platform/src/claims/shard.rs
@@ -14,12 +14,12 @@
     batch::Batch,
     model::{Head, Segment},
     op::{Op, Reply, ShardLimits, Ticket},
-    sealed::SealedIndex,
+    sealed_index::SealedIndex,
 };
 use crate::Versioned;
 
 /// Part of the retention after which claims are sealed even if they are few, so that they can expire.
-const SEAL_AFTER: u32 = 2;
+const SEAL_AGE_DIVISOR: u32 = 2;
 
 /// What the shard wants done next. Its result must be fed back before the next step is asked for.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,7 +57,7 @@
 }
 
 /// A segment that was created from this version of the head, to be listed by the next write.
-pub(super) struct Prepared {
+pub(super) struct PreparedSegment {
     pub(super) version: u64,
     pub(super) name: Arc<str>,
 }
@@ -77,16 +77,16 @@
     /// Operations below this ticket were asked for before the head was last known to be in force.
     pub(super) fresh_below: Ticket,
     /// Reads in a row that must find the head unchanged before it is written unread again.
-    pub(super) reads_first: u32,
+    pub(super) reads_before_write: u32,
     /// The last segment the head listed when it was first seen with it, and when that was.
     pub(super) entries_since: Option<(Option<Arc<str>>, MonoTime)>,
     pub(super) sealed: SealedIndex,
-    pub(super) prepared: Option<Prepared>,
-    pub(super) missing_reads: u32,
+    pub(super) prepared_segment: Option<PreparedSegment>,
+    pub(super) missing_segment_reads: u32,
     pub(super) batch: Option<Batch>,
-    pub(super) garbage: Vec<Arc<str>>,
-    pub(super) garbage_blocked: bool,
-    pub(super) asked_at: Ticket,
+    pub(super) unlisted: Vec<Arc<str>>,
+    pub(super) is_deletion_paused: bool,
+    pub(super) ticket_at_call: Ticket,
 }
 
 impl Shard {
@@ -104,15 +104,15 @@
             head_bytes: 0,
             last_version: 0,
             fresh_below: 0,
-            reads_first: 0,
+            reads_before_write: 0,
             entries_since: None,
             sealed: SealedIndex::default(),
-            prepared: None,
-            missing_reads: 0,
+            prepared_segment: None,
+            missing_segment_reads: 0,
             batch: None,
-            garbage: Vec::new(),
-            garbage_blocked: false,
-            asked_at: 0,
+            unlisted: Vec::new(),
+            is_deletion_paused: false,
+            ticket_at_call: 0,
         }
     }
 
@@ -165,7 +165,7 @@
     /// Whether the head is unknown, or is likely to have been changed by others since it was known.
     fn must_read_head(&self) -> bool {
         let oldest = self.queue.front().map_or(0, |q| q.ticket);
-        self.head.is_none() || (self.reads_first > 0 && oldest >= self.fresh_below)
+        self.head.is_none() || (self.reads_before_write > 0 && oldest >= self.fresh_below)
     }
 
     /// Takes the answers that are ready.
@@ -180,7 +180,7 @@
                 return step;
             }
         }
-        self.clean_up()
+        self.next_deletion()
     }
 
     /// One round over the queue; `None` when it was answered without any step.
@@ -200,7 +200,7 @@
             Err(step) => return Some(step),
         };
         self.sealed.close();
-        self.settle_lost_writes(version, batch.judged);
+        self.clear_lost_writes(version, batch.decided);
         self.answer(&batch.answered);
         if batch.pending.is_empty() {
             return None;
@@ -212,15 +212,15 @@
         let Some(head) = &self.head else {
             return self.read_head();
         };
-        if self.prepared.is_none() && self.must_seal(now) && !self.is_full(now, head) {
+        if self.prepared_segment.is_none() && self.must_seal(now) && !self.is_full(now, head) {
             return self.seal(head);
         }
         let expired = self
             .sealed
             .expired(&head.value.segments, now, self.retention);
-        let new = batch.head(head, self.prepared.as_ref(), expired);
+        let new = batch.head(head, self.prepared_segment.as_ref(), expired);
         let (base, value) = (head.version, to_value(&new));
-        self.asked_at = self.next_ticket;
+        self.ticket_at_call = self.next_ticket;
         (batch.new, batch.expired) = (new, expired);
         self.batch = Some(batch);
         Step::WriteHead(base, value)
@@ -228,7 +228,7 @@
 
     fn must_seal(&self, now: MonoTime) -> bool {
         self.entries_since.as_ref().is_some_and(|(_, since)| {
-            self.has_enough_to_seal() || now.since(*since) >= self.retention / SEAL_AFTER
+            self.has_enough_to_seal() || now.since(*since) >= self.retention / SEAL_AGE_DIVISOR
         })
     }
 
@@ -258,7 +258,7 @@
     }
 
     fn read_head(&mut self) -> Step {
-        self.asked_at = self.next_ticket;
+        self.ticket_at_call = self.next_ticket;
         Step::ReadHead
     }
 
@@ -272,9 +272,9 @@
     }
 
     /// Deletes what no head lists any more, when there is nothing better to do.
-    fn clean_up(&mut self) -> Step {
-        match self.garbage.last() {
-            Some(name) if !self.garbage_blocked => Step::Delete(name.clone()),
+    fn next_deletion(&mut self) -> Step {
+        match self.unlisted.last() {
+            Some(name) if !self.is_deletion_paused => Step::Delete(name.clone()),
             _ => Step::Idle,
         }
     }
--- a/crates/tc-platform/src/claims/feedback.rs
+++ b/crates/tc-platform/src/claims/step_results.rs
@@ -10,7 +10,7 @@
 use super::{
     batch::Batch,
     model::{Head, Segment, json_len},
-    shard::{Prepared, Progress, Shard},
+    shard::{PreparedSegment, Progress, Shard},
 };
 use crate::{StoreError, Versioned};
 
@@ -37,13 +37,13 @@
             log::error!("head of claim shard {} cannot be read", self.index);
             return Progress::None;
         };
-        self.reads_first = if version == self.last_version {
-            self.reads_first.saturating_sub(1)
+        self.reads_before_write = if version == self.last_version {
+            self.reads_before_write.saturating_sub(1)
         } else {
             UNCHANGED_READS
         };
         self.adopt(now, version, head);
-        self.forget_unlisted();
+        self.drop_unlisted();
         Progress::Made
     }
 
@@ -57,7 +57,7 @@
         }
         self.head_bytes = json_len(&head.entries);
         self.last_version = version;
-        self.fresh_below = self.asked_at;
+        self.fresh_below = self.ticket_at_call;
         self.head = Some(Versioned {
             version,
             value: head,
@@ -68,16 +68,16 @@
     ///
     /// The head may be listed a prepared segment only by a write based on the version the segment was made from.
     /// So once the head has moved on without listing it, it never will, and deleting it is safe.
-    fn forget_unlisted(&mut self) {
+    fn drop_unlisted(&mut self) {
         let Some(head) = &self.head else { return };
         let listed = |name: &Arc<str>| head.value.segments.contains(name);
-        let passed_by = self.prepared.take_if(|p| p.version != head.version);
-        if let Some(orphan) = passed_by.filter(|p| !listed(&p.name)) {
-            self.garbage.push(orphan.name);
+        let outdated = self.prepared_segment.take_if(|p| p.version != head.version);
+        if let Some(orphan) = outdated.filter(|p| !listed(&p.name)) {
+            self.unlisted.push(orphan.name);
         }
-        let prepared = self.prepared.as_ref().map(|p| &p.name);
+        let prepared_segment = self.prepared_segment.as_ref().map(|p| &p.name);
         self.sealed
-            .retain(|name| listed(name) || prepared == Some(name));
+            .retain(|name| listed(name) || prepared_segment == Some(name));
     }
 
     /// Feeds back [`Step::ReadSegment`].
@@ -96,7 +96,7 @@
             log::error!("claim segment {name} cannot be read");
             return Progress::None;
         };
-        self.missing_reads = 0;
+        self.missing_segment_reads = 0;
         self.sealed.insert(now, name.clone(), segment.entries);
         Progress::Made
     }
@@ -104,8 +104,8 @@
     /// A listed segment is gone: most likely others expired it meanwhile, and the head is old.
     fn on_missing_segment(&mut self, name: &Arc<str>) -> Progress {
         self.head = None;
-        self.missing_reads += 1;
-        if self.missing_reads < MISSING_SEGMENT_READS {
+        self.missing_segment_reads += 1;
+        if self.missing_segment_reads < MISSING_SEGMENT_READS {
             return Progress::Made;
         }
         log::error!("claim segment {name} is listed and missing; its shard takes no claims");
@@ -125,7 +125,7 @@
         }
         if let Some(head) = &self.head {
             let entries = head.value.entries.clone();
-            self.prepared = Some(Prepared {
+            self.prepared_segment = Some(PreparedSegment {
                 version: head.version,
                 name: name.clone(),
             });
@@ -146,7 +146,7 @@
             }
             Err(StoreError::Conflict { .. }) => {
                 self.head = None;
-                self.reads_first = UNCHANGED_READS;
+                self.reads_before_write = UNCHANGED_READS;
                 Progress::Made
             }
             Err(StoreError::MaybeApplied) => {
@@ -164,18 +164,18 @@
         if batch.expired > 0 {
             let old = self.head.take().map(|h| h.value).unwrap_or_default();
             let dropped = old.segments.into_iter().take(batch.expired);
-            self.garbage.extend(old.retired.into_iter().chain(dropped));
+            self.unlisted.extend(old.retired.into_iter().chain(dropped));
         }
-        self.garbage_blocked = false;
+        self.is_deletion_paused = false;
         self.adopt(now, version, batch.new);
-        self.forget_unlisted();
+        self.drop_unlisted();
         self.answer(&batch.pending);
     }
 
     /// Forgets that the first `judged` operations may have been written on an older head than `version`: having been
     /// judged on this one, each was either found in force or never will be.
-    pub(super) fn settle_lost_writes(&mut self, version: u64, judged: usize) {
-        for queued in self.queue.iter_mut().take(judged) {
+    pub(super) fn clear_lost_writes(&mut self, version: u64, decided: usize) {
+        for queued in self.queue.iter_mut().take(decided) {
             queued.maybe_written_on.take_if(|on| *on < version);
         }
     }
@@ -192,9 +192,9 @@
     /// Feeds back [`Step::Delete`]; after a failure it is tried again only after the next commit.
     pub fn on_segment_deleted(&mut self, name: &Arc<str>, done: bool) {
         if done {
-            self.garbage.retain(|n| n != name);
+            self.unlisted.retain(|n| n != name);
         } else {
-            self.garbage_blocked = true;
+            self.is_deletion_paused = true;
         }
     }
 }
--- a/crates/tc-platform/src/config.rs
+++ b/crates/tc-platform/src/config.rs
@@ -60,11 +60,18 @@
     let Ok(value) = serde_json::to_value(&new) else {
         return ApplyResult::NotApplied(StoreError::Malformed);
     };
-    let expect = base.map_or(Precondition::Absent, |b| Precondition::Version(b.version));
-    let ours = |v: &Value| v["apply_id"] == new.apply_id.as_str();
+    let precondition = base.map_or(Precondition::Absent, |b| Precondition::Version(b.version));
+    let is_own_write = |v: &Value| v["apply_id"] == new.apply_id.as_str();
     let purpose = Purpose::Operator;
     let written = store
-        .write_verified(purpose, CONFIG_KIND, CONFIG_NAME, expect, &value, ours)
+        .write_verified(
+            purpose,
+            CONFIG_KIND,
+            CONFIG_NAME,
+            precondition,
+            &value,
+            is_own_write,
+        )
         .await;
     match written {
         WriteResult::Written { version } => ApplyResult::Applied { version },
@@ -72,7 +79,7 @@
         WriteResult::Conflict { current } => {
             ApplyResult::Conflict(current.and_then(|c| decode(c).ok()))
         }
-        WriteResult::Unknown { current } => settle(&new, current),
+        WriteResult::Unknown { current } => resolve_lost_response(&new, current),
     }
 }
 
@@ -81,7 +88,7 @@
 /// Each accepted change raises the revision by one. A foreign object with our revision stands directly on our base,
 /// so ours was never in force. A higher one may stand on ours: calling that a conflict would make the operator
 /// apply a change again that is already in force.
-fn settle(new: &ConfigObject, current: Option<Versioned<Value>>) -> ApplyResult {
+fn resolve_lost_response(new: &ConfigObject, current: Option<Versioned<Value>>) -> ApplyResult {
     match current.map(decode) {
         Some(Ok(found)) if found.value.revision == new.revision => {
             ApplyResult::Conflict(Some(found))
--- a/crates/tc-platform/src/kinds.rs
+++ b/crates/tc-platform/src/kinds.rs
@@ -188,10 +188,10 @@
         timeout: Duration,
     ) -> Result<Bytes, StoreError> {
         let req = Request::new(Full::default());
-        let answer = self
+        let response = self
             .call_over(connection, purpose, req, path, Effect::Read, timeout)
             .await?;
-        Ok(answer.body)
+        Ok(response.body)
     }
 
     async fn write(
--- a/crates/tc-platform/src/leases.rs
+++ b/crates/tc-platform/src/leases.rs
@@ -56,9 +56,9 @@
 }
 
 /// A foreign lease, and when this version of it was first seen.
-struct Sighting {
+struct ForeignLease {
     version: u64,
-    at: MonoTime,
+    first_seen: MonoTime,
 }
 
 /// One service's lease, as seen by this instance.
@@ -66,7 +66,7 @@
     store: Store,
     name: ServiceName,
     settings: LeaseSettings,
-    sighting: Option<Sighting>,
+    foreign_lease: Option<ForeignLease>,
 }
 
 /// A lease that was acquired. Its fencing number can only be had while it has not lapsed.
@@ -74,8 +74,8 @@
 pub struct HeldLease {
     fence: u64,
     version: u64,
-    from: MonoTime,
-    from_wall: SystemTime,
+    start: MonoTime,
+    start_wall: SystemTime,
     ttl: Duration,
 }
 
@@ -86,8 +86,8 @@
     /// clock: a holder that slept through its lease would otherwise give orders beside its successor.
     #[must_use]
     pub fn fence(&self) -> Option<u64> {
-        let slept = self.from_wall.elapsed().is_ok_and(|age| age >= self.ttl);
-        if slept {
+        let is_expired = self.start_wall.elapsed().is_ok_and(|age| age >= self.ttl);
+        if is_expired {
             return None;
         }
         self.fence_at(MonoTime::now())
@@ -102,7 +102,7 @@
     /// When it lapses, counted from before the request that acquired or renewed it was sent.
     #[must_use]
     pub fn expires_at(&self) -> MonoTime {
-        self.from.after(self.ttl)
+        self.start.after(self.ttl)
     }
 }
 
@@ -114,7 +114,7 @@
             store,
             name: service,
             settings,
-            sighting: None,
+            foreign_lease: None,
         }
     }
 
@@ -127,24 +127,25 @@
             .store
             .get(Purpose::Leases, LEASE_KIND, self.name.as_str())
             .await?;
-        let expect = match found {
+        let precondition = match found {
             None => Precondition::Absent,
             Some(object) => {
                 let version = object.version;
-                self.check_free(object)?;
+                self.check_available(object)?;
                 Precondition::Version(version)
             }
         };
-        self.write(expect, Some(self.settings.holder.clone())).await
+        self.write(precondition, Some(self.settings.holder.clone()))
+            .await
     }
 
     /// Makes a held lease last longer; the fencing number stays. After a failure the lease still ends when it would
     /// have, and may have to be acquired anew.
     pub async fn renew(&mut self, held: &mut HeldLease) -> Result<(), LeaseError> {
         let fence = held.fence().ok_or(LeaseError::Expired)?;
-        let expect = Precondition::Version(held.version);
+        let precondition = Precondition::Version(held.version);
         let holder = Some(self.settings.holder.clone());
-        let renewed = self.write(expect, holder).await?;
+        let renewed = self.write(precondition, holder).await?;
         *held = HeldLease { fence, ..renewed };
         Ok(())
     }
@@ -156,7 +157,7 @@
         Ok(())
     }
 
-    fn check_free(&mut self, object: Versioned<Value>) -> Result<(), LeaseError> {
+    fn check_available(&mut self, object: Versioned<Value>) -> Result<(), LeaseError> {
         let now = MonoTime::now();
         let record: Record =
             serde_json::from_value(object.value).map_err(|_| StoreError::Malformed)?;
@@ -167,16 +168,16 @@
             return Ok(());
         }
         let ttl = Duration::from_millis(record.ttl_ms).mul_f64(1.0 + TAKEOVER_MARGIN);
-        match &self.sighting {
-            Some(seen) if seen.version == object.version => {
-                if now.since(seen.at) >= ttl {
+        match &self.foreign_lease {
+            Some(foreign_lease) if foreign_lease.version == object.version => {
+                if now.since(foreign_lease.first_seen) >= ttl {
                     return Ok(());
                 }
             }
             _ => {
-                self.sighting = Some(Sighting {
+                self.foreign_lease = Some(ForeignLease {
                     version: object.version,
-                    at: now,
+                    first_seen: now,
                 });
             }
         }
@@ -185,10 +186,10 @@
 
     async fn write(
         &self,
-        expect: Precondition,
+        precondition: Precondition,
         holder: Option<InstanceId>,
     ) -> Result<HeldLease, LeaseError> {
-        let (from, from_wall) = (MonoTime::now(), SystemTime::now());
+        let (start, start_wall) = (MonoTime::now(), SystemTime::now());
         let record = Record {
             holder,
             incarnation: self.settings.incarnation,
@@ -196,11 +197,18 @@
             nonce: rand::random(),
         };
         let value = serde_json::to_value(&record).map_err(|_| StoreError::Malformed)?;
-        let ours = |v: &Value| v["nonce"] == record.nonce;
+        let is_own_write = |v: &Value| v["nonce"] == record.nonce;
         let name = self.name.as_str();
         let written = self
             .store
-            .write_verified(Purpose::Leases, LEASE_KIND, name, expect, &value, ours)
+            .write_verified(
+                Purpose::Leases,
+                LEASE_KIND,
+                name,
+                precondition,
+                &value,
+                is_own_write,
+            )
             .await;
         let version = match written {
             WriteResult::Written { version } => version,
@@ -211,8 +219,8 @@
         Ok(HeldLease {
             fence: version,
             version,
-            from,
-            from_wall,
+            start,
+            start_wall,
             ttl: self.settings.ttl,
         })
     }
--- a/crates/tc-platform/src/store/tally.rs
+++ b/crates/tc-platform/src/store/call_stats.rs
@@ -65,7 +65,7 @@
 }
 
 /// Counts calls by purpose and remembers the last one that succeeded.
-pub(crate) struct Tally {
+pub(crate) struct CallStats {
     calls: [AtomicU64; Purpose::ALL.len()],
     reachable: AtomicBool,
     last_success: AtomicU64,
@@ -73,7 +73,7 @@
     failing_since: AtomicU64,
 }
 
-impl Tally {
+impl CallStats {
     pub(crate) fn new() -> Self {
         Self {
             calls: Default::default(),
@@ -84,16 +84,16 @@
     }
 
     /// Notes a call that was sent, and how it ended.
-    pub(crate) fn note(&self, purpose: Purpose, result: Result<(), &StoreError>) {
+    pub(crate) fn record(&self, purpose: Purpose, result: Result<(), &StoreError>) {
         self.calls[purpose as usize].fetch_add(1, Ordering::Relaxed);
-        let word = result.map_or_else(StoreError::as_str, |()| "ok");
-        metrics::counter!("tc_platform_calls_total", "purpose" => purpose.as_str(), "result" => word)
+        let label = result.map_or_else(StoreError::as_str, |()| "ok");
+        metrics::counter!("tc_platform_calls_total", "purpose" => purpose.as_str(), "result" => label)
             .increment(1);
-        let answered = matches!(
+        let is_answered = matches!(
             result,
             Ok(()) | Err(StoreError::Conflict { .. } | StoreError::TooLarge)
         );
-        if answered {
+        if is_answered {
             self.last_success
                 .store(MonoTime::now().0, Ordering::Relaxed);
             self.failing_since.store(0, Ordering::Relaxed);
@@ -104,7 +104,7 @@
                 .failing_since
                 .compare_exchange(0, MonoTime::now().0, done, failed);
         }
-        self.reachable.store(answered, Ordering::Relaxed);
+        self.reachable.store(is_answered, Ordering::Relaxed);
     }
 
     pub(crate) fn health(&self) -> StoreHealth {
--- a/crates/tc-platform/src/store/coalesce.rs
+++ b/crates/tc-platform/src/store/coalesce.rs
@@ -20,9 +20,9 @@
 
 /// Reads of one object: at most one on its way and one more waiting to be sent, which later callers join.
 #[derive(Clone, Default)]
-struct Lane {
-    on_its_way: Arc<tokio::sync::Mutex<()>>,
-    waiting: Option<SharedRead>,
+struct ObjectReads {
+    in_flight: Arc<tokio::sync::Mutex<()>>,
+    next: Option<SharedRead>,
 }
 
 /// Lets concurrent reads of one object share a call.
@@ -34,7 +34,7 @@
 /// all others that wait for the same object.
 #[derive(Clone, Default)]
 pub(crate) struct Coalescer {
-    lanes: Arc<Mutex<HashMap<String, Lane>>>,
+    objects: Arc<Mutex<HashMap<String, ObjectReads>>>,
 }
 
 impl Coalescer {
@@ -51,46 +51,46 @@
     where
         F: Future<Output = ReadResult> + Send + 'static,
     {
-        let mut lanes = self.lanes.lock().unwrap_or_else(PoisonError::into_inner);
-        let lane = lanes.entry(path.to_owned()).or_default();
-        if let Some(waiting) = &lane.waiting {
-            return waiting.clone();
+        let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
+        let object = objects.entry(path.to_owned()).or_default();
+        if let Some(next) = &object.next {
+            return next.clone();
         }
         let coalescer = self.clone();
         let path = path.to_owned();
-        let on_its_way = lane.on_its_way.clone();
+        let in_flight = object.in_flight.clone();
         let read = async move {
-            let turn = on_its_way.lock().await;
-            coalescer.leave_waiting(&path);
+            let guard = in_flight.lock().await;
+            coalescer.mark_sent(&path);
             let result = read.await;
-            drop(turn);
-            drop(on_its_way);
-            coalescer.forget_if_idle(&path);
+            drop(guard);
+            drop(in_flight);
+            coalescer.remove_if_idle(&path);
             result
         };
         let task = tokio::spawn(read.in_current_span());
         let shared = async move { task.await.unwrap_or(Err(StoreError::Unreachable)) }
             .boxed()
             .shared();
-        lane.waiting = Some(shared.clone());
+        object.next = Some(shared.clone());
         shared
     }
 
-    fn leave_waiting(&self, path: &str) {
-        let mut lanes = self.lanes.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(lane) = lanes.get_mut(path) {
-            lane.waiting = None;
+    fn mark_sent(&self, path: &str) {
+        let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(object) = objects.get_mut(path) {
+            object.next = None;
         }
     }
 
     /// Removes an unused lane; object names keep changing, so lanes would pile up otherwise.
-    fn forget_if_idle(&self, path: &str) {
-        let mut lanes = self.lanes.lock().unwrap_or_else(PoisonError::into_inner);
-        let idle = lanes
-            .get(path)
-            .is_some_and(|lane| lane.waiting.is_none() && Arc::strong_count(&lane.on_its_way) == 1);
-        if idle {
-            lanes.remove(path);
+    fn remove_if_idle(&self, path: &str) {
+        let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_idle = objects.get(path).is_some_and(|object| {
+            object.next.is_none() && Arc::strong_count(&object.in_flight) == 1
+        });
+        if is_idle {
+            objects.remove(path);
         }
     }
 }
--- a/crates/tc-platform/src/store/mod.rs
+++ b/crates/tc-platform/src/store/mod.rs
@@ -1,9 +1,9 @@
 //! Client of the platform's object API and instance list.
 
+mod call_stats;
 mod coalesce;
-mod pace;
-mod sure;
-mod tally;
+mod rate_limiter;
+mod verified_write;
 mod wire;
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
@@ -21,14 +21,14 @@
 use tracing::Instrument;
 
 use crate::StoreError;
+use call_stats::CallStats;
 use coalesce::Coalescer;
-use pace::Pace;
-use tally::Tally;
+use rate_limiter::RateLimiter;
 use wire::HttpClient;
-pub(crate) use wire::{Answer, Connection, Effect};
+pub(crate) use wire::{Connection, Effect, Response};
 
-pub use sure::{Precondition, WriteResult};
-pub use tally::Purpose;
+pub use call_stats::Purpose;
+pub use verified_write::{Precondition, WriteResult};
 
 /// How the store is reached.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
 pub struct Store {
     inner: Arc<Inner>,
     /// Whether the turns of all calls made through this clone were waited for already.
-    has_turns: bool,
+    is_reserved: bool,
 }
 
 struct Inner {
@@ -63,8 +63,8 @@
     client: HttpClient,
     /// Opens a new connection for each call.
     unpooled_client: HttpClient,
-    pace: Pace,
-    tally: Tally,
+    rate_limiter: RateLimiter,
+    call_stats: CallStats,
     reads: Coalescer,
 }
 
@@ -88,12 +88,12 @@
             inner: Arc::new(Inner {
                 client: wire::http_client(settings.timeout, wire::MAX_IDLE_CONNECTIONS),
                 unpooled_client: wire::http_client(settings.timeout, 0),
-                pace: Pace::new(settings.calls_per_s),
-                tally: Tally::new(),
+                rate_limiter: RateLimiter::new(settings.calls_per_s),
+                call_stats: CallStats::new(),
                 reads: Coalescer::default(),
                 settings,
             }),
-            has_turns: false,
+            is_reserved: false,
         }
     }
 
@@ -101,16 +101,19 @@
     ///
     /// A read and the write based on it belong together: with a wait for a turn between them, the object would
     /// have changed more often than not when others write it too, and the write would fail again and again.
-    pub(crate) async fn take_turns(&self, calls: u32) -> Result<(), StoreError> {
+    pub(crate) async fn reserve_calls(&self, calls: u32) -> Result<(), StoreError> {
         let inner = &self.inner;
-        inner.pace.take(calls, inner.settings.timeout).await
+        inner
+            .rate_limiter
+            .acquire(calls, inner.settings.timeout)
+            .await
     }
 
     /// A clone for calls whose turns were taken already.
-    pub(crate) fn with_turns(&self) -> Self {
+    pub(crate) fn with_reserved_calls(&self) -> Self {
         Self {
             inner: self.inner.clone(),
-            has_turns: true,
+            is_reserved: true,
         }
     }
 
@@ -126,22 +129,22 @@
         let target = path.clone();
         let read = async move {
             let timeout = store.inner.settings.timeout;
-            let answer = store.read(purpose, &target, timeout).await?;
-            object_in(&answer)
+            let response = store.read(purpose, &target, timeout).await?;
+            decode_object(&response)
         };
         self.inner.reads.read(&path, read).await
     }
 
     /// Lists all objects of a kind, in order of name.
     pub async fn list(&self, purpose: Purpose, kind: &str) -> Result<Vec<ObjectItem>, StoreError> {
-        let path = format!("/objects/{}", checked(kind)?);
-        let answer = self
+        let path = format!("/objects/{}", check_segment(kind)?);
+        let response = self
             .read(purpose, &path, self.inner.settings.timeout)
             .await?;
-        if answer.status == StatusCode::NOT_FOUND {
+        if response.status == StatusCode::NOT_FOUND {
             return Ok(Vec::new());
         }
-        Ok(decode::<ObjectList>(&answer.body)?.items)
+        Ok(decode::<ObjectList>(&response.body)?.items)
     }
 
     /// Creates an object and returns its version.
@@ -210,33 +213,33 @@
         let path = object_path(kind, name)?;
         let path = format!("{path}?watch={after}&timeout_ms={}", wait.as_millis());
         let timeout = wait + self.inner.settings.timeout;
-        let answer = self.read(purpose, &path, timeout).await?;
-        object_in(&answer)
+        let response = self.read(purpose, &path, timeout).await?;
+        decode_object(&response)
     }
 
     /// Reads the instance list.
     pub async fn instances(&self, purpose: Purpose) -> Result<InstanceList, StoreError> {
-        let answer = self
+        let response = self
             .read(purpose, "/instances", self.inner.settings.timeout)
             .await?;
-        decode(&answer.body)
+        decode(&response.body)
     }
 
     /// Whether the last call was answered, and how long ago one last was.
     #[must_use]
     pub fn health(&self) -> StoreHealth {
-        self.inner.tally.health()
+        self.inner.call_stats.health()
     }
 
     /// For how long every call has failed; zero while the last one succeeded or none was made.
     pub(crate) fn failing_for(&self) -> Duration {
-        self.inner.tally.failing_for()
+        self.inner.call_stats.failing_for()
     }
 
     /// Calls sent so far by purpose.
     #[must_use]
     pub fn calls(&self) -> BTreeMap<&'static str, u64> {
-        self.inner.tally.calls()
+        self.inner.call_stats.calls()
     }
 
     async fn read(
@@ -244,7 +247,7 @@
         purpose: Purpose,
         path: &str,
         timeout: Duration,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<Response, StoreError> {
         let req = Request::builder().method(Method::GET);
         self.call(purpose, req, path, Bytes::new(), Effect::Read, timeout)
             .await
@@ -255,7 +258,7 @@
         purpose: Purpose,
         kind: &str,
         name: &str,
-        expect: Precondition,
+        precondition: Precondition,
         value: &Value,
     ) -> Result<u64, StoreError> {
         let path = object_path(kind, name)?;
@@ -266,7 +269,7 @@
         let req = Request::builder()
             .method(Method::PUT)
             .header(header::CONTENT_TYPE, "application/json");
-        let req = match expect {
+        let req = match precondition {
             Precondition::Absent => req.header(header::IF_NONE_MATCH, "*"),
             Precondition::Version(v) => req.header(header::IF_MATCH, format!("\"{v}\"")),
         };
@@ -291,7 +294,7 @@
         body: Bytes,
         effect: Effect,
         timeout: Duration,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<Response, StoreError> {
         let req = req.body(Full::new(body));
         let req = req.map_err(|_| StoreError::Malformed)?;
         self.call_over(Connection::Pooled, purpose, req, path, effect, timeout)
@@ -307,12 +310,12 @@
         path: &str,
         effect: Effect,
         timeout: Duration,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<Response, StoreError> {
         let inner = &self.inner;
         let uri = format!("http://{}{path}", inner.settings.address);
         *req.uri_mut() = uri.parse().map_err(|_| StoreError::Malformed)?;
-        if !self.has_turns {
-            self.take_turns(1).await?;
+        if !self.is_reserved {
+            self.reserve_calls(1).await?;
         }
         let client = match connection {
             Connection::Pooled => &inner.client,
@@ -322,28 +325,35 @@
         let result = wire::exchange(client, req, effect, timeout)
             .instrument(span)
             .await;
-        inner.tally.note(purpose, result.as_ref().map(|_| ()));
+        inner
+            .call_stats
+            .record(purpose, result.as_ref().map(|_| ()));
         result
     }
 }
 
 fn object_path(kind: &str, name: &str) -> Result<String, StoreError> {
-    Ok(format!("/objects/{}/{}", checked(kind)?, checked(name)?))
+    Ok(format!(
+        "/objects/{}/{}",
+        check_segment(kind)?,
+        check_segment(name)?
+    ))
 }
 
 /// A part of a path, which must need no escaping: a name with a slash would address another object.
-fn checked(part: &str) -> Result<&str, StoreError> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~@".contains(&b);
-    let fits = !part.is_empty() && part.bytes().all(plain) && part != "." && part != "..";
-    fits.then_some(part).ok_or(StoreError::Malformed)
+fn check_segment(part: &str) -> Result<&str, StoreError> {
+    let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~@".contains(&b);
+    let is_valid =
+        !part.is_empty() && part.bytes().all(is_unreserved) && part != "." && part != "..";
+    is_valid.then_some(part).ok_or(StoreError::Malformed)
 }
 
-fn object_in(answer: &Answer) -> Result<Option<Versioned<Value>>, StoreError> {
-    if answer.status != StatusCode::OK {
+fn decode_object(response: &Response) -> Result<Option<Versioned<Value>>, StoreError> {
+    if response.status != StatusCode::OK {
         return Ok(None);
     }
-    let version = answer.version.ok_or(StoreError::Malformed)?;
-    let value = decode(&answer.body)?;
+    let version = response.version.ok_or(StoreError::Malformed)?;
+    let value = decode(&response.body)?;
     Ok(Some(Versioned { version, value }))
 }
 
--- a/crates/tc-platform/src/store/pace.rs
+++ b/crates/tc-platform/src/store/rate_limiter.rs
@@ -13,14 +13,14 @@
 const BURST_S: f64 = 1.0;
 
 /// A token bucket with reservations: a call that finds it empty waits for its turn, in order.
-pub(crate) struct Pace {
+pub(crate) struct RateLimiter {
     interval: Duration,
     burst: Duration,
     /// When the bucket will have given out all reserved tokens at the steady rate.
     reserved_until: Mutex<Instant>,
 }
 
-impl Pace {
+impl RateLimiter {
     pub(crate) fn new(calls_per_s: f64) -> Self {
         let rate = calls_per_s.max(0.001);
         let interval = Duration::from_secs_f64(1.0 / rate);
@@ -37,8 +37,8 @@
     ///
     /// Turns that had to be waited for are jittered: instances with the same rate would otherwise keep step, and
     /// two that write the same object would meet there at every turn, seen as claims that conflict many times.
-    pub(crate) async fn take(&self, tokens: u32, longest: Duration) -> Result<(), StoreError> {
-        let wait = self.reserve(tokens, Instant::now(), longest)?;
+    pub(crate) async fn acquire(&self, tokens: u32, max_wait: Duration) -> Result<(), StoreError> {
+        let wait = self.reserve(tokens, Instant::now(), max_wait)?;
         if !wait.is_zero() {
             let jitter = self
                 .interval
@@ -52,7 +52,7 @@
         &self,
         tokens: u32,
         now: Instant,
-        longest: Duration,
+        max_wait: Duration,
     ) -> Result<Duration, StoreError> {
         let mut until = self
             .reserved_until
@@ -60,7 +60,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         let reserved = (*until).max(now) + self.interval * tokens;
         let wait = reserved.duration_since(now).saturating_sub(self.burst);
-        if wait > longest {
+        if wait > max_wait {
             return Err(StoreError::RateLimited);
         }
         *until = reserved;
--- a/crates/tc-platform/src/store/sure.rs
+++ b/crates/tc-platform/src/store/verified_write.rs
@@ -8,9 +8,9 @@
 use crate::{Backoff, StoreError};
 
 /// Tries of a write or of reading it back before its fate is called unknown.
-const TRIES: u32 = 4;
-const FIRST_DELAY: Duration = Duration::from_millis(10);
-const LONGEST_DELAY: Duration = Duration::from_millis(200);
+const MAX_ATTEMPTS: u32 = 4;
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What an object must be like for a write to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,14 +53,14 @@
         purpose: Purpose,
         kind: &str,
         name: &str,
-        expect: Precondition,
+        precondition: Precondition,
         value: &Value,
-        is_ours: impl Fn(&Value) -> bool,
+        is_own_write: impl Fn(&Value) -> bool,
     ) -> WriteResult {
-        let mut backoff = Backoff::new(FIRST_DELAY, LONGEST_DELAY);
+        let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
         let mut maybe_applied = false;
-        for _ in 0..TRIES {
-            match self.put(purpose, kind, name, expect, value).await {
+        for _ in 0..MAX_ATTEMPTS {
+            match self.put(purpose, kind, name, precondition, value).await {
                 Ok(version) => return WriteResult::Written { version },
                 Err(StoreError::Conflict { .. }) if !maybe_applied => {
                     let current = self.get(purpose, kind, name).await.ok().flatten();
@@ -73,12 +73,12 @@
             // Lost answer: the object itself knows. An unchanged object says nothing, since the write may still be
             // on its way; writing the same again with the same condition settles it.
             match self.get(purpose, kind, name).await {
-                Ok(Some(current)) if is_ours(&current.value) => {
+                Ok(Some(current)) if is_own_write(&current.value) => {
                     return WriteResult::Written {
                         version: current.version,
                     };
                 }
-                Ok(current) if !fits(expect, current.as_ref()) => {
+                Ok(current) if !holds(precondition, current.as_ref()) => {
                     return WriteResult::Unknown { current };
                 }
                 Ok(_) | Err(_) => backoff.wait().await,
@@ -88,8 +88,8 @@
     }
 }
 
-fn fits(expect: Precondition, current: Option<&Versioned<Value>>) -> bool {
-    match expect {
+fn holds(precondition: Precondition, current: Option<&Versioned<Value>>) -> bool {
+    match precondition {
         Precondition::Absent => current.is_none(),
         Precondition::Version(v) => current.is_some_and(|c| c.version == v),
     }
--- a/crates/tc-platform/src/store/wire.rs
+++ b/crates/tc-platform/src/store/wire.rs
@@ -17,17 +17,17 @@
 /// Longest time a connection is kept without use; the platform may close it earlier.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Largest answer that is read: a list of objects may be many times larger than one object.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Idle time before the kernel probes a silent connection, and the pause between probes.
 ///
 /// A watch waits for many seconds with nothing on the connection. If the connection goes silent for good, only a
 /// probe shows it; without one, changes would go unseen until the watch's own timeout.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered probes after which a connection counts as broken.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 /// How long sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
@@ -39,7 +39,7 @@
 }
 
 /// An answer whose status says that the call was carried out.
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) version: Option<u64>,
     pub(crate) body: Bytes,
@@ -59,10 +59,10 @@
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(connect_timeout));
-    connector.set_keepalive(Some(PROBE_EVERY));
-    connector.set_keepalive_interval(Some(PROBE_EVERY));
-    connector.set_keepalive_retries(Some(PROBES));
-    connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_retries(Some(KEEPALIVE_PROBES));
+    connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     Client::builder(TokioExecutor::new())
         .pool_idle_timeout(IDLE_TIMEOUT)
         .pool_max_idle_per_host(max_idle)
@@ -76,28 +76,28 @@
     req: Request<Full<Bytes>>,
     effect: Effect,
     timeout: Duration,
-) -> Result<Answer, StoreError> {
-    tokio::time::timeout(timeout, answer(client, req, effect))
+) -> Result<Response, StoreError> {
+    tokio::time::timeout(timeout, send(client, req, effect))
         .await
-        .unwrap_or_else(|_| Err(no_answer(effect)))
+        .unwrap_or_else(|_| Err(no_response_error(effect)))
 }
 
-async fn answer(
+async fn send(
     client: &HttpClient,
     req: Request<Full<Bytes>>,
     effect: Effect,
-) -> Result<Answer, StoreError> {
-    let answer = client.request(req).await.map_err(|e| {
+) -> Result<Response, StoreError> {
+    let response = client.request(req).await.map_err(|e| {
         if e.is_connect() {
             StoreError::Unreachable
         } else {
-            no_answer(effect)
+            no_response_error(effect)
         }
     })?;
-    let status = answer.status();
-    let version = version_of(answer.headers());
-    judge(status, version, effect)?;
-    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+    let status = response.status();
+    let version = version_of(response.headers());
+    check_status(status, version, effect)?;
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await;
     let body = match (body, effect) {
@@ -106,7 +106,7 @@
         (Err(_), Effect::Write) => Bytes::new(),
         (Err(_), Effect::Read) => return Err(StoreError::Unreachable),
     };
-    Ok(Answer {
+    Ok(Response {
         status,
         version,
         body,
@@ -117,14 +117,18 @@
 ///
 /// A write whose connection broke may already have taken effect, or may still do so. Treating it as failed would
 /// let a claim be made twice; one would notice two runs of one idempotency key.
-const fn no_answer(effect: Effect) -> StoreError {
+const fn no_response_error(effect: Effect) -> StoreError {
     match effect {
         Effect::Read => StoreError::Unreachable,
         Effect::Write => StoreError::MaybeApplied,
     }
 }
 
-fn judge(status: StatusCode, version: Option<u64>, effect: Effect) -> Result<(), StoreError> {
+fn check_status(
+    status: StatusCode,
+    version: Option<u64>,
+    effect: Effect,
+) -> Result<(), StoreError> {
     match status {
         s if s.is_success() => Ok(()),
         StatusCode::NOT_MODIFIED => Ok(()),
