--- a/crates/tc-platform/src/backoff.rs
+++ b/crates/tc-platform/src/backoff.rs
@@ -1,14 +1,14 @@
-//! Delays between retries: exponential with jitter.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
-/// Growth per retry.
+/// Growth of the delay window per retry.
 const FACTOR: u32 = 2;
 
-/// A series of delays, each drawn from the upper half of a window that doubles up to a limit.
+/// Computes retry delays, each drawn from the upper half of a window that doubles up to a limit.
 ///
-/// Without jitter, all instances that met the same outage would come back in step and overload the store together;
-/// one would see its rate limit hit in bursts, one per window.
+/// Without jitter, all instances that saw the same outage would retry at the same time and overload
+/// the store. It would hit its rate limit in bursts, one per window.
 ///
 /// ```
 /// use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 impl Backoff {
-    /// Windows grow from `first` to `most`.
+    /// Creates a backoff whose window grows from `initial` to `max`.
     #[must_use]
     pub fn new(initial: Duration, max: Duration) -> Self {
         Self {
@@ -38,19 +38,19 @@
         }
     }
 
-    /// The next delay for a random number from 0 up to 1.
+    /// Returns the next delay, given a random number in `0.0..1.0`.
     pub fn next_delay(&mut self, random: f64) -> Duration {
         let window = self.window;
         self.window = (window * FACTOR).min(self.max);
         window.mul_f64(0.5 + random.clamp(0.0, 1.0) / 2.0)
     }
 
-    /// Waits the next delay.
+    /// Sleeps for the next delay.
     pub async fn wait(&mut self) {
         tokio::time::sleep(self.next_delay(rand::random())).await;
     }
 
-    /// Starts over after a success.
+    /// Resets the window after a success.
     pub fn reset(&mut self) {
         self.window = self.initial.min(self.max);
     }
--- a/crates/tc-platform/src/claims/batch.rs
+++ b/crates/tc-platform/src/claims/batch.rs
@@ -1,4 +1,5 @@
-//! One round over a shard's queue: which operations are answered at once and which by a write.
+//! Planning of a commit: which queued operations are answered immediately and which by a write of
+//! the head.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +8,36 @@
 use super::{
     model::{Entry, Head, KeyDigest, json_len},
     op::{Decision, Found, Op, RecordResult, Reply, Ticket},
-    shard::{PreparedSegment, Queued, Shard, Step},
+    shard::{PreparedSegment, QueuedOp, Shard, Step},
 };
 use crate::Versioned;
 
-/// Bytes of an entry's key and punctuation in the head's JSON form.
+/// Size of an entry's key and punctuation in the head's JSON form, in bytes.
 const KEY_BYTES: usize = 40;
 
-/// Operations judged together on one version of the head.
+/// Operations decided together on one version of the head.
 #[derive(Default)]
 pub(super) struct Batch {
-    /// Answers that hold already.
+    /// Replies that are already valid.
     pub(super) answered: Vec<(Ticket, Reply)>,
-    /// Answers that hold once the batch is written.
+    /// Replies that are valid once the batch is written.
     pub(super) pending: Vec<(Ticket, Reply)>,
-    /// Entries by key after the batch; `None` removes.
+    /// Entries by key after the batch; `None` removes the entry.
     changes: BTreeMap<KeyDigest, Option<Entry>>,
     bytes: usize,
-    /// Operations judged, from the front of the queue.
+    /// Number of operations decided, from the front of the queue.
     pub(super) decided: usize,
-    /// Whether the shard has no room for another segment.
+    /// Whether the shard has no space for another segment.
     full: bool,
-    /// Segments dropped by the write.
+    /// Number of segments removed by the write.
     pub(super) expired: usize,
-    /// The head that the write makes.
-    pub(super) new: Head,
+    /// The head after the write.
+    pub(super) new_head: Head,
 }
 
 impl Batch {
-    /// Judges the queue from its front until a limit is reached, or tells which step is needed first.
+    /// Decides the queued operations from the front until a limit is reached. Fails with the step
+    /// that is needed first, if any.
     pub(super) fn plan(shard: &Shard, head: &Versioned<Head>, full: bool) -> Result<Self, Step> {
         let mut batch = Self {
             full,
@@ -45,13 +47,18 @@
             if batch.bytes >= shard.limits.batch_bytes {
                 break;
             }
-            batch.take(shard, head, queued)?;
+            batch.plan_op(shard, head, queued)?;
             batch.decided += 1;
         }
         Ok(batch)
     }
 
-    fn take(&mut self, shard: &Shard, head: &Versioned<Head>, queued: &Queued) -> Result<(), Step> {
+    fn plan_op(
+        &mut self,
+        shard: &Shard,
+        head: &Versioned<Head>,
+        queued: &QueuedOp,
+    ) -> Result<(), Step> {
         let key = queued.op.key();
         let fresh = queued.ticket < shard.fresh_below || self.changes.contains_key(&key);
         let listed = &head.value.segments;
@@ -64,10 +71,15 @@
             (None, None) => in_segments,
         };
         let decision = queued.op.decide(&found, fresh, sealed);
-        self.add(shard, queued, decision)
+        self.apply_decision(shard, queued, decision)
     }
 
-    fn add(&mut self, shard: &Shard, queued: &Queued, decision: Decision) -> Result<(), Step> {
+    fn apply_decision(
+        &mut self,
+        shard: &Shard,
+        queued: &QueuedOp,
+        decision: Decision,
+    ) -> Result<(), Step> {
         let (ticket, key) = (queued.ticket, queued.op.key());
         match decision {
             Decision::StaleHead => return Err(Step::ReadHead),
@@ -77,8 +89,8 @@
             }
             Decision::Answer(reply) => self.answered.push((ticket, reply)),
             Decision::Change(entry, reply) => {
-                // An operation that may have been written already is not refused for want of room: its fate has to
-                // be settled by a write first.
+                // An operation that may already have been written is not refused for lack of space.
+                // A write must determine its result first.
                 let may_refuse = queued.maybe_written_on.is_none() && self.full;
                 let refusal = may_refuse.then(|| refusal_if_full(shard, &queued.op));
                 if let Some(refusal) = refusal.flatten() {
@@ -93,7 +105,7 @@
         Ok(())
     }
 
-    /// The head after this batch, with the first `expired` segments dropped.
+    /// Returns the head after this batch, without its first `expired` segments.
     pub(super) fn head(
         &self,
         old: &Versioned<Head>,
@@ -118,7 +130,7 @@
     }
 }
 
-/// The answer to an operation that the full shard has no room for; `None` when it still has.
+/// Returns the refusal if the full shard has no space for the operation.
 fn refusal_if_full(shard: &Shard, op: &Op) -> Option<Reply> {
     match op {
         Op::Claim { .. } => {
--- a/crates/tc-platform/src/claims/claim_guard.rs
+++ b/crates/tc-platform/src/claims/claim_guard.rs
@@ -1,4 +1,4 @@
-//! A claim's verdict on its way to whoever asked.
+//! Delivery of a verdict to the caller that requested the claim.
 
 use std::sync::Arc;
 
@@ -7,10 +7,11 @@
 
 use super::{committer::Request, model::KeyDigest};
 
-/// A verdict that gives its claim up when nobody takes it.
+/// A verdict that releases its claim on drop unless the caller takes it.
 ///
-/// A claim may be written after its caller has stopped waiting. Without the release on drop, the key would stay
-/// claimed by a run that never happens, and every resend would be told "unknown" until the claim expires.
+/// A claim may be written after its caller has stopped waiting. Without the release, the key would
+/// stay claimed by a run that never happens, and every resend would get "unknown" until the claim
+/// expires.
 pub(super) struct ClaimGuard {
     verdict: ClaimVerdict,
     release: Option<(KeyDigest, UnboundedSender<Request>)>,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Takes the verdict over, and with it the claim.
+    /// Returns the verdict and transfers the claim to the caller.
     pub(super) fn into_verdict(mut self) -> ClaimVerdict {
         self.release = None;
         self.verdict.clone()
@@ -42,7 +43,8 @@
         };
         if let Some((key, requests)) = self.release.take() {
             let claim_id: Arc<str> = claim_id.as_str().into();
-            // The commit task is only gone when the runtime is, and then nobody can release anything.
+            // The commit task is gone only if the runtime is, and then the claim cannot be
+            // released.
             let _ = requests.send(Request::release(key, claim_id));
         }
     }
--- a/crates/tc-platform/src/claims/committer.rs
+++ b/crates/tc-platform/src/claims/committer.rs
@@ -1,4 +1,4 @@
-//! Group commit: one task per shard collects operations and carries out the shard's steps.
+//! Group commit: one task per shard collects operations and executes the shard's steps.
 
 use std::{
     collections::HashMap,
@@ -31,7 +31,7 @@
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(5);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// An operation and who waits for its answer.
+/// An operation and the receiver of its reply.
 pub(super) struct Request {
     pub(super) op: Op,
     pub(super) waiter: Waiter,
@@ -54,8 +54,8 @@
 }
 
 impl Waiter {
-    /// Whether it counts towards the bound on waiting operations. Releases do not: losing one would leave a key
-    /// claimed by a run that never happens.
+    /// Whether the operation counts towards the limit on queued operations. Releases do not,
+    /// because losing one would leave a key claimed by a run that never happens.
     pub(super) const fn is_counted(&self) -> bool {
         !matches!(self, Self::None)
     }
@@ -69,13 +69,13 @@
     }
 }
 
-/// What the commit tasks share with the handle.
+/// State shared by the commit tasks and the handle.
 pub(super) struct Shared {
     pub(super) store: Store,
     pub(super) commit_interval: Duration,
     pub(super) retention_ms: AtomicU64,
-    /// Operations somebody asked for that have no answer yet, over all shards.
-    pub(super) waiting: AtomicUsize,
+    /// Number of counted operations without a reply, over all shards.
+    pub(super) queued_ops: AtomicUsize,
 }
 
 /// The commit task of one shard.
@@ -84,16 +84,17 @@
     pub(super) shard: Shard,
     pub(super) head_name: String,
     pub(super) rx: UnboundedReceiver<Request>,
-    /// Weak, so that the task ends when all handles are gone.
+    /// Weak, so that the task ends when all handles are dropped.
     pub(super) tx: WeakUnboundedSender<Request>,
     pub(super) waiters: HashMap<Ticket, Waiter>,
     pub(super) last_commit: Option<Instant>,
-    /// Calls whose turn was waited for already.
+    /// Calls already admitted by the rate limiter and not made yet.
     pub(super) reserved_calls: u32,
 }
 
 impl Committer {
-    /// Runs until all handles are dropped and what they asked for is done, or the store cannot be reached then.
+    /// Runs until all handles are dropped and their operations are done, or the store cannot be
+    /// reached after that.
     pub(super) async fn run(mut self) {
         let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
         while let Some(req) = self.rx.recv().await {
@@ -117,15 +118,16 @@
         }
     }
 
-    /// Lets operations gather until the commit interval since the last commit is over.
+    /// Waits until the commit interval since the last commit has passed, so that operations
+    /// accumulate.
     async fn wait_for_interval(&self) {
         if let Some(last) = self.last_commit {
             tokio::time::sleep_until(last + self.shared.commit_interval).await;
         }
     }
 
-    /// Waits for the turns of the next calls, before the operations for them are taken: those that come meanwhile
-    /// are then in the same commit.
+    /// Waits until the rate limiter admits the next calls. This happens before their operations are
+    /// taken from the queue, so that operations submitted in the meantime join the same commit.
     async fn reserve_calls(&mut self, calls: u32) -> Result<(), StoreError> {
         let missing = calls.saturating_sub(self.reserved_calls);
         if missing > 0 {
@@ -147,7 +149,7 @@
             let before = waiters.len();
             waiters.retain(|ticket, _| self.shard.is_queued(*ticket));
             shared
-                .waiting
+                .queued_ops
                 .fetch_sub(before - waiters.len(), Ordering::Relaxed);
         }
     }
@@ -157,7 +159,7 @@
         self.waiters.insert(ticket, req.waiter);
     }
 
-    /// Carries out one step; `None` when there was none.
+    /// Executes one step. Returns `None` if there was none.
     async fn run_step(&mut self) -> Option<Progress> {
         let retention = self.shared.retention_ms.load(Ordering::Relaxed);
         self.shard.set_retention(Duration::from_millis(retention));
@@ -189,7 +191,7 @@
         Some(progress)
     }
 
-    /// The client for the next call, after waiting for its turn unless that was done before.
+    /// Returns the client for the next call, after reserving the call if that was not done before.
     async fn reserved_store(&mut self) -> Result<Store, StoreError> {
         self.reserve_calls(1).await?;
         self.reserved_calls -= 1;
@@ -246,9 +248,10 @@
                 continue;
             };
             if waiter.is_counted() {
-                self.shared.waiting.fetch_sub(1, Ordering::Relaxed);
+                self.shared.queued_ops.fetch_sub(1, Ordering::Relaxed);
             }
-            // Whoever left gets nothing; a claim that went to nobody is released by its grant.
+            // The send fails if the caller has left. A claim without a receiver is released by its
+            // guard.
             match (waiter, reply) {
                 (Waiter::Claim(key, tx), Reply::Claim(verdict)) => {
                     let Some(requests) = self.release_sender() else {
@@ -267,7 +270,8 @@
         }
     }
 
-    /// Where a grant sends its release; `None` when no handle is left, so that nobody can wait for a verdict either.
+    /// Returns where a guard sends its release, or `None` if all handles are dropped, so that no
+    /// caller can wait for a verdict either.
     fn release_sender(&self) -> Option<UnboundedSender<Request>> {
         self.tx.upgrade()
     }
--- a/crates/tc-platform/src/claims/mod.rs
+++ b/crates/tc-platform/src/claims/mod.rs
@@ -44,39 +44,42 @@
 /// Kind of the objects that hold claims.
 pub const CLAIM_KIND: &str = "tanagercroft-claims";
 
-/// Object that holds the number of shards.
+/// Name of the object that holds the number of shards.
 const LAYOUT_NAME: &str = "layout";
-/// Operations that may wait at once; more are refused, since the store is hopelessly behind.
+/// Maximum number of queued operations. More are refused, because the store is too far behind.
 const MAX_QUEUED: usize = 20_000;
-/// How long recording an outcome is waited for; it goes on in the background.
+/// How long to wait for an outcome to be recorded. Recording continues in the background after
+/// that.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
 const INITIAL_POLL_DELAY: Duration = Duration::from_millis(20);
 const MAX_POLL_DELAY: Duration = Duration::from_millis(400);
 
-/// How claims are made.
+/// Settings of [`Claims`].
 #[derive(Clone, Debug)]
 pub struct ClaimsSettings {
-    /// Shards to spread claims over. The first instance ever to claim fixes the number for all.
+    /// Number of shards. The value of the first instance that ever makes a claim applies to all
+    /// instances.
     pub shards: u32,
-    /// Shortest time between two commits of one shard by this instance.
+    /// Minimum time between two commits of one shard by this instance.
     pub commit_interval: Duration,
-    /// Most operations in one commit.
+    /// Maximum number of operations per commit.
     pub max_batch: usize,
-    /// How long a claim and its outcome are kept at least; must exceed the longest deadline.
+    /// Minimum time that a claim and its outcome are kept. Must exceed the longest deadline.
     pub retention: Duration,
-    /// This instance.
+    /// ID of this instance.
     pub holder: InstanceId,
-    /// Which life of its process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
 }
 
-/// The number of shards, which must be the same for all: with two numbers, a key could be claimed in two shards.
+/// Stored number of shards. It must be the same for all instances; with two numbers, one key could
+/// be claimed in two shards.
 #[derive(Debug, Serialize, Deserialize)]
 struct Layout {
     shards: u32,
 }
 
-/// Handle for making claims; clones share everything.
+/// Handle for making claims. Clones share all state.
 #[derive(Clone)]
 pub struct Claims {
     inner: Arc<Inner>,
@@ -89,24 +92,25 @@
     shards: OnceCell<u32>,
     commit_queues: Mutex<HashMap<u32, UnboundedSender<Request>>>,
     outage_detector: OutageDetector,
-    /// Random, so that two lives of one instance never make the same claim id, even with a stuck clock.
+    /// Random, so that two incarnations of an instance never generate the same claim ID, even if
+    /// the clock is stuck.
     nonce: u32,
     next_claim: AtomicU64,
 }
 
 impl Claims {
-    /// Starts claiming; commit tasks run on the current tokio runtime.
+    /// Creates the handle. Commit tasks run on the current tokio runtime.
     ///
     /// # Panics
     ///
-    /// Outside a tokio runtime.
+    /// Panics outside a tokio runtime.
     #[must_use]
     pub fn start(store: Store, settings: ClaimsSettings) -> Self {
         let shared = Shared {
             store,
             commit_interval: settings.commit_interval,
             retention_ms: AtomicU64::new(settings.retention.as_millis() as u64),
-            waiting: AtomicUsize::new(0),
+            queued_ops: AtomicUsize::new(0),
         };
         Self {
             inner: Arc::new(Inner {
@@ -122,11 +126,12 @@
         }
     }
 
-    /// Claims a key for a request with this body, within `wait`; gives up sooner when the store cannot be reached.
+    /// Claims a key for a request with this body hash, within `wait`. Returns earlier if the store
+    /// cannot be reached.
     ///
-    /// [`ClaimVerdict::Acquired`] must be acted on only before the request's deadline, and at most once. With
-    /// [`ClaimVerdict::Unavailable`] the request must not run; a claim of ours that turns out to have been written
-    /// is released, so that a resend may claim again.
+    /// [`ClaimVerdict::Acquired`] must be acted on at most once, and only before the request's
+    /// deadline. On [`ClaimVerdict::Unavailable`] the request must not run. If its claim turns out
+    /// to have been written, it is released, so that a resend can claim the key again.
     pub async fn claim(&self, key: ClaimKey, body_hash: u64, wait: Duration) -> ClaimVerdict {
         let started = (MonoTime::now(), SystemTime::now());
         let store = &self.inner.shared.store;
@@ -140,7 +145,7 @@
         }
         let key = KeyDigest::of(&key);
         let (tx, rx) = oneshot::channel();
-        let submitted = async {
+        let reply = async {
             let op = Op::Claim {
                 key,
                 body_hash,
@@ -149,24 +154,28 @@
             self.submit(key, op, Waiter::Claim(key, tx)).await?;
             rx.await.map_err(|_| StoreError::Unreachable)
         };
-        let claim_guard = tokio::select! {
+        let result = tokio::select! {
             biased;
-            claim_guard = tokio::time::timeout(wait, submitted) => claim_guard,
+            result = tokio::time::timeout(wait, reply) => result,
             () = OutageDetector::wait_until_down(store) => return ClaimVerdict::Unavailable,
         };
-        match claim_guard {
-            // A process that was paused finds its verdict long after its time: the claim may have expired since,
-            // and acting on it would run the request beside the next holder's.
-            Ok(Ok(claim_guard)) if !has_elapsed(started, wait) => claim_guard.into_verdict(),
+        match result {
+            // A process that was paused may see the verdict long after `wait`. The claim may have
+            // expired since, and running the request would duplicate the run of the next holder.
+            Ok(Ok(guard)) if !has_elapsed(started, wait) => guard.into_verdict(),
             _ => ClaimVerdict::Unavailable,
         }
     }
 
-    /// Records the outcome of a claim of ours, so that resends get it; its body only when it is small.
+    /// Records the outcome of a claim made by this instance, so that resends get it. The body is
+    /// kept only if it is small.
     ///
-    /// An outcome that says [`RunState::NotRun`] is not kept: the claim is released, so that a resend can run.
-    /// Fails with [`StoreError::MaybeApplied`] when it takes long; it then goes on in the background. Fails with
-    /// [`StoreError::Conflict`] when the claim is not ours any more or has another outcome.
+    /// An outcome with [`RunState::NotRun`] is not kept; the claim is released instead, so that a
+    /// resend can run.
+    ///
+    /// Fails with [`StoreError::MaybeApplied`] if recording takes too long; it then continues in
+    /// the background. Fails with [`StoreError::Conflict`] if this instance no longer holds the
+    /// claim or another outcome was recorded.
     pub async fn record(
         &self,
         key: &ClaimKey,
@@ -194,10 +203,11 @@
         }
     }
 
-    /// Waits up to `wait` until the run that holds a key has recorded its outcome.
+    /// Waits up to `wait` until the outcome of the run that holds a key is recorded.
     ///
-    /// [`ClaimVerdict::Held`] when it has not in time, or when the store could not tell;
-    /// [`ClaimVerdict::Unavailable`] when the claim was released, so the request surely did not run.
+    /// Returns [`ClaimVerdict::Held`] if it was not recorded in time or the store could not be
+    /// read, and [`ClaimVerdict::Unavailable`] if the claim was released, which means that the
+    /// request did not run.
     pub async fn wait_for_outcome(&self, key: &ClaimKey, wait: Duration) -> ClaimVerdict {
         let key = KeyDigest::of(key);
         tokio::time::timeout(wait, self.poll_outcome(key))
@@ -205,7 +215,7 @@
             .unwrap_or(ClaimVerdict::Held)
     }
 
-    /// Changes how long claims are kept from now on.
+    /// Sets how long claims are kept from now on.
     pub fn set_retention(&self, retention: Duration) {
         let millis = retention.as_millis() as u64;
         self.inner
@@ -237,9 +247,9 @@
             .shards
             .get_or_try_init(|| self.read_or_create_layout())
             .await?;
-        let waiting = &self.inner.shared.waiting;
-        if waiter.is_counted() && waiting.fetch_add(1, Ordering::Relaxed) >= MAX_QUEUED {
-            waiting.fetch_sub(1, Ordering::Relaxed);
+        let queued_ops = &self.inner.shared.queued_ops;
+        if waiter.is_counted() && queued_ops.fetch_add(1, Ordering::Relaxed) >= MAX_QUEUED {
+            queued_ops.fetch_sub(1, Ordering::Relaxed);
             return Err(StoreError::RateLimited);
         }
         let commit_queue = self.commit_queue(key.shard(shards));
@@ -248,7 +258,7 @@
             .map_err(|_| StoreError::Unreachable)
     }
 
-    /// Reads how many shards there are, or fixes the number if nobody has.
+    /// Reads the number of shards from the store, or creates the layout if there is none.
     async fn read_or_create_layout(&self) -> Result<u32, StoreError> {
         let store = &self.inner.shared.store;
         let wanted = Layout {
@@ -262,7 +272,7 @@
         let layout: Layout = serde_json::from_value(found).map_err(|_| StoreError::Malformed)?;
         if layout.shards != wanted.shards {
             log::warn!(
-                "claims are in {} shards; the setting of {} has no effect",
+                "the store has {} claim shards; ignoring the configured number of {}",
                 layout.shards,
                 wanted.shards
             );
@@ -332,7 +342,8 @@
     }
 }
 
-/// Whether `wait` has passed, by the monotonic clock or, for a machine that was suspended, by the wall clock.
+/// Whether `wait` has passed by the monotonic clock or, if the machine was suspended, by the wall
+/// clock.
 fn has_elapsed((mono, wall): (MonoTime, SystemTime), wait: Duration) -> bool {
     let by_mono = MonoTime::now().since(mono) > wait;
     by_mono || wall.elapsed().is_ok_and(|age| age > wait)
--- a/crates/tc-platform/src/claims/model.rs
+++ b/crates/tc-platform/src/claims/model.rs
@@ -1,4 +1,4 @@
-//! What the claim objects hold: one head per shard, and the sealed segments it lists.
+//! Stored claim objects: one head per shard, and the sealed segments listed in it.
 
 use std::{collections::BTreeMap, fmt, sync::Arc};
 
@@ -6,21 +6,22 @@
 use sha2::{Digest, Sha256};
 use tc_protocol::{ClaimKey, RecordedOutcome};
 
-/// Largest recorded outcome that is kept whole, in bytes of its JSON form.
+/// Maximum size of an outcome recorded with its body, in bytes of JSON.
 pub const MAX_OUTCOME_BYTES: usize = 4 * 1024;
-/// Longest content type that is kept, in bytes.
+/// Maximum length of a recorded content type in bytes.
 const MAX_CONTENT_TYPE_BYTES: usize = 256;
 
 /// First half of the SHA-256 of a claim key.
 ///
-/// Entries are found by it, so keys of any length take the same room. A cryptographic hash, because callers choose
-/// their keys: with a weaker one a workspace could craft a key that finds another workspace's outcome.
+/// Entries are looked up by it, so keys of any length take the same space. The hash is
+/// cryptographic because callers choose the keys: with a weaker one, a workspace could craft a key
+/// that matches another workspace's outcome.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct KeyDigest(u128);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Returns the digest of a key.
     ///
     /// ```
     /// use tc_platform::claim_shard::KeyDigest;
@@ -45,7 +46,7 @@
         Self(u128::from_be_bytes(half))
     }
 
-    /// The shard that holds the key, of `shards` in all.
+    /// Returns the shard that holds the key, out of `shards`.
     #[must_use]
     pub fn shard(self, shards: u32) -> u32 {
         (self.0 % u128::from(shards.max(1))) as u32
@@ -72,26 +73,27 @@
     }
 }
 
-/// What is known of a claim.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum EntryState {
-    /// Claimed; no outcome yet.
+    /// Claimed, without an outcome so far.
     Held,
     /// The run ended with this outcome.
     Recorded(Arc<RecordedOutcome>),
-    /// Given up without having been acted on: the key is free again. Only written where a sealed segment still
-    /// holds the claim; otherwise the entry is removed.
+    /// Released without having been acted on, so the key is free again. Written only if a sealed
+    /// segment still contains the claim; otherwise the entry is removed.
     Released,
 }
 
-/// One claim. The newest entry of a key counts: the head's first, then the segments' from the last to the first.
+/// A claim. The newest entry of a key takes precedence: first the head's, then those of the
+/// segments from last to first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Entry {
     /// Hash of the request's body.
     #[serde(rename = "body")]
     pub(crate) body_hash: u64,
-    /// Identifies who claimed.
+    /// Unique ID of the claim.
     #[serde(rename = "claim")]
     pub(crate) claim_id: Arc<str>,
     pub(crate) state: EntryState,
@@ -99,25 +101,27 @@
 
 pub(crate) type Entries = BTreeMap<KeyDigest, Entry>;
 
-/// The one object of a shard that changes; its version is the fence of every claim.
+/// Head object of a shard, the only one that changes. Its version fences all claims of the shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Head {
-    /// Newest claims.
+    /// Claims that are not sealed yet.
     pub(crate) entries: Entries,
     /// Names of the sealed segments, oldest first.
     pub(crate) segments: Vec<Arc<str>>,
-    /// Names dropped by the last pruning, in case its writer died before deleting them.
+    /// Segment names removed by the last pruning, in case its writer died before it deleted the
+    /// segments.
     pub(crate) retired: Vec<Arc<str>>,
 }
 
-/// Older claims, never changed once created. The name ends in the head's version that the entries are from, so
-/// whoever seals that version writes the same content.
+/// Sealed segment of older claims, never changed after it is created. Its name ends in the version
+/// of the head that the entries come from, so every instance that seals that version writes the
+/// same content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Segment {
     pub(crate) entries: Entries,
 }
 
-/// The outcome as it is kept: without its body when it is too large.
+/// Removes the body of an outcome that is too large to be recorded.
 pub(crate) fn truncate_outcome(mut outcome: RecordedOutcome) -> RecordedOutcome {
     if outcome.content_type.len() > MAX_CONTENT_TYPE_BYTES {
         outcome.content_type.clear();
@@ -129,7 +133,7 @@
     outcome
 }
 
-/// Length of a value's JSON form in bytes.
+/// Returns the length of a value's JSON form in bytes.
 pub(crate) fn json_len(value: &impl Serialize) -> usize {
     serde_json::to_vec(value).map_or(0, |text| text.len())
 }
--- a/crates/tc-platform/src/claims/op.rs
+++ b/crates/tc-platform/src/claims/op.rs
@@ -1,4 +1,4 @@
-//! What is asked of a claim shard, and the answers.
+//! Operations on a claim shard and their replies.
 
 use std::sync::Arc;
 
@@ -6,22 +6,22 @@
 
 use super::model::{Entry, EntryState, KeyDigest};
 
-/// Names an operation within its shard; later ones are higher.
+/// Identifies an operation within its shard. Later operations have higher tickets.
 pub type Ticket = u64;
 
-/// One operation on a key of the shard.
+/// An operation on one key of the shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// Claim the key unless it is claimed.
+    /// Claims the key unless it is already claimed.
     Claim {
         /// The key.
         key: KeyDigest,
         /// Hash of the request's body.
         body_hash: u64,
-        /// Used for no other claim, ever.
+        /// Unique ID of the claim.
         claim_id: Arc<str>,
     },
-    /// Record the outcome of a claim of ours.
+    /// Records the outcome of a claim made by this instance.
     Record {
         /// The key.
         key: KeyDigest,
@@ -30,14 +30,14 @@
         /// The outcome.
         outcome: Arc<RecordedOutcome>,
     },
-    /// Give up a claim of ours that was not acted on.
+    /// Releases a claim made by this instance that was not acted on.
     Release {
         /// The key.
         key: KeyDigest,
         /// The claim.
         claim_id: Arc<str>,
     },
-    /// Look what is known of the key.
+    /// Looks up the state of the key.
     Lookup {
         /// The key.
         key: KeyDigest,
@@ -54,46 +54,47 @@
         }
     }
 
-    /// Whether it need not be carried out once nobody waits for its answer.
+    /// Whether the operation may be dropped if its caller no longer waits.
     pub(super) const fn may_be_dropped(&self) -> bool {
         matches!(self, Self::Claim { .. } | Self::Lookup { .. })
     }
 }
 
-/// The answer to an operation.
+/// Reply to an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To [`Op::Claim`].
+    /// Reply to [`Op::Claim`].
     Claim(ClaimVerdict),
-    /// To [`Op::Record`].
+    /// Reply to [`Op::Record`].
     Record(RecordResult),
-    /// To [`Op::Release`].
+    /// Reply to [`Op::Release`].
     Released,
-    /// To [`Op::Lookup`]: recorded, held, or `Unavailable` when the key is not claimed (any more).
+    /// Reply to [`Op::Lookup`]: recorded, held, or `Unavailable` if the key is not claimed or no
+    /// longer claimed.
     Lookup(ClaimVerdict),
 }
 
-/// What became of recording an outcome.
+/// Result of recording an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordResult {
-    /// It is recorded.
+    /// The outcome is recorded.
     Recorded,
-    /// The claim is not ours, has expired, or another outcome was recorded for it.
+    /// The claim is held by another instance, has expired, or has a different outcome.
     NotHolder,
-    /// The shard has no room left.
+    /// The shard has no space left.
     Full,
 }
 
-/// Sizes that bound a shard's objects.
+/// Limits on the size of a shard's objects.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardLimits {
-    /// Size of the head's entries from which they are sealed before more are added, in bytes.
+    /// Size of the head's entries in bytes from which they are sealed before more are added.
     pub seal_bytes: usize,
-    /// Most bytes of entries one commit adds.
+    /// Maximum size in bytes of the entries added by one commit.
     pub batch_bytes: usize,
-    /// Most operations one commit takes.
+    /// Maximum number of operations per commit.
     pub max_batch: usize,
-    /// Most segments the head lists.
+    /// Maximum number of segments listed in the head.
     pub max_segments: usize,
 }
 
@@ -109,35 +110,36 @@
 }
 
 impl ShardLimits {
-    /// Size of the head's entries beyond which even a full shard takes no outcomes.
+    /// Size of the head's entries in bytes beyond which a full shard refuses outcomes as well.
     pub(super) const fn max_head_bytes(&self) -> usize {
         MAX_OBJECT_BYTES / 2 - self.batch_bytes
     }
 }
 
-/// The newest entry of a key, wherever it is.
+/// The newest entry of a key.
 pub(super) enum Found<'a> {
     None,
     Entry(&'a Entry),
-    /// A recorded outcome that is in this segment, which must be read first.
+    /// A recorded outcome in this segment, which must be read first.
     InSegment(Arc<str>),
 }
 
-/// What an operation leads to.
+/// How to proceed with an operation.
 pub(super) enum Decision {
-    /// An answer that holds whatever happens to the batch, unless the batch changed the key.
+    /// A reply that is valid whether or not the batch is written, unless the batch changed the key.
     Answer(Reply),
-    /// An answer that holds once the entry is written; `None` removes it.
+    /// A reply that is valid once the entry is written; `None` removes the entry.
     Change(Option<Entry>, Reply),
-    /// The shard's head must be read again first: an old one may hide a release or an outcome.
+    /// The head must be read again first, because an old one may miss a release or an outcome.
     StaleHead,
     /// This segment must be read first.
     ReadSegment(Arc<str>),
 }
 
 impl Op {
-    /// Judges the operation by the newest entry of its key. `fresh` says that the entry was in force after the
-    /// operation was asked for; `sealed` that some segment holds the key.
+    /// Decides how to proceed with the operation, given the newest entry of its key. `fresh` means
+    /// that the entry was in force after the operation was submitted; `sealed` that a segment
+    /// contains the key.
     pub(super) fn decide(&self, found: &Found<'_>, fresh: bool, sealed: bool) -> Decision {
         let entry = match found {
             Found::InSegment(name) if !matches!(self, Self::Release { .. }) => {
@@ -174,10 +176,10 @@
             claim_id: claim_id.clone(),
             state: EntryState::Held,
         };
-        return Decision::Change(Some(entry), Reply::Claim(ours(claim_id)));
+        return Decision::Change(Some(entry), Reply::Claim(acquired(claim_id)));
     };
     if entry.claim_id == *claim_id {
-        return Decision::Answer(Reply::Claim(ours(claim_id)));
+        return Decision::Answer(Reply::Claim(acquired(claim_id)));
     }
     let verdict = match &entry.state {
         EntryState::Recorded(outcome) if entry.body_hash == body_hash => {
@@ -190,7 +192,7 @@
     Decision::Answer(Reply::Claim(verdict))
 }
 
-fn ours(claim_id: &Arc<str>) -> ClaimVerdict {
+fn acquired(claim_id: &Arc<str>) -> ClaimVerdict {
     ClaimVerdict::Acquired {
         claim_id: claim_id.to_string(),
     }
@@ -225,8 +227,8 @@
     outcome: &Arc<RecordedOutcome>,
     fresh: bool,
 ) -> Decision {
-    let ours = entry.filter(|e| e.claim_id == *claim_id);
-    let record_result = match ours.map(|e| (e, &e.state)) {
+    let own_entry = entry.filter(|e| e.claim_id == *claim_id);
+    let record_result = match own_entry.map(|e| (e, &e.state)) {
         Some((entry, EntryState::Held)) => {
             let recorded = Entry {
                 state: EntryState::Recorded(outcome.clone()),
--- a/crates/tc-platform/src/claims/outage_detector.rs
+++ b/crates/tc-platform/src/claims/outage_detector.rs
@@ -1,4 +1,4 @@
-//! When waiting for a claim is given up because the store cannot be reached.
+//! Detection of store outages, during which claims are refused without waiting.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -11,29 +11,29 @@
 use super::{CLAIM_KIND, LAYOUT_NAME};
 use crate::{Purpose, Store};
 
-/// The store counts as lost when every call has failed for this long. Shorter, and a lost answer or two would refuse
-/// requests that the next try serves.
+/// The store counts as down if all calls have failed for this long. With a shorter time, one or two
+/// lost responses would refuse requests that the next attempt serves.
 const DOWN_AFTER: Duration = Duration::from_secs(1);
-/// Time between two probes while claims are refused.
+/// Interval between probes while claims are refused.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often a waiting claim looks whether the store is lost by now.
+/// Interval at which a waiting claim checks whether the store is down.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Tells claims that cannot be made soon from those worth waiting for.
+/// Refuses claims that cannot be made soon.
 ///
-/// A claim that waited out its request's whole deadline for a store that is down would tell the caller "not run" only
-/// when nothing can be done about it any more; one would notice refusals that take exactly the deadline.
+/// Waiting for the request's whole deadline while the store is down would tell the caller "not run"
+/// only when it is too late to react. Such refusals would take exactly as long as the deadline.
 #[derive(Default)]
 pub(super) struct OutageDetector {
-    /// When the store may be probed again, as [`MonoTime`].
+    /// Earliest time of the next probe, as [`MonoTime`].
     next_probe: AtomicU64,
 }
 
 impl OutageDetector {
-    /// Whether a claim made now is to be refused at once.
+    /// Returns whether to refuse a claim immediately.
     ///
-    /// A refused claim makes no call, so one in a while starts a probe that nobody waits for: otherwise nobody might
-    /// ever learn that the store is back.
+    /// Refused claims make no store calls, so one of them starts a background probe at each
+    /// interval. Otherwise the return of the store might never be noticed.
     pub(super) fn rejects_claim(&self, store: &Store, runtime: &Handle, now: MonoTime) -> bool {
         if !is_down(store) {
             return false;
@@ -56,7 +56,7 @@
                 .is_ok()
     }
 
-    /// Completes when a waiting claim should not be waited for any longer.
+    /// Completes when the store counts as down.
     pub(super) async fn wait_until_down(store: &Store) {
         while !is_down(store) {
             tokio::time::sleep(CHECK_INTERVAL).await;
--- a/crates/tc-platform/src/claims/sealed_index.rs
+++ b/crates/tc-platform/src/claims/sealed_index.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of a shard's sealed segments.
+//! Index of a shard's sealed segments.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,17 +13,17 @@
     op::Found,
 };
 
-/// Room for clocks that run at slightly different rates, as a part of the retention.
+/// Margin for clocks that run at slightly different rates, as a fraction of the retention.
 const RETENTION_MARGIN: f64 = 0.01;
 
 struct SealedSegment {
-    /// When this instance first knew of it. All its claims are older.
+    /// When this instance first saw the segment. All its claims are older.
     first_seen: MonoTime,
-    /// `None` where an outcome is recorded, which stays in the store until it is asked for.
+    /// `None` for a recorded outcome, which is read from the store when needed.
     entries: HashMap<KeyDigest, Option<Entry>>,
 }
 
-/// Index of sealed segments by name, with the outcomes that were asked for just now.
+/// Sealed segments by name, and the recorded outcomes loaded for the current replies.
 #[derive(Default)]
 pub(super) struct SealedIndex {
     segments: BTreeMap<Arc<str>, SealedSegment>,
@@ -35,7 +35,7 @@
         self.segments.contains_key(name)
     }
 
-    /// Takes in a segment, or opens one that is known already.
+    /// Adds a segment, or loads the recorded outcomes of a known one.
     pub(super) fn insert(&mut self, now: MonoTime, name: Arc<str>, entries: Entries) {
         if self.has(&name) {
             self.loaded_outcomes.insert(name, entries);
@@ -52,17 +52,19 @@
         self.segments.insert(name, segment);
     }
 
-    /// Forgets all segments but those that `keep` names.
+    /// Removes all segments except those for which `keep` returns true.
     pub(super) fn retain(&mut self, keep: impl Fn(&Arc<str>) -> bool) {
         self.segments.retain(|name, _| keep(name));
     }
 
-    /// Forgets the outcomes read for one round of answers; they would pile up in memory.
-    pub(super) fn close(&mut self) {
+    /// Drops the outcomes loaded for the current replies, which would otherwise accumulate in
+    /// memory.
+    pub(super) fn clear_loaded_outcomes(&mut self) {
         self.loaded_outcomes.clear();
     }
 
-    /// The newest entry of a key in the segments `listed`, oldest first.
+    /// Returns the newest entry of a key in the segments `listed`, which are ordered from oldest to
+    /// newest.
     pub(super) fn find<'a>(&'a self, listed: &[Arc<str>], key: KeyDigest) -> Found<'a> {
         for name in listed.iter().rev() {
             let segment = self.segments.get(name);
@@ -79,12 +81,18 @@
         Found::None
     }
 
-    /// How many of the segments `listed`, oldest first, hold nothing but expired claims.
+    /// Returns how many of the segments `listed`, from the oldest on, contain only expired claims.
     ///
-    /// A segment's age is counted on this instance's own monotonic clock from when it first saw the segment, so no
-    /// agreement between wall clocks is needed: with them, one fast clock would drop live claims, seen as requests
-    /// that ran twice. A restarted instance starts counting anew and expires later, never earlier.
-    pub(super) fn expired(&self, listed: &[Arc<str>], now: MonoTime, retention: Duration) -> usize {
+    /// The age of a segment is measured on this instance's monotonic clock from when it first saw
+    /// the segment, so wall clocks need not agree. With wall clocks, one fast clock would drop live
+    /// claims, and requests would run twice. A restarted instance starts counting from zero, so it
+    /// expires claims later, never earlier.
+    pub(super) fn expired_count(
+        &self,
+        listed: &[Arc<str>],
+        now: MonoTime,
+        retention: Duration,
+    ) -> usize {
         let age = retention.mul_f64(1.0 + RETENTION_MARGIN);
         listed
             .iter()
--- a/crates/tc-platform/src/claims/shard.rs
+++ b/crates/tc-platform/src/claims/shard.rs
@@ -1,9 +1,11 @@
-//! State machine of one claim shard: no clock, no I/O; the caller carries out its steps one after the other.
+//! State machine of one claim shard, without clock and I/O. The caller executes its steps one at a
+//! time.
 //!
-//! All claims of a shard go through compare-and-set writes of one object, its head. Claims that fill it are moved
-//! to sealed segments, created before the head lists them and never changed. A write by whoever acts on an old head
-//! fails, however long it was paused; a write whose answer was lost is read back, and repeated until the head's
-//! version has moved on, after which the lost one can no longer take effect.
+//! All claims of a shard are made by compare-and-set writes of one object, its head. Claims that
+//! fill it are moved to sealed segments, which are created before the head lists them and never
+//! changed. A write based on an old head fails, however long its writer was paused. If the response
+//! to a write is lost, the head is read and the write repeated until the head's version has
+//! changed, after which the lost write can no longer take effect.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -18,45 +20,48 @@
 };
 use crate::Versioned;
 
-/// Part of the retention after which claims are sealed even if they are few, so that they can expire.
+/// The retention is divided by this for the age at which claims are sealed even if there are few,
+/// so that they can expire.
 const SEAL_AGE_DIVISOR: u32 = 2;
 
-/// What the shard wants done next. Its result must be fed back before the next step is asked for.
+/// The next step to execute. Its result must be reported before the next step is requested.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing to do until an operation comes.
+    /// Nothing to do until the next operation.
     Idle,
-    /// Read the head; then [`Shard::on_head_read`].
+    /// Read the head, then call [`Shard::on_head_read`].
     ReadHead,
-    /// Read this segment; then [`Shard::on_segment_read`].
+    /// Read this segment, then call [`Shard::on_segment_read`].
     ReadSegment(Arc<str>),
-    /// Create this segment; then [`Shard::on_segment_created`].
+    /// Create this segment, then call [`Shard::on_segment_created`].
     CreateSegment(Arc<str>, Value),
-    /// Write the head if its version still is this one (0: it does not exist); then [`Shard::on_head_written`].
+    /// Write the head if it still has this version (0: it does not exist), then call
+    /// [`Shard::on_head_written`].
     WriteHead(u64, Value),
-    /// Delete this segment whatever its version; then [`Shard::on_segment_deleted`].
+    /// Delete this segment, whatever its version, then call [`Shard::on_segment_deleted`].
     Delete(Arc<str>),
 }
 
-/// Whether a step got anywhere; if not, the caller should wait a little before the next one.
+/// Whether a step made progress. If not, the caller should back off before the next one.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Go on.
+    /// Continue with the next step.
     Made,
-    /// The store does not answer as hoped.
+    /// The store did not respond, or not as expected.
     None,
 }
 
-/// An operation that is waiting for its answer.
-pub(super) struct Queued {
+/// An operation without a reply so far.
+pub(super) struct QueuedOp {
     pub(super) ticket: Ticket,
     pub(super) op: Op,
-    /// Version of the head on which a write with this operation was based whose answer was lost.
+    /// Version of the head on which a write of this operation was based, if the response to that
+    /// write was lost.
     pub(super) maybe_written_on: Option<u64>,
 }
 
-/// A segment that was created from this version of the head, to be listed by the next write.
+/// A segment created from this version of the head, to be listed by the next write.
 pub(super) struct PreparedSegment {
     pub(super) version: u64,
     pub(super) name: Arc<str>,
@@ -67,30 +72,33 @@
     pub(super) index: u32,
     pub(super) limits: ShardLimits,
     pub(super) retention: Duration,
-    pub(super) queue: VecDeque<Queued>,
+    pub(super) queue: VecDeque<QueuedOp>,
     next_ticket: Ticket,
     pub(super) replies: Vec<(Ticket, Reply)>,
-    /// The head as last read or written; `None` when it must be read. Version 0: it does not exist.
+    /// The head as last read or written; `None` if it must be read. Version 0 means that it does
+    /// not exist.
     pub(super) head: Option<Versioned<Head>>,
     pub(super) head_bytes: usize,
     pub(super) last_version: u64,
-    /// Operations below this ticket were asked for before the head was last known to be in force.
+    /// Operations below this ticket were submitted before the head was last known to be in force.
     pub(super) fresh_below: Ticket,
-    /// Reads in a row that must find the head unchanged before it is written unread again.
+    /// Number of consecutive reads that must still find the head unchanged before it is written
+    /// without reading it first.
     pub(super) reads_before_write: u32,
-    /// The last segment the head listed when it was first seen with it, and when that was.
+    /// The last segment listed in the head when its current entries were first seen, and the time
+    /// of that.
     pub(super) entries_since: Option<(Option<Arc<str>>, MonoTime)>,
     pub(super) sealed: SealedIndex,
     pub(super) prepared_segment: Option<PreparedSegment>,
     pub(super) missing_segment_reads: u32,
     pub(super) batch: Option<Batch>,
-    pub(super) unlisted: Vec<Arc<str>>,
+    pub(super) to_delete: Vec<Arc<str>>,
     pub(super) is_deletion_paused: bool,
     pub(super) ticket_at_call: Ticket,
 }
 
 impl Shard {
-    /// A shard of which nothing is known yet.
+    /// Creates a shard about which nothing is known.
     #[must_use]
     pub fn new(index: u32, limits: ShardLimits, retention: Duration) -> Self {
         Self {
@@ -110,22 +118,22 @@
             prepared_segment: None,
             missing_segment_reads: 0,
             batch: None,
-            unlisted: Vec::new(),
+            to_delete: Vec::new(),
             is_deletion_paused: false,
             ticket_at_call: 0,
         }
     }
 
-    /// Sets how long claims are kept; it must exceed the longest time from a claim to its use.
+    /// Sets how long claims are kept, which must exceed the longest time from a claim to its use.
     pub fn set_retention(&mut self, retention: Duration) {
         self.retention = retention;
     }
 
-    /// Adds an operation; its answer comes with this ticket.
+    /// Queues an operation and returns the ticket of its reply.
     pub fn push(&mut self, op: Op) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        self.queue.push_back(Queued {
+        self.queue.push_back(QueuedOp {
             ticket,
             op,
             maybe_written_on: None,
@@ -133,21 +141,22 @@
         ticket
     }
 
-    /// Drops claims nobody waits for any more, but those that may have been written: they have to be followed up,
-    /// or the key would stay claimed by nobody, and every resend be answered with "unknown".
+    /// Drops claims and lookups whose callers no longer wait, except those that may have been
+    /// written. Their result must be determined; otherwise the key would stay claimed without a
+    /// run, and every resend would get "unknown".
     pub fn drop_abandoned(&mut self, is_abandoned: impl Fn(Ticket) -> bool) {
         self.queue.retain(|q| {
             q.maybe_written_on.is_some() || !q.op.may_be_dropped() || !is_abandoned(q.ticket)
         });
     }
 
-    /// Operations that have no answer yet.
+    /// Returns the number of operations without a reply.
     #[must_use]
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether this operation has no answer yet.
+    /// Returns whether the operation has no reply so far.
     #[must_use]
     pub fn is_queued(&self, ticket: Ticket) -> bool {
         self.queue
@@ -155,25 +164,27 @@
             .is_ok()
     }
 
-    /// Calls that the waiting operations most likely take: a write, and a read of the head if it has to be read.
+    /// Returns the number of calls that the queued operations are expected to need: a write, plus a
+    /// read of the head if it must be read.
     #[must_use]
     pub fn expected_calls(&self) -> u32 {
         let write = u32::from(!self.queue.is_empty());
         write + u32::from(write > 0 && self.must_read_head())
     }
 
-    /// Whether the head is unknown, or is likely to have been changed by others since it was known.
+    /// Whether the head is unknown, or likely to have been changed by others since it was read or
+    /// written.
     fn must_read_head(&self) -> bool {
         let oldest = self.queue.front().map_or(0, |q| q.ticket);
         self.head.is_none() || (self.reads_before_write > 0 && oldest >= self.fresh_below)
     }
 
-    /// Takes the answers that are ready.
+    /// Takes the available replies.
     pub fn take_replies(&mut self) -> Vec<(Ticket, Reply)> {
         std::mem::take(&mut self.replies)
     }
 
-    /// What to do next.
+    /// Returns the next step.
     pub fn next_step(&mut self, now: MonoTime) -> Step {
         while !self.queue.is_empty() {
             if let Some(step) = self.advance(now) {
@@ -183,7 +194,7 @@
         self.next_deletion()
     }
 
-    /// One round over the queue; `None` when it was answered without any step.
+    /// Processes the queue once. Returns `None` if all operations were answered without a step.
     fn advance(&mut self, now: MonoTime) -> Option<Step> {
         let head = match &self.head {
             Some(head) if !self.must_read_head() => head,
@@ -199,7 +210,7 @@
             Err(Step::ReadHead) => return Some(self.read_head()),
             Err(step) => return Some(step),
         };
-        self.sealed.close();
+        self.sealed.clear_loaded_outcomes();
         self.clear_lost_writes(version, batch.decided);
         self.answer(&batch.answered);
         if batch.pending.is_empty() {
@@ -217,11 +228,11 @@
         }
         let expired = self
             .sealed
-            .expired(&head.value.segments, now, self.retention);
+            .expired_count(&head.value.segments, now, self.retention);
         let new = batch.head(head, self.prepared_segment.as_ref(), expired);
         let (base, value) = (head.version, to_value(&new));
         self.ticket_at_call = self.next_ticket;
-        (batch.new, batch.expired) = (new, expired);
+        (batch.new_head, batch.expired) = (new, expired);
         self.batch = Some(batch);
         Step::WriteHead(base, value)
     }
@@ -236,12 +247,12 @@
         self.head_bytes >= self.limits.seal_bytes
     }
 
-    /// Whether there is no room for another segment.
+    /// Whether there is no space for another segment.
     fn is_full(&self, now: MonoTime, head: &Versioned<Head>) -> bool {
         let listed = &head.value.segments;
         let is_near = self.has_enough_to_seal() && listed.len() >= self.limits.max_segments;
         is_near && {
-            let expired = self.sealed.expired(listed, now, self.retention);
+            let expired = self.sealed.expired_count(listed, now, self.retention);
             listed.len() - expired >= self.limits.max_segments
         }
     }
@@ -271,9 +282,10 @@
         }
     }
 
-    /// Deletes what no head lists any more, when there is nothing better to do.
+    /// Returns the deletion of a segment that no head lists any more, if nothing else is to be
+    /// done.
     fn next_deletion(&mut self) -> Step {
-        match self.unlisted.last() {
+        match self.to_delete.last() {
             Some(name) if !self.is_deletion_paused => Step::Delete(name.clone()),
             _ => Step::Idle,
         }
@@ -281,6 +293,6 @@
 }
 
 fn to_value(object: &impl serde::Serialize) -> Value {
-    // Maps with string keys and plain members always have a JSON form.
+    // Maps with string keys and plain members can always be converted to JSON.
     serde_json::to_value(object).unwrap_or_default()
 }
--- a/crates/tc-platform/src/claims/step_results.rs
+++ b/crates/tc-platform/src/claims/step_results.rs
@@ -1,4 +1,4 @@
-//! How a shard's state changes with the results of its steps.
+//! State changes of a shard caused by the results of its steps.
 
 use std::sync::Arc;
 
@@ -14,13 +14,14 @@
 };
 use crate::{StoreError, Versioned};
 
-/// Reads in a row that must find the head unchanged before it is written again without reading it first.
+/// Consecutive reads that must find the head unchanged before it is written again without reading
+/// it first.
 const UNCHANGED_READS: u32 = 4;
-/// Reads of a listed segment that is not there after which the shard is called damaged.
+/// Reads of a listed but missing segment after which the shard is reported as damaged.
 const MISSING_SEGMENT_READS: u32 = 5;
 
 impl Shard {
-    /// Feeds back [`Step::ReadHead`].
+    /// Reports the result of [`Step::ReadHead`].
     pub fn on_head_read(
         &mut self,
         now: MonoTime,
@@ -34,7 +35,7 @@
             Some(object) => (object.version, serde_json::from_value(object.value)),
         };
         let Ok(head) = head else {
-            log::error!("head of claim shard {} cannot be read", self.index);
+            log::error!("head of claim shard {} cannot be decoded", self.index);
             return Progress::None;
         };
         self.reads_before_write = if version == self.last_version {
@@ -64,23 +65,25 @@
         });
     }
 
-    /// Settles a prepared segment that the head has passed by, and forgets those it no longer lists.
+    /// Forgets segments that the head no longer lists, and schedules the deletion of a prepared
+    /// segment that it can no longer list.
     ///
-    /// The head may be listed a prepared segment only by a write based on the version the segment was made from.
-    /// So once the head has moved on without listing it, it never will, and deleting it is safe.
+    /// A prepared segment can be listed only by a write based on the head version it was created
+    /// from. Once the head has a later version that does not list the segment, no version ever
+    /// will, so it can be deleted.
     fn drop_unlisted(&mut self) {
         let Some(head) = &self.head else { return };
         let listed = |name: &Arc<str>| head.value.segments.contains(name);
         let outdated = self.prepared_segment.take_if(|p| p.version != head.version);
         if let Some(orphan) = outdated.filter(|p| !listed(&p.name)) {
-            self.unlisted.push(orphan.name);
+            self.to_delete.push(orphan.name);
         }
         let prepared_segment = self.prepared_segment.as_ref().map(|p| &p.name);
         self.sealed
             .retain(|name| listed(name) || prepared_segment == Some(name));
     }
 
-    /// Feeds back [`Step::ReadSegment`].
+    /// Reports the result of [`Step::ReadSegment`].
     pub fn on_segment_read(
         &mut self,
         now: MonoTime,
@@ -93,7 +96,7 @@
             Err(_) => return Progress::None,
         };
         let Ok(segment) = serde_json::from_value::<Segment>(object.value) else {
-            log::error!("claim segment {name} cannot be read");
+            log::error!("claim segment {name} cannot be decoded");
             return Progress::None;
         };
         self.missing_segment_reads = 0;
@@ -101,19 +104,20 @@
         Progress::Made
     }
 
-    /// A listed segment is gone: most likely others expired it meanwhile, and the head is old.
+    /// Handles a listed segment that is missing. Most likely another instance has expired it and
+    /// our head is old.
     fn on_missing_segment(&mut self, name: &Arc<str>) -> Progress {
         self.head = None;
         self.missing_segment_reads += 1;
         if self.missing_segment_reads < MISSING_SEGMENT_READS {
             return Progress::Made;
         }
-        log::error!("claim segment {name} is listed and missing; its shard takes no claims");
+        log::error!("claim segment {name} is listed but missing; its shard accepts no claims");
         Progress::None
     }
 
-    /// Feeds back [`Step::CreateSegment`]. That it exists already is as good: whoever made it from the same version
-    /// of the head wrote the same.
+    /// Reports the result of [`Step::CreateSegment`]. An existing segment is fine too, because
+    /// every instance that creates it from the same version of the head writes the same content.
     pub fn on_segment_created(
         &mut self,
         now: MonoTime,
@@ -134,7 +138,7 @@
         Progress::Made
     }
 
-    /// Feeds back [`Step::WriteHead`].
+    /// Reports the result of [`Step::WriteHead`].
     pub fn on_head_written(&mut self, now: MonoTime, result: Result<u64, StoreError>) -> Progress {
         let Some(batch) = self.batch.take() else {
             return Progress::None;
@@ -154,7 +158,7 @@
                 Progress::None
             }
             Err(e) => {
-                log::warn!("claim shard {} was not written: {e}", self.index);
+                log::warn!("head of claim shard {} was not written: {e}", self.index);
                 Progress::None
             }
         }
@@ -164,16 +168,18 @@
         if batch.expired > 0 {
             let old = self.head.take().map(|h| h.value).unwrap_or_default();
             let dropped = old.segments.into_iter().take(batch.expired);
-            self.unlisted.extend(old.retired.into_iter().chain(dropped));
+            self.to_delete
+                .extend(old.retired.into_iter().chain(dropped));
         }
         self.is_deletion_paused = false;
-        self.adopt(now, version, batch.new);
+        self.adopt(now, version, batch.new_head);
         self.drop_unlisted();
         self.answer(&batch.pending);
     }
 
-    /// Forgets that the first `judged` operations may have been written on an older head than `version`: having been
-    /// judged on this one, each was either found in force or never will be.
+    /// Clears the mark of a lost write on the first `decided` operations, if it was based on an
+    /// older head than `version`. They were decided on this version, so each write was either found
+    /// in force or can no longer take effect.
     pub(super) fn clear_lost_writes(&mut self, version: u64, decided: usize) {
         for queued in self.queue.iter_mut().take(decided) {
             queued.maybe_written_on.take_if(|on| *on < version);
@@ -189,10 +195,11 @@
         }
     }
 
-    /// Feeds back [`Step::Delete`]; after a failure it is tried again only after the next commit.
+    /// Reports the result of [`Step::Delete`]. A failed deletion is retried only after the next
+    /// commit.
     pub fn on_segment_deleted(&mut self, name: &Arc<str>, done: bool) {
         if done {
-            self.unlisted.retain(|n| n != name);
+            self.to_delete.retain(|n| n != name);
         } else {
             self.is_deletion_paused = true;
         }
--- a/crates/tc-platform/src/config.rs
+++ b/crates/tc-platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration object: read, watched, and changed by compare-and-set.
+//! Reads, watches and replaces the configuration object.
 
 use std::time::Duration;
 
@@ -7,23 +7,24 @@
 
 use crate::{Precondition, Purpose, Store, StoreError, Versioned, WriteResult};
 
-/// What became of an apply.
+/// Result of an apply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApplyResult {
     /// The configuration was accepted.
     Applied {
-        /// Version of the object that holds it.
+        /// Version of the configuration object.
         version: u64,
     },
-    /// Another operator was first; nothing of ours was or will be in force.
+    /// Another operator's change came first. This one is not and will not be in force.
     Conflict(Option<Versioned<ConfigObject>>),
-    /// It surely was not accepted: the store was not reached or refused it.
+    /// It was not accepted: the store was not reached or refused it.
     NotApplied(StoreError),
-    /// It may have been accepted: the answer was lost and reading back did not settle it.
+    /// It may have been accepted: the response was lost and reading the object back was
+    /// inconclusive.
     Unknown,
 }
 
-/// Reads the configuration object; `None` before the first apply.
+/// Reads the configuration object, or returns `None` before the first apply.
 pub async fn read_config(
     store: &Store,
     purpose: Purpose,
@@ -32,7 +33,8 @@
     object.map(decode).transpose()
 }
 
-/// Waits up to `wait` for a version of the configuration object above `after`; `None` when there is none.
+/// Waits up to `wait` for a version of the configuration object above `after`. Returns `None` if
+/// there is none.
 pub async fn watch_config(
     store: &Store,
     after: u64,
@@ -44,10 +46,10 @@
     object.map(decode).transpose()
 }
 
-/// Replaces the configuration `base` by `new`, if `base` still is in force.
+/// Replaces the configuration `base` with `new`, if `base` is still in force.
 ///
-/// `new` must have the next revision and an `apply_id` used for no other apply: a write whose answer was lost is
-/// recognised by it.
+/// `new` must have the next revision, and an `apply_id` that no other apply uses, by which a write
+/// whose response was lost is recognised.
 pub async fn apply_config(
     store: &Store,
     base: Option<Versioned<ConfigObject>>,
@@ -83,11 +85,12 @@
     }
 }
 
-/// Judges a lost answer by the object found in place of ours.
+/// Determines the result of a write whose response was lost, from the object found instead.
 ///
-/// Each accepted change raises the revision by one. A foreign object with our revision stands directly on our base,
-/// so ours was never in force. A higher one may stand on ours: calling that a conflict would make the operator
-/// apply a change again that is already in force.
+/// Each accepted change increments the revision. If another object has our revision, it replaced
+/// our base directly, so ours was never in force. An object with a higher revision may be based on
+/// ours. Reporting a conflict then would make the operator repeat a change that is already in
+/// force.
 fn resolve_lost_response(new: &ConfigObject, current: Option<Versioned<Value>>) -> ApplyResult {
     match current.map(decode) {
         Some(Ok(found)) if found.value.revision == new.revision => {
--- a/crates/tc-platform/src/error.rs
+++ b/crates/tc-platform/src/error.rs
@@ -1,58 +1,59 @@
-//! What can go wrong with a call to the platform's store.
+//! Errors of store calls.
 
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a call to the store failed, told apart by what a caller may do next.
+/// Error of a call to the store. The variants differ in what the caller may do next.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum StoreError {
-    /// The object's version is not the expected one; nothing was written.
-    #[error("the object was changed by someone else first (its version is now {current:?})")]
+    /// The object does not have the expected version; nothing was written.
+    #[error("the object was changed by another writer (current version: {current:?})")]
     #[diagnostic(
         code(tc::store::conflict),
-        help("read the object again and redo the change")
+        help("read the object again and repeat the change")
     )]
     Conflict {
-        /// The version found, when the store told it; `None` also when the object does not exist.
+        /// Current version of the object, if the store reported it; also `None` if the object does
+        /// not exist.
         current: Option<u64>,
     },
-    /// The call never reached the store, or it was a read without an answer; nothing was written.
+    /// The call did not reach the store, or it was a read without a response; nothing was written.
     #[error("the platform's store cannot be reached")]
     #[diagnostic(
         code(tc::store::unreachable),
         help("check the address of the platform and the network")
     )]
     Unreachable,
-    /// This instance has used up its own rate of calls; nothing was sent.
-    #[error("this instance's own rate of calls to the store is used up")]
+    /// This instance's own limit on store calls is reached; nothing was sent.
+    #[error("this instance has reached its own limit on store calls")]
     #[diagnostic(
         code(tc::store::paced),
-        help("ask again later, or raise the rate if the platform allows it")
+        help("try again later, or raise the limit if the platform allows it")
     )]
     RateLimited,
-    /// The store answered with a status that says the call was not carried out.
+    /// The store responded with a status which means that the call was not executed.
     #[error("the store refused the call with status {0}")]
     #[diagnostic(
         code(tc::store::refused),
-        help("status 429 means that the platform's rate limit is reached")
+        help("status 429 means that the platform's rate limit was reached")
     )]
     Refused(u16),
-    /// The value is larger than the store holds; nothing was written.
-    #[error("the value is larger than the store holds")]
+    /// The value exceeds the store's size limit; nothing was written.
+    #[error("the value exceeds the store's size limit")]
     #[diagnostic(
         code(tc::store::too_large),
-        help("make the object smaller; the limit is one megabyte")
+        help("reduce the size of the object; the limit is one megabyte")
     )]
     TooLarge,
-    /// The write was sent and its answer lost: it may have taken effect, now or later.
-    #[error("the write may or may not have taken effect: its answer was lost")]
+    /// The write was sent and its response lost: it may take effect, now or later, or never.
+    #[error("the write may or may not have taken effect: the response was lost")]
     #[diagnostic(
         code(tc::store::maybe_applied),
-        help("read the object back before trying again")
+        help("read the object before trying again")
     )]
     MaybeApplied,
-    /// An answer, a value or an object's name does not fit the protocol.
-    #[error("an answer or a name does not fit the store's protocol")]
+    /// A response, a value or an object name does not conform to the store's protocol.
+    #[error("a response, a value or an object name does not conform to the store's protocol")]
     #[diagnostic(
         code(tc::store::malformed),
         help("check that the address is the platform's object API")
@@ -61,7 +62,7 @@
 }
 
 impl StoreError {
-    /// The word used as the `result` label of `tc_platform_calls_total`.
+    /// Returns the value of the `result` label of `tc_platform_calls_total`.
     ///
     /// ```
     /// assert_eq!(tc_platform::StoreError::RateLimited.as_str(), "paced");
--- a/crates/tc-platform/src/kinds.rs
+++ b/crates/tc-platform/src/kinds.rs
@@ -1,6 +1,6 @@
-//! Listing and watching all objects of a kind, and writing an object whoever wrote it last.
+//! Lists and watches all objects of a kind, and writes objects without a version check.
 //!
-//! Stores differ in paths and bodies; a [`KindDialect`] is what this client needs to know of one.
+//! Stores differ in paths and bodies; a [`KindDialect`] describes those of one store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,99 +14,103 @@
     store::{Connection, Effect, Store},
 };
 
-/// An object with the revision of its last change.
+/// An object and the revision of its last change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredObject {
-    /// Its name within its kind.
+    /// Name, unique within the kind.
     pub name: Arc<str>,
-    /// The store's revision at its last change.
+    /// Store revision of the last change.
     pub revision: u64,
-    /// Its value; shared, as it is handed on between instances.
+    /// Value. Shared, because it is forwarded between instances.
     pub value: Arc<Value>,
 }
 
-/// Some objects of a kind, in order of name.
+/// One page of the objects of a kind, ordered by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListPage {
-    /// The objects.
+    /// Objects on this page.
     pub items: Vec<StoredObject>,
-    /// Whether more follow after the last of them.
+    /// Whether more objects follow.
     pub has_more: bool,
-    /// The store's revision that the page shows.
+    /// Store revision at which the page was read.
     pub revision: u64,
-    /// Why objects were left out that cannot be read, one line each.
+    /// One message for each object that was skipped because it cannot be decoded.
     pub unreadable: Vec<String>,
 }
 
-/// One change of an object.
+/// A change of one object.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ObjectEvent {
-    /// It was created or changed.
+    /// The object was created or changed.
     Put(StoredObject),
-    /// It is gone.
+    /// The object was removed.
     Removed {
-        /// Its name.
+        /// Name of the object.
         name: Arc<str>,
-        /// The store's revision of the removal, as far as it is told.
+        /// Store revision of the removal, if the store reports it.
         revision: u64,
     },
 }
 
-/// What changed since a revision.
+/// Changes since a revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchPage {
-    /// The changes, oldest first.
+    /// Changes, oldest first.
     pub events: Vec<ObjectEvent>,
-    /// Where to go on.
+    /// Revision from which to continue the watch.
     pub revision: u64,
-    /// Why changes were left out that cannot be read, one line each.
+    /// One message for each change that was skipped because it cannot be decoded.
     pub unreadable: Vec<String>,
 }
 
-/// How current a list must be.
+/// Required freshness of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It shows all that the store had acknowledged when it was asked.
+    /// The list shows all writes that the store had acknowledged when the list was requested.
     Current,
-    /// It may be seconds old; such a list costs a fraction and counts towards no rate.
+    /// The list may be seconds old. Such a list costs the store a fraction and does not count
+    /// towards its rate limit.
     SecondsOld,
 }
 
-/// How a store spells these calls.
+/// Paths, methods and bodies of these calls for one kind of store.
 #[derive(Clone, Copy, Debug)]
 pub struct KindDialect {
-    /// Path of a list of a kind's objects, after a name.
+    /// Returns the path that lists the objects of a kind, starting after the given name.
     pub list_path: fn(&str, Option<&str>, Freshness) -> String,
-    /// Reads a list.
+    /// Decodes a list response.
     pub read_list: fn(&[u8]) -> Option<ListPage>,
-    /// Path of a watch of a kind from a revision on, with the longest time to wait.
+    /// Returns the path that watches a kind from a revision, with the maximum time to wait.
     pub watch_path: fn(&str, u64, Duration) -> String,
-    /// Reads the answer of a watch.
+    /// Decodes a watch response.
     pub read_watch: fn(&[u8]) -> Option<WatchPage>,
-    /// Method, path and body that create an object.
+    /// Returns method, path and body of the request that creates an object.
     pub create: fn(&str, &str, &Value) -> (Method, String, Value),
-    /// Method, path and body that replace an object's value whatever it is.
+    /// Returns method, path and body of the request that replaces an object, whatever its current
+    /// value.
     pub replace: fn(&str, &str, &Value) -> (Method, String, Value),
-    /// Status by which the store says that a watch's history is no longer kept.
+    /// Status code with which the store reports that the history of a watch is no longer kept.
     pub history_gone: u16,
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchResult {
-    /// Changes, none if the wait ended without one.
+    /// Changes; empty if the wait ended without one.
     Changes(WatchPage),
-    /// Changes since then are no longer kept: list again.
+    /// The store no longer keeps the changes since that revision: list again.
     HistoryGone,
 }
 
 impl Store {
-    /// Lists every object of a kind and tells the revision from which to watch.
+    /// Lists every object of a kind, with the revision to watch from.
     ///
-    /// That is the first page's: what changes while later pages are read is seen again by the watch.
+    /// That is the revision of the first page, so the watch reports again what changed while later
+    /// pages were read.
     ///
-    /// Each page is read over a new connection, so that a list still succeeds when pooled connections
-    /// have stopped responding, and returns changes that a watch on such a connection misses.
+    /// Each page is read over a new connection, so that a list still succeeds when pooled
+    /// connections have stopped responding, and returns changes that a watch on such a connection
+    /// misses.
     pub async fn list_kind(
         &self,
         purpose: Purpose,
@@ -157,9 +161,10 @@
         }
     }
 
-    /// Writes an object whoever wrote it last; for objects that only one instance writes.
+    /// Creates or replaces an object without a version check, for objects that only one instance
+    /// writes.
     ///
-    /// A lost answer is an error, and writing the same again is harmless.
+    /// A lost response is returned as an error. Repeating the same write is harmless.
     pub async fn put_kind(
         &self,
         purpose: Purpose,
--- a/crates/tc-platform/src/leases.rs
+++ b/crates/tc-platform/src/leases.rs
@@ -1,4 +1,5 @@
-//! Leases: at most one instance at a time gives orders to the upstreams of a service.
+//! Leases, which ensure that at most one instance at a time sends orders to the upstreams of a
+//! service.
 
 use std::time::{Duration, SystemTime};
 
@@ -9,67 +10,67 @@
 
 use crate::{Precondition, Purpose, Store, StoreError, Versioned, WriteResult};
 
-/// Kind of the lease objects; the name is the service's.
+/// Kind of the lease objects. The object name is the service name.
 pub const LEASE_KIND: &str = "tanagercroft-lease";
 
-/// Part of its duration that a foreign lease must be overdue before it is taken over: clocks of two machines may
-/// run at slightly different rates.
+/// Fraction of its duration by which another instance's lease must be overdue before it is taken
+/// over. The clocks of two machines may run at slightly different rates.
 const TAKEOVER_MARGIN: f64 = 0.1;
 
-/// Who holds a lease and for how long.
+/// Holder and duration of a lease.
 #[derive(Clone, Debug)]
 pub struct LeaseSettings {
-    /// This instance.
+    /// ID of this instance.
     pub holder: InstanceId,
-    /// Which life of its process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
     /// How long the lease lasts without renewal.
     pub ttl: Duration,
 }
 
-/// Why a lease is not held.
+/// Error of acquiring, renewing or releasing a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LeaseError {
-    /// Another instance holds it, or took it first.
+    /// Another instance holds the lease, or acquired it first.
     #[error("the lease is held by another instance")]
     HeldByOther,
-    /// It lapsed; it must be acquired anew, with a new fencing number.
-    #[error("the lease lapsed")]
+    /// The lease has expired. It must be acquired again, with a new fencing token.
+    #[error("the lease has expired")]
     Expired,
-    /// The answer of the write was lost and reading back did not settle it.
-    #[error("whether the lease was written is unknown")]
+    /// The response to the write was lost and reading the object back was inconclusive.
+    #[error("it is unknown whether the lease was written")]
     Unknown,
-    /// The store could not be asked.
-    #[error("the lease's object could not be used: {0}")]
+    /// A store call failed.
+    #[error("the lease object could not be read or written: {0}")]
     Store(#[from] StoreError),
 }
 
-/// Value of a lease object.
+/// Stored value of a lease object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Record {
-    /// `None` once released.
+    /// `None` after a release.
     holder: Option<InstanceId>,
     incarnation: Incarnation,
     ttl_ms: u64,
-    /// Random, to recognise a write whose answer was lost.
+    /// Random, to recognise a write whose response was lost.
     nonce: u64,
 }
 
-/// A foreign lease, and when this version of it was first seen.
-struct ForeignLease {
+/// Object version of a lease of another holder, and when it was first seen.
+struct ObservedVersion {
     version: u64,
     first_seen: MonoTime,
 }
 
-/// One service's lease, as seen by this instance.
+/// Lease of one service, as seen by this instance.
 pub struct Lease {
     store: Store,
     name: ServiceName,
     settings: LeaseSettings,
-    foreign_lease: Option<ForeignLease>,
+    observed: Option<ObservedVersion>,
 }
 
-/// A lease that was acquired. Its fencing number can only be had while it has not lapsed.
+/// An acquired lease. Its fencing token is available only until the lease expires.
 #[derive(Debug, PartialEq, Eq)]
 pub struct HeldLease {
     fence: u64,
@@ -80,10 +81,11 @@
 }
 
 impl HeldLease {
-    /// The fencing number, unless the lease has lapsed by now.
+    /// Returns the fencing token, or `None` if the lease has expired.
     ///
-    /// Besides the monotonic clock, which stands still while a virtual machine is suspended, it asks the wall
-    /// clock: a holder that slept through its lease would otherwise give orders beside its successor.
+    /// The monotonic clock stops while a virtual machine is suspended, so the wall clock is checked
+    /// as well. Otherwise a holder that was suspended past the end of its lease would send orders
+    /// alongside its successor.
     #[must_use]
     pub fn fence(&self) -> Option<u64> {
         let is_expired = self.start_wall.elapsed().is_ok_and(|age| age >= self.ttl);
@@ -93,13 +95,14 @@
         self.fence_at(MonoTime::now())
     }
 
-    /// The fencing number, unless the lease has lapsed at `now`.
+    /// Returns the fencing token, or `None` if the lease has expired at `now`.
     #[must_use]
     pub fn fence_at(&self, now: MonoTime) -> Option<u64> {
         (now < self.expires_at()).then_some(self.fence)
     }
 
-    /// When it lapses, counted from before the request that acquired or renewed it was sent.
+    /// Returns when the lease expires. Its duration starts before the request that acquired or
+    /// renewed it was sent.
     #[must_use]
     pub fn expires_at(&self) -> MonoTime {
         self.start.after(self.ttl)
@@ -107,21 +110,21 @@
 }
 
 impl Lease {
-    /// The lease on orders to the upstreams of `service`.
+    /// Creates the lease for orders to the upstreams of `service`, not yet acquired.
     #[must_use]
     pub fn new(store: Store, service: ServiceName, settings: LeaseSettings) -> Self {
         Self {
             store,
             name: service,
             settings,
-            foreign_lease: None,
+            observed: None,
         }
     }
 
     /// Acquires the lease if it is free, released or overdue.
     ///
-    /// A foreign lease counts as overdue when its object has not changed for its whole duration and a margin, as
-    /// seen by this instance, so a fresh instance waits at least that long.
+    /// Another instance's lease counts as overdue if this instance has seen its object unchanged
+    /// for the full duration plus a margin, so a new instance waits at least that long.
     pub async fn acquire(&mut self) -> Result<HeldLease, LeaseError> {
         let found = self
             .store
@@ -139,8 +142,8 @@
             .await
     }
 
-    /// Makes a held lease last longer; the fencing number stays. After a failure the lease still ends when it would
-    /// have, and may have to be acquired anew.
+    /// Extends a held lease and keeps its fencing token. After a failure the lease still expires at
+    /// the previous time, and may have to be acquired again.
     pub async fn renew(&mut self, held: &mut HeldLease) -> Result<(), LeaseError> {
         let fence = held.fence().ok_or(LeaseError::Expired)?;
         let precondition = Precondition::Version(held.version);
@@ -150,7 +153,7 @@
         Ok(())
     }
 
-    /// Gives the lease up, so that another instance need not wait for its end.
+    /// Releases the lease, so that another instance need not wait until it expires.
     pub async fn release(&mut self, held: HeldLease) -> Result<(), LeaseError> {
         self.write(Precondition::Version(held.version), None)
             .await?;
@@ -168,14 +171,14 @@
             return Ok(());
         }
         let ttl = Duration::from_millis(record.ttl_ms).mul_f64(1.0 + TAKEOVER_MARGIN);
-        match &self.foreign_lease {
-            Some(foreign_lease) if foreign_lease.version == object.version => {
-                if now.since(foreign_lease.first_seen) >= ttl {
+        match &self.observed {
+            Some(observed) if observed.version == object.version => {
+                if now.since(observed.first_seen) >= ttl {
                     return Ok(());
                 }
             }
             _ => {
-                self.foreign_lease = Some(ForeignLease {
+                self.observed = Some(ObservedVersion {
                     version: object.version,
                     first_seen: now,
                 });
--- a/crates/tc-platform/src/lib.rs
+++ b/crates/tc-platform/src/lib.rs
@@ -1,4 +1,5 @@
-//! Client of the platform: objects, claims, leases, the configuration object and the instance list.
+//! Client for the platform's store: objects, claims, leases, the configuration object and the
+//! instance list.
 
 mod backoff;
 mod claims;
@@ -22,7 +23,8 @@
 };
 pub use store::{Precondition, Purpose, Store, StoreSettings, Versioned, WriteResult};
 
-/// The state machine of a claim shard, without clock and I/O. [`Claims`] drives it; so do tests.
+/// State machine of a claim shard, without clock and I/O. Driven by [`Claims`], and directly by
+/// tests.
 pub mod claim_shard {
     pub use crate::claims::{
         KeyDigest, Op, Progress, RecordResult, Reply, Shard, ShardLimits, Step, Ticket,
--- a/crates/tc-platform/src/quarantine.rs
+++ b/crates/tc-platform/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Fingerprints of requests that crashed upstreams, kept so that no instance runs them again.
+//! Storage of quarantined fingerprints: those of requests that crashed upstreams, so that no
+//! instance runs them again.
 
 use serde::{Deserialize, Serialize};
 use tc_protocol::{Fingerprint, ServiceName, WorkspaceName};
@@ -8,33 +9,33 @@
 /// Kind of the objects that hold quarantined fingerprints.
 pub const QUARANTINE_KIND: &str = "tanagercroft-quarantine";
 
-/// One quarantined fingerprint.
+/// A quarantined fingerprint and where it comes from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantined {
-    /// The fingerprint.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Whose request it was.
+    /// Workspace that sent the request.
     pub workspace: WorkspaceName,
-    /// The service whose upstreams it crashed.
+    /// Service whose upstreams crashed.
     pub service: ServiceName,
-    /// Upstreams it crashed.
+    /// Number of upstreams that crashed.
     pub crashes: u32,
-    /// Unix time of the quarantine in milliseconds; for people only.
+    /// Unix time of the quarantine in milliseconds, for display only.
     pub added_at_ms: u64,
 }
 
-/// Lists all quarantined fingerprints. Objects that cannot be read are skipped with a warning.
+/// Lists all quarantined fingerprints. Objects that cannot be decoded are skipped with a warning.
 pub async fn list_quarantined(store: &Store) -> Result<Vec<Quarantined>, StoreError> {
     let items = store.list(Purpose::Quarantine, QUARANTINE_KIND).await?;
     let decode = |item: tc_protocol::wire::ObjectItem| {
         serde_json::from_value(item.value)
-            .inspect_err(|e| log::warn!("quarantine object {} cannot be read: {e}", item.name))
+            .inspect_err(|e| log::warn!("cannot decode quarantine object {}: {e}", item.name))
             .ok()
     };
     Ok(items.into_iter().filter_map(decode).collect())
 }
 
-/// Quarantines a fingerprint; a repeat is harmless.
+/// Quarantines a fingerprint. Repeating the call is harmless.
 pub async fn add_quarantined(store: &Store, entry: &Quarantined) -> Result<(), StoreError> {
     let value = serde_json::to_value(entry).map_err(|_| StoreError::Malformed)?;
     let name = object_name(entry.fingerprint);
@@ -56,7 +57,7 @@
     }
 }
 
-/// Lets a fingerprint run again; returns whether it was quarantined.
+/// Lifts the quarantine of a fingerprint. Returns whether it was quarantined.
 pub async fn remove_quarantined(
     store: &Store,
     fingerprint: Fingerprint,
--- a/crates/tc-platform/src/store/call_stats.rs
+++ b/crates/tc-platform/src/store/call_stats.rs
@@ -1,4 +1,4 @@
-//! What calls are for, how many were made, and how well the store answers.
+//! Counts store calls by purpose and tracks whether the store responds.
 
 use std::{
     collections::BTreeMap,
@@ -10,7 +10,7 @@
 
 use crate::StoreError;
 
-/// What a call to the store is for; the platform counts every call, and so do we.
+/// Purpose of a store call. Calls are counted by purpose, because the platform counts every call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Purpose {
     /// Reading and watching the configuration.
@@ -19,20 +19,20 @@
     Claims,
     /// Leases and plans for orders to upstreams.
     Leases,
-    /// The instance list.
+    /// Reading the instance list.
     Instances,
     /// Quarantined fingerprints.
     Quarantine,
-    /// Commands given by an operator.
+    /// Operator commands.
     Operator,
     /// Watching the registered upstreams.
     Registry,
-    /// Telling and learning of other instances.
+    /// Publishing this instance and discovering others.
     Members,
 }
 
 impl Purpose {
-    /// All purposes, in the order of their declaration.
+    /// All purposes, in declaration order.
     pub const ALL: [Self; 8] = [
         Self::Config,
         Self::Claims,
@@ -44,7 +44,7 @@
         Self::Members,
     ];
 
-    /// The word used as the `purpose` label of metrics.
+    /// Returns the value of the `purpose` label of metrics.
     ///
     /// ```
     /// assert_eq!(tc_platform::Purpose::Claims.as_str(), "claims");
@@ -64,12 +64,12 @@
     }
 }
 
-/// Counts calls by purpose and remembers the last one that succeeded.
+/// Call counters by purpose, and the time of the last successful call.
 pub(crate) struct CallStats {
     calls: [AtomicU64; Purpose::ALL.len()],
     reachable: AtomicBool,
     last_success: AtomicU64,
-    /// When the first of the calls failed that all failed since; 0 while the last one succeeded.
+    /// Start of the current series of failed calls; 0 if the last call succeeded.
     failing_since: AtomicU64,
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Notes a call that was sent, and how it ended.
+    /// Records a call that was sent, and its result.
     pub(crate) fn record(&self, purpose: Purpose, result: Result<(), &StoreError>) {
         self.calls[purpose as usize].fetch_add(1, Ordering::Relaxed);
         let label = result.map_or_else(StoreError::as_str, |()| "ok");
@@ -99,7 +99,7 @@
             self.failing_since.store(0, Ordering::Relaxed);
         } else {
             let (done, failed) = (Ordering::Relaxed, Ordering::Relaxed);
-            // Fails when an earlier call failed already, whose time counts.
+            // Has no effect if an earlier call of the series has set the time.
             let _ = self
                 .failing_since
                 .compare_exchange(0, MonoTime::now().0, done, failed);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// For how long every call has failed; zero while the last one succeeded or none was made.
+    /// Returns for how long all calls have failed; zero if the last one succeeded or none was made.
     pub(crate) fn failing_for(&self) -> Duration {
         match self.failing_since.load(Ordering::Relaxed) {
             0 => Duration::ZERO,
--- a/crates/tc-platform/src/store/coalesce.rs
+++ b/crates/tc-platform/src/store/coalesce.rs
@@ -1,4 +1,4 @@
-//! Coalescing of concurrent identical reads.
+//! Coalesces concurrent reads of the same object.
 
 use std::{
     collections::HashMap,
@@ -18,7 +18,8 @@
 pub(crate) type ReadResult = Result<Option<Versioned<Value>>, StoreError>;
 type SharedRead = Shared<BoxFuture<'static, ReadResult>>;
 
-/// Reads of one object: at most one on its way and one more waiting to be sent, which later callers join.
+/// Reads of one object: at most one in flight, and one more that is not sent yet, which later
+/// callers join.
 #[derive(Clone, Default)]
 struct ObjectReads {
     in_flight: Arc<tokio::sync::Mutex<()>>,
@@ -27,18 +28,18 @@
 
 /// Lets concurrent reads of one object share a call.
 ///
-/// A caller only ever joins a read that has not been sent yet. Joining one already on its way could give a value
-/// from before the caller's own write, seen as a lost write that in truth took effect.
+/// A caller joins only a read that has not been sent yet. A read already in flight could return a
+/// value from before the caller's own write, which would look as if that write had been lost.
 ///
-/// Reads run in tasks of their own: a caller that joined one and is then not polled for long would otherwise hold up
-/// all others that wait for the same object.
+/// Each read runs in its own task. Otherwise a caller that joined a read and is not polled for a
+/// while would block all others waiting for the same object.
 #[derive(Clone, Default)]
 pub(crate) struct Coalescer {
     objects: Arc<Mutex<HashMap<String, ObjectReads>>>,
 }
 
 impl Coalescer {
-    /// Joins the waiting read of `path`, or makes `read` the waiting one.
+    /// Joins the unsent read of `path`, or makes `read` the unsent one.
     pub(crate) async fn read<F>(&self, path: &str, read: F) -> ReadResult
     where
         F: Future<Output = ReadResult> + Send + 'static,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Removes an unused lane; object names keep changing, so lanes would pile up otherwise.
+    /// Removes the entry of an object without reads. Object names keep changing, so entries would
+    /// accumulate.
     fn remove_if_idle(&self, path: &str) {
         let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
         let is_idle = objects.get(path).is_some_and(|object| {
--- a/crates/tc-platform/src/store/mod.rs
+++ b/crates/tc-platform/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's object API and instance list.
+//! Client for the platform's object API and instance list.
 
 mod call_stats;
 mod coalesce;
@@ -30,38 +30,38 @@
 pub use call_stats::Purpose;
 pub use verified_write::{Precondition, WriteResult};
 
-/// How the store is reached.
+/// Settings of the store client.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// Where the platform listens.
+    /// Address of the platform.
     pub address: SocketAddr,
-    /// Most calls a second this instance makes in the long run; a second's worth may come at once.
+    /// Maximum average rate of calls per second. One second's worth may be sent in a burst.
     pub calls_per_s: f64,
-    /// Longest time one call may take, and longest time it may wait for its turn.
+    /// Maximum duration of a call, and maximum time it may wait for the rate limiter.
     pub timeout: Duration,
 }
 
-/// A value and the version of the object that holds it.
+/// A value with the version of its object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Versioned<T> {
-    /// The object's version.
+    /// Version of the object.
     pub version: u64,
-    /// The object's value.
+    /// Value of the object.
     pub value: T,
 }
 
-/// Client of the store; clones share connections, rate and counters.
+/// Client for the store. Clones share connections, rate limit and counters.
 #[derive(Clone)]
 pub struct Store {
     inner: Arc<Inner>,
-    /// Whether the turns of all calls made through this clone were waited for already.
+    /// Whether the calls made through this clone were already admitted by the rate limiter.
     is_reserved: bool,
 }
 
 struct Inner {
     settings: StoreSettings,
     client: HttpClient,
-    /// Opens a new connection for each call.
+    /// Client that opens a new connection for each call.
     unpooled_client: HttpClient,
     rate_limiter: RateLimiter,
     call_stats: CallStats,
@@ -69,7 +69,7 @@
 }
 
 impl Store {
-    /// A client that connects when first used. Calls need a tokio runtime.
+    /// Creates a client that connects on first use. Calls require a tokio runtime.
     ///
     /// ```
     /// use std::time::Duration;
@@ -97,10 +97,12 @@
         }
     }
 
-    /// Waits for the turns of so many calls together, which are then made through [`Store::with_turns`].
+    /// Waits until the rate limiter admits this many calls together, which are then made through
+    /// [`Store::with_reserved_calls`].
     ///
-    /// A read and the write based on it belong together: with a wait for a turn between them, the object would
-    /// have changed more often than not when others write it too, and the write would fail again and again.
+    /// A read and the write based on it are reserved together. If the write had to wait after the
+    /// read, other writers would usually change the object in between, and the write would fail
+    /// repeatedly.
     pub(crate) async fn reserve_calls(&self, calls: u32) -> Result<(), StoreError> {
         let inner = &self.inner;
         inner
@@ -109,7 +111,7 @@
             .await
     }
 
-    /// A clone for calls whose turns were taken already.
+    /// Returns a clone for calls that were reserved before.
     pub(crate) fn with_reserved_calls(&self) -> Self {
         Self {
             inner: self.inner.clone(),
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Reads one object; `None` when it does not exist. Concurrent reads of one object share calls.
+    /// Reads an object, or returns `None` if it does not exist. Concurrent reads of the same object
+    /// share calls.
     pub async fn get(
         &self,
         purpose: Purpose,
@@ -135,7 +138,7 @@
         self.inner.reads.read(&path, read).await
     }
 
-    /// Lists all objects of a kind, in order of name.
+    /// Lists all objects of a kind, ordered by name.
     pub async fn list(&self, purpose: Purpose, kind: &str) -> Result<Vec<ObjectItem>, StoreError> {
         let path = format!("/objects/{}", check_segment(kind)?);
         let response = self
@@ -149,8 +152,8 @@
 
     /// Creates an object and returns its version.
     ///
-    /// Fails with [`StoreError::Conflict`] when it exists, and with [`StoreError::MaybeApplied`] when the answer
-    /// was lost; see [`Store::write_verified`].
+    /// Fails with [`StoreError::Conflict`] if it exists, and with [`StoreError::MaybeApplied`] if
+    /// the response was lost; see [`Store::write_verified`].
     pub async fn create(
         &self,
         purpose: Purpose,
@@ -162,9 +165,9 @@
             .await
     }
 
-    /// Writes an object whose version still is `version` and returns the new one.
+    /// Replaces an object that still has version `version`, and returns the new version.
     ///
-    /// Fails as [`Store::create`] does.
+    /// Fails like [`Store::create`].
     pub async fn update(
         &self,
         purpose: Purpose,
@@ -177,7 +180,7 @@
             .await
     }
 
-    /// Deletes an object whose version still is `version`.
+    /// Deletes an object that still has version `version`.
     pub async fn delete(
         &self,
         purpose: Purpose,
@@ -201,7 +204,8 @@
         .map(|_| ())
     }
 
-    /// Waits up to `wait` until the object's version is above `after`; `None` when it did not change.
+    /// Waits up to `wait` until the object's version is above `after`. Returns `None` if it did not
+    /// change.
     pub async fn watch(
         &self,
         purpose: Purpose,
@@ -225,18 +229,18 @@
         decode(&response.body)
     }
 
-    /// Whether the last call was answered, and how long ago one last was.
+    /// Returns whether the last call was answered, and the time since a call was last answered.
     #[must_use]
     pub fn health(&self) -> StoreHealth {
         self.inner.call_stats.health()
     }
 
-    /// For how long every call has failed; zero while the last one succeeded or none was made.
+    /// Returns for how long all calls have failed; zero if the last one succeeded or none was made.
     pub(crate) fn failing_for(&self) -> Duration {
         self.inner.call_stats.failing_for()
     }
 
-    /// Calls sent so far by purpose.
+    /// Returns the number of calls sent, by purpose.
     #[must_use]
     pub fn calls(&self) -> BTreeMap<&'static str, u64> {
         self.inner.call_stats.calls()
@@ -277,11 +281,11 @@
         self.call(purpose, req, &path, body.into(), Effect::Write, timeout)
             .await?
             .version
-            // It was written, but without the version nothing can be built on it.
+            // The write took effect, but without the version no further write can be based on it.
             .ok_or(StoreError::MaybeApplied)
     }
 
-    /// Longest time one call may take.
+    /// Returns the maximum duration of a call.
     pub(crate) fn timeout(&self) -> Duration {
         self.inner.settings.timeout
     }
@@ -340,7 +344,7 @@
     ))
 }
 
-/// A part of a path, which must need no escaping: a name with a slash would address another object.
+/// Checks that a path segment needs no escaping. A name with a slash would address another object.
 fn check_segment(part: &str) -> Result<&str, StoreError> {
     let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~@".contains(&b);
     let is_valid =
--- a/crates/tc-platform/src/store/rate_limiter.rs
+++ b/crates/tc-platform/src/store/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Token bucket that bounds this instance's calls to the store.
+//! Token bucket that limits this instance's calls to the store.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -9,14 +9,14 @@
 
 use crate::StoreError;
 
-/// Seconds' worth of calls that may be sent at once after a quiet time.
+/// Burst capacity after a quiet period, in seconds of the steady rate.
 const BURST_S: f64 = 1.0;
 
-/// A token bucket with reservations: a call that finds it empty waits for its turn, in order.
+/// A token bucket with reservations: calls that find it empty are queued in order.
 pub(crate) struct RateLimiter {
     interval: Duration,
     burst: Duration,
-    /// When the bucket will have given out all reserved tokens at the steady rate.
+    /// When all reserved tokens will have been issued at the steady rate.
     reserved_until: Mutex<Instant>,
 }
 
@@ -31,12 +31,13 @@
         }
     }
 
-    /// Waits for so many tokens together.
+    /// Waits for this many tokens together.
     ///
-    /// Fails with [`StoreError::RateLimited`] at once when the turn would come only after `longest`.
+    /// Fails immediately with [`StoreError::RateLimited`] if the wait would exceed `max_wait`.
     ///
-    /// Turns that had to be waited for are jittered: instances with the same rate would otherwise keep step, and
-    /// two that write the same object would meet there at every turn, seen as claims that conflict many times.
+    /// Waits are jittered. Otherwise instances with the same rate would stay synchronized, and two
+    /// that write the same object would collide at every call, which shows as claims that conflict
+    /// repeatedly.
     pub(crate) async fn acquire(&self, tokens: u32, max_wait: Duration) -> Result<(), StoreError> {
         let wait = self.reserve(tokens, Instant::now(), max_wait)?;
         if !wait.is_zero() {
--- a/crates/tc-platform/src/store/verified_write.rs
+++ b/crates/tc-platform/src/store/verified_write.rs
@@ -1,4 +1,4 @@
-//! Writes that tell truthfully whether they took effect.
+//! Writes that determine whether they took effect if the response is lost.
 
 use std::time::Duration;
 
@@ -7,36 +7,37 @@
 use super::{Purpose, Store, Versioned};
 use crate::{Backoff, StoreError};
 
-/// Tries of a write or of reading it back before its fate is called unknown.
+/// Attempts to write or read back before the result is reported as unknown.
 const MAX_ATTEMPTS: u32 = 4;
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What an object must be like for a write to take effect.
+/// Condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precondition {
-    /// It must not exist.
+    /// The object does not exist.
     Absent,
-    /// It must have this version.
+    /// The object has this version.
     Version(u64),
 }
 
-/// What became of a write.
+/// Result of a write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteResult {
-    /// It took effect.
+    /// The write took effect.
     Written {
-        /// Version of the object that holds it.
+        /// Version of the object after the write.
         version: u64,
     },
-    /// It surely did not and will not take effect: the object is not as expected.
+    /// The write did not and will not take effect, because the precondition does not hold.
     Conflict {
         /// The object as found afterwards, when it exists and could be read.
         current: Option<Versioned<Value>>,
     },
-    /// It surely did not take effect: the store was not reached or refused it.
+    /// The write did not take effect: the store was not reached or refused it.
     NotWritten(StoreError),
-    /// It may have taken effect. With `current`, the object has moved on since, and may or may not have held ours.
+    /// The write may have taken effect. If `current` is set, the object was changed again since,
+    /// and may or may not have held the written value in between.
     Unknown {
         /// The object as found afterwards, when it exists and could be read.
         current: Option<Versioned<Value>>,
@@ -44,10 +45,10 @@
 }
 
 impl Store {
-    /// Writes an object and reads it back when the answer was lost.
+    /// Writes an object, and reads it back if the response was lost.
     ///
-    /// `is_ours` recognises the value of this very write, by a random identifier in it; it must not hold for
-    /// anybody else's write, nor for an earlier one of ours.
+    /// `is_own_write` recognises the value of this write, usually by a random identifier in it. It
+    /// must not return true for any other write, including earlier ones of this instance.
     pub async fn write_verified(
         &self,
         purpose: Purpose,
@@ -70,8 +71,9 @@
                 Err(e) if !maybe_applied => return WriteResult::NotWritten(e),
                 Err(_) => {}
             }
-            // Lost answer: the object itself knows. An unchanged object says nothing, since the write may still be
-            // on its way; writing the same again with the same condition settles it.
+            // The response was lost, so check the object. An unchanged object proves nothing,
+            // because the write may still be in flight. Repeating the write with the same
+            // precondition then gives a definite result.
             match self.get(purpose, kind, name).await {
                 Ok(Some(current)) if is_own_write(&current.value) => {
                     return WriteResult::Written {
--- a/crates/tc-platform/src/store/wire.rs
+++ b/crates/tc-platform/src/store/wire.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to the platform and what its ending means.
+//! One HTTP call to the platform, and the mapping of its result to [`StoreError`].
 
 use std::time::Duration;
 
@@ -12,40 +12,40 @@
 
 use crate::StoreError;
 
-/// Does not limit the idle connections of the pool.
+/// Does not limit the number of idle connections in the pool.
 pub(crate) const MAX_IDLE_CONNECTIONS: usize = usize::MAX;
-/// Longest time a connection is kept without use; the platform may close it earlier.
+/// Maximum idle time of a pooled connection. The platform may close it earlier.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest answer that is read: a list of objects may be many times larger than one object.
+/// Maximum size of a response. A list of objects may be many times larger than one object.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Idle time before the kernel probes a silent connection, and the pause between probes.
+/// Idle time before the kernel probes a silent connection, and interval between probes.
 ///
-/// A watch waits for many seconds with nothing on the connection. If the connection goes silent for good, only a
-/// probe shows it; without one, changes would go unseen until the watch's own timeout.
+/// A watch may wait for many seconds without traffic. If the connection is lost silently, only a
+/// probe detects it. Without probes, changes would go unnoticed until the watch times out.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered probes after which a connection counts as broken.
 const KEEPALIVE_PROBES: u32 = 2;
-/// How long sent bytes may stay unacknowledged.
+/// Maximum time that sent bytes may stay unacknowledged.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Whether a call changes anything when it reaches the store.
+/// Whether a call can change the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
     Read,
     Write,
 }
 
-/// An answer whose status says that the call was carried out.
+/// A response whose status means that the call was executed.
 pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) version: Option<u64>,
     pub(crate) body: Bytes,
 }
 
-/// Which connection a call uses.
+/// Connection to use for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Connection {
     /// An idle connection from the pool, or a new one if there is none.
@@ -70,7 +70,7 @@
         .build(connector)
 }
 
-/// Sends one request and tells how it ended.
+/// Sends a request and waits up to `timeout` for the response.
 pub(crate) async fn exchange(
     client: &HttpClient,
     req: Request<Full<Bytes>>,
@@ -102,7 +102,8 @@
         .await;
     let body = match (body, effect) {
         (Ok(body), _) => body.to_bytes(),
-        // The headers of a write's answer say all; its body is only read so that the connection can be kept.
+        // The headers of a write's response are sufficient. Its body is read only to keep the
+        // connection reusable.
         (Err(_), Effect::Write) => Bytes::new(),
         (Err(_), Effect::Read) => return Err(StoreError::Unreachable),
     };
@@ -113,10 +114,10 @@
     })
 }
 
-/// What a request that was sent and not answered means.
+/// Returns the error for a request that was sent without a response.
 ///
-/// A write whose connection broke may already have taken effect, or may still do so. Treating it as failed would
-/// let a claim be made twice; one would notice two runs of one idempotency key.
+/// A write whose connection broke may have taken effect or may still do so. Treating it as failed
+/// could let a key be claimed twice, so that it runs twice.
 const fn no_response_error(effect: Effect) -> StoreError {
     match effect {
         Effect::Read => StoreError::Unreachable,
@@ -136,7 +137,8 @@
         StatusCode::NOT_FOUND => Err(StoreError::Conflict { current: None }),
         StatusCode::PRECONDITION_FAILED => Err(StoreError::Conflict { current: version }),
         StatusCode::PAYLOAD_TOO_LARGE => Err(StoreError::TooLarge),
-        // A server that fails half way, or a proxy before it, cannot vouch that a write had no effect.
+        // A server that fails halfway, or a proxy in front of it, cannot guarantee that a write had
+        // no effect.
         s if s.is_server_error() && effect == Effect::Write => Err(StoreError::MaybeApplied),
         s => Err(StoreError::Refused(s.as_u16())),
     }
