--- a/crates/tc-platform/examples/claim_rate.rs
+++ b/crates/tc-platform/examples/claim_rate.rs
@@ -1,8 +1,9 @@
-//! Measures claims against the platform's stand-in and prints one JSON line per number of writers.
+//! Measures claims against the platform stand-in and prints one JSON line per number of writers.
 //!
-//! `cargo run --release -p tc-platform --example claim_rate -- [shards] [commit interval in ms] [claims a second]
-//! [seconds] [round trip in ms] [store calls a second of each writer]`. Claims come evenly spaced and are recorded at
-//! once; the rate is of all writers together.
+//! `cargo run --release -p tc-platform --example claim_rate -- [shards] [commit interval in ms]
+//! [claims per second] [seconds] [round trip in ms] [store calls per second of each writer]`.
+//! Claims are evenly spaced and their outcomes recorded immediately. The rate is the total of all
+//! writers.
 
 use std::{env, time::Duration};
 
@@ -84,7 +85,8 @@
     })
 }
 
-/// Milliseconds until each claim of one writer was ours; `None` for one that was not.
+/// Returns the milliseconds until each claim of one writer was acquired, or `None` for claims that
+/// were not.
 async fn run_writer(
     load: &Load,
     platform: &Platform,
@@ -137,7 +139,7 @@
         body: Some("{\"notice\":\"sent\"}".into()),
         run_state: RunState::Ran,
     };
-    // A late recording is of no interest to the claim's own time.
+    // How long recording takes does not count towards the duration of the claim.
     let _ = claims.record(&key, &claim_id, outcome).await;
     Some(took)
 }
--- a/crates/tc-platform/tests/claim_shard/fake_store.rs
+++ b/crates/tc-platform/tests/claim_shard/fake_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with writes that get lost, come late, or fail.
+//! In-memory store whose writes can be lost, delayed or refused.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,21 +8,21 @@
 
 pub(crate) const HEAD: &str = "head";
 
-/// What happens to a write.
+/// Fault injected into a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bolero::TypeGenerator)]
 pub(crate) enum WriteFault {
-    /// It takes effect, but its answer is lost.
+    /// The write takes effect, but its response is lost.
     AnswerLost,
-    /// Its connection breaks, and it arrives later or never.
-    Late,
-    /// It surely does not arrive.
+    /// The connection breaks, and the write arrives later or never.
+    Delayed,
+    /// The write is refused and does not take effect.
     Refused,
 }
 
-/// A write that is still on its way, and the life of the writer that sent it.
+/// A write in flight, with the incarnation of its writer.
 #[derive(Debug)]
-pub(crate) struct LateWrite {
-    pub(crate) writer_life: u32,
+pub(crate) struct DelayedWrite {
+    pub(crate) writer_incarnation: u32,
     base: u64,
     name: Arc<str>,
     value: Value,
@@ -34,7 +34,7 @@
     objects: BTreeMap<Arc<str>, Versioned<Value>>,
     pub(crate) is_down: bool,
     pub(crate) next_write: Option<WriteFault>,
-    pub(crate) late: Vec<LateWrite>,
+    pub(crate) delayed: Vec<DelayedWrite>,
 }
 
 impl FakeStore {
@@ -49,10 +49,10 @@
         self.objects.keys().cloned().collect()
     }
 
-    /// Writes if the object's version is `base`, where 0 means that it does not exist.
+    /// Writes if the object has version `base`, where 0 means that it does not exist.
     pub(crate) fn put(
         &mut self,
-        writer_life: u32,
+        writer_incarnation: u32,
         name: &Arc<str>,
         base: u64,
         value: Value,
@@ -66,13 +66,13 @@
             None => self.apply(name, base, value),
             Some(WriteFault::Refused) => Err(StoreError::Refused(429)),
             Some(WriteFault::AnswerLost) => {
-                // A conflict's answer can be lost just as well.
+                // The response that reports a conflict can be lost as well.
                 let _ = self.apply(name, base, value);
                 Err(StoreError::MaybeApplied)
             }
-            Some(WriteFault::Late) => {
-                self.late.push(LateWrite {
-                    writer_life,
+            Some(WriteFault::Delayed) => {
+                self.delayed.push(DelayedWrite {
+                    writer_incarnation,
                     base,
                     name: name.clone(),
                     value,
@@ -82,10 +82,12 @@
         }
     }
 
-    /// Lets a late write arrive; tells whether it took effect on the head.
-    pub(crate) fn deliver(&mut self, late: LateWrite) -> bool {
-        let is_head = &*late.name == HEAD;
-        self.apply(&late.name, late.base, late.value).is_ok() && is_head
+    /// Delivers a delayed write. Returns whether it changed the head.
+    pub(crate) fn deliver(&mut self, delayed: DelayedWrite) -> bool {
+        let is_head = &*delayed.name == HEAD;
+        self.apply(&delayed.name, delayed.base, delayed.value)
+            .is_ok()
+            && is_head
     }
 
     pub(crate) fn delete(&mut self, name: &str) -> bool {
--- a/crates/tc-platform/tests/claim_shard/main.rs
+++ b/crates/tc-platform/tests/claim_shard/main.rs
@@ -1,7 +1,7 @@
-//! The claim shard's state machine on a store in memory.
+//! Tests of the claim shard's state machine on an in-memory store.
 
 mod expiry;
 mod fake_store;
 mod fuzz;
+mod simulation;
 mod steps;
-mod world;
--- a/crates/tc-platform/tests/claim_shard/steps.rs
+++ b/crates/tc-platform/tests/claim_shard/steps.rs
@@ -1,4 +1,4 @@
-//! Carrying out a shard's steps on the fake store.
+//! Execution of a shard's steps on the fake store.
 
 use serde_json::Value;
 use tc_platform::{
@@ -9,48 +9,55 @@
 
 use crate::fake_store::{FakeStore, HEAD};
 
-/// Steps after which a shard without faults must be idle.
+/// Steps after which a shard must be idle if there are no faults.
 pub(crate) const MAX_STEPS: usize = 2_000;
 
-/// The result of a step that the store has carried out and the writer has not seen yet.
-pub(crate) enum Outcome {
+/// Result of a step that the store has executed and the writer has not seen so far.
+pub(crate) enum StepResult {
     Read(Result<Option<Versioned<Value>>, StoreError>),
     Written(Result<u64, StoreError>),
     Deleted(bool),
 }
 
-pub(crate) fn carry_out(store: &mut FakeStore, life: u32, step: &Step) -> Outcome {
+pub(crate) fn execute(store: &mut FakeStore, incarnation: u32, step: &Step) -> StepResult {
     match step {
-        Step::ReadHead | Step::Idle => Outcome::Read(store.get(HEAD)),
-        Step::ReadSegment(name) => Outcome::Read(store.get(name)),
+        Step::ReadHead | Step::Idle => StepResult::Read(store.get(HEAD)),
+        Step::ReadSegment(name) => StepResult::Read(store.get(name)),
         Step::CreateSegment(name, value) => {
-            Outcome::Written(store.put(life, name, 0, value.clone()))
+            StepResult::Written(store.put(incarnation, name, 0, value.clone()))
         }
         Step::WriteHead(base, value) => {
-            Outcome::Written(store.put(life, &HEAD.into(), *base, value.clone()))
+            StepResult::Written(store.put(incarnation, &HEAD.into(), *base, value.clone()))
         }
-        Step::Delete(name) => Outcome::Deleted(store.delete(name)),
+        Step::Delete(name) => StepResult::Deleted(store.delete(name)),
     }
 }
 
-pub(crate) fn feed(shard: &mut Shard, now: MonoTime, step: &Step, outcome: Outcome) -> Progress {
-    match (step, outcome) {
-        (Step::ReadHead, Outcome::Read(found)) => shard.on_head_read(now, found),
-        (Step::ReadSegment(name), Outcome::Read(found)) => shard.on_segment_read(now, name, found),
-        (Step::CreateSegment(name, _), Outcome::Written(done)) => {
+pub(crate) fn report_result(
+    shard: &mut Shard,
+    now: MonoTime,
+    step: &Step,
+    result: StepResult,
+) -> Progress {
+    match (step, result) {
+        (Step::ReadHead, StepResult::Read(found)) => shard.on_head_read(now, found),
+        (Step::ReadSegment(name), StepResult::Read(found)) => {
+            shard.on_segment_read(now, name, found)
+        }
+        (Step::CreateSegment(name, _), StepResult::Written(done)) => {
             shard.on_segment_created(now, name, &done)
         }
-        (Step::WriteHead(..), Outcome::Written(done)) => shard.on_head_written(now, done),
-        (Step::Delete(name), Outcome::Deleted(done)) => {
+        (Step::WriteHead(..), StepResult::Written(done)) => shard.on_head_written(now, done),
+        (Step::Delete(name), StepResult::Deleted(done)) => {
             shard.on_segment_deleted(name, done);
             Progress::Made
         }
-        (step, _) => panic!("no such outcome of {step:?}"),
+        (step, _) => panic!("unexpected result of {step:?}"),
     }
 }
 
-/// Lets a shard do all it has to, and takes its answers.
-pub(crate) fn settle(
+/// Executes a shard's steps until it is idle, and takes its replies.
+pub(crate) fn run_until_idle(
     shard: &mut Shard,
     store: &mut FakeStore,
     now: MonoTime,
@@ -60,10 +67,10 @@
         if step == Step::Idle {
             return shard.take_replies();
         }
-        let outcome = carry_out(store, 0, &step);
-        let _: Progress = feed(shard, now, &step, outcome);
+        let result = execute(store, 0, &step);
+        let _: Progress = report_result(shard, now, &step, result);
     }
-    panic!("a shard without faults does not settle");
+    panic!("a shard without faults does not become idle");
 }
 
 pub(crate) fn digest(key: u8) -> KeyDigest {
--- a/crates/tc-platform/tests/claims.rs
+++ b/crates/tc-platform/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims against the platform's stand-in: two instances, lost answers, outages.
+//! Tests of claims against the platform stand-in: two instances, lost responses, outages.
 
 mod common;
 
@@ -12,7 +12,7 @@
 };
 use tc_stand_ins::Platform;
 
-/// Far longer than anything takes here without a fault.
+/// Much longer than any operation takes here without a fault.
 const LONG: Duration = Duration::from_secs(20);
 const SHORT: Duration = Duration::from_millis(100);
 const BODY: u64 = u64::MAX;
@@ -54,10 +54,10 @@
     claims.claim(key(name), BODY, LONG).await
 }
 
-async fn claim_ours(claims: &Claims, name: impl Into<String>) -> String {
+async fn claim_acquired(claims: &Claims, name: impl Into<String>) -> String {
     match claim(claims, name).await {
         ClaimVerdict::Acquired { claim_id } => claim_id,
-        other => panic!("not ours: {other:?}"),
+        other => panic!("not acquired: {other:?}"),
     }
 }
 
@@ -65,7 +65,7 @@
     (0..count).map(|n| n.to_string())
 }
 
-/// Claims until the key is free again.
+/// Retries the claim until the key is free again.
 async fn claim_released(claims: &Claims, name: &str) -> String {
     let claimed = async {
         loop {
@@ -82,7 +82,7 @@
 async fn a_key_is_claimed_held_and_recorded_for_all_instances() {
     let platform = platform().await;
     let (a, b) = (claims(&platform, "a"), claims(&platform, "b"));
-    let id = claim_ours(&a, "k").await;
+    let id = claim_acquired(&a, "k").await;
     for instance in [&a, &b] {
         assert_eq!(claim(instance, "k").await, ClaimVerdict::Held);
         let other = instance.claim(key("k"), BODY - 1, LONG).await;
@@ -102,7 +102,7 @@
 async fn a_large_outcome_is_recorded_without_its_body() {
     let platform = platform().await;
     let a = claims(&platform, "a");
-    let id = claim_ours(&a, "k").await;
+    let id = claim_acquired(&a, "k").await;
     let large = outcome(&"x".repeat(5_000), RunState::Ran);
     a.record(&key("k"), &id, large.clone()).await.unwrap();
     let kept = RecordedOutcome {
@@ -112,20 +112,20 @@
     assert_eq!(claim(&a, "k").await, ClaimVerdict::Recorded(kept));
 }
 
-/// Symptom: one key runs on two instances.
-/// Sequence: four instances claim the same keys at the same moment, in one shard.
-/// Cause: a claim judged on an old head must fail its write and be judged again.
+/// Guards against one key running on two instances. Four instances claim the same keys at the same
+/// time in one shard. The write of a claim that was decided on an old head must fail, and the claim
+/// must be decided again.
 #[tokio::test]
-async fn of_instances_that_race_for_a_key_one_gets_it() {
+async fn concurrent_claims_of_a_key_succeed_on_one_instance() {
     let platform = platform().await;
     let all: Vec<_> = ["a", "b", "c", "d"]
         .map(|id| claims_in(&platform, id, 1))
         .into();
     let keys: Vec<_> = numbered(60).collect();
-    let asked = keys
+    let pending = keys
         .iter()
         .flat_map(|k| all.iter().map(move |c| claim(c, k)));
-    let verdicts = join_all(asked).await;
+    let verdicts = join_all(pending).await;
     for of_key in verdicts.chunks(all.len()) {
         let ours = of_key
             .iter()
@@ -135,75 +135,76 @@
     }
 }
 
-/// Symptom: a claim is refused although it was written, or made twice.
-/// Sequence: answers or requests of the first writes are lost.
-/// Cause: a lost answer is settled by writing again from the same version and recognising the own claim.
+/// Guards against refusing a claim that was written, or making it twice, if the responses or
+/// requests of the first writes are lost. A lost response is resolved by repeating the write from
+/// the same version and recognising the own claim.
 #[tokio::test]
-async fn lost_answers_and_requests_leave_one_claim() {
-    type Break = fn(&Platform);
-    let table: [Break; 4] = [
+async fn lost_responses_and_requests_leave_one_claim() {
+    type Fault = fn(&Platform);
+    let cases: [Fault; 4] = [
         |p| p.faults().lose_answers(1),
         |p| p.faults().lose_answers(4),
         |p| p.faults().lose_requests(1),
         |p| p.faults().lose_requests(4),
     ];
-    for break_it in table {
+    for inject_fault in cases {
         let platform = platform().await;
         let (a, b) = (claims(&platform, "a"), claims(&platform, "b"));
-        claim_ours(&a, "warm up").await;
-        break_it(&platform);
-        claim_ours(&a, "k").await;
+        claim_acquired(&a, "warm up").await;
+        inject_fault(&platform);
+        claim_acquired(&a, "k").await;
         assert_eq!(claim(&b, "k").await, ClaimVerdict::Held);
     }
 }
 
 #[tokio::test]
 async fn without_a_store_claims_are_unavailable_and_free_afterwards() {
-    type Switch = fn(&Platform, bool);
-    let table: [Switch; 3] = [
+    type ToggleFault = fn(&Platform, bool);
+    let cases: [ToggleFault; 3] = [
         |p, on| p.faults().set_down(on),
         |p, on| p.faults().set_refusing(on),
         |p, on| p.faults().fail_writes(on),
     ];
-    for switch in table {
+    for toggle_fault in cases {
         let platform = platform().await;
         let (a, b) = (claims(&platform, "a"), claims(&platform, "b"));
-        switch(&platform, true);
+        toggle_fault(&platform, true);
         let refused = a.claim(key("k"), BODY, SHORT).await;
         assert_eq!(refused, ClaimVerdict::Unavailable);
-        switch(&platform, false);
+        toggle_fault(&platform, false);
         claim_released(&b, "k").await;
     }
 }
 
-/// Symptom: during an outage, callers without a binding are told "not run" only when their whole deadline has passed.
-/// Sequence: the store goes down; claims with a long wait come one after another; the store comes back.
-/// Cause: each claim waits for a store that cannot answer, although nothing it could learn changes its refusal.
+/// Guards against callers without a binding waiting for their whole deadline during an outage
+/// before they get "not run". Claims with a long wait are made one after another while the store is
+/// down. They must not wait for a store that cannot respond, since nothing it could return would
+/// change their refusal.
 #[tokio::test]
-async fn a_lost_store_refuses_claims_long_before_their_wait_is_over() {
+async fn claims_are_refused_before_their_wait_ends_while_the_store_is_down() {
     let platform = platform().await;
     let a = claims(&platform, "a");
-    claim_ours(&a, "before").await;
+    claim_acquired(&a, "before").await;
     platform.faults().set_down(true);
     let started = std::time::Instant::now();
     for name in numbered(200) {
         assert_eq!(claim(&a, name).await, ClaimVerdict::Unavailable);
     }
-    // The first waits until the store counts as lost; the rest do not wait.
+    // The first claim waits until the store counts as down; the others do not wait.
     assert!(started.elapsed() < LONG, "{:?}", started.elapsed());
     platform.faults().set_down(false);
     claim_released(&a, "after").await;
-    claim_ours(&a, "1").await;
+    claim_acquired(&a, "1").await;
 }
 
-/// Symptom: every resend of a request that never ran is answered "unknown" until the claim expires.
-/// Sequence: the store is slow, the caller stops waiting, then its claim is written.
-/// Cause: nobody acts on such a claim, so it has to be released.
+/// Guards against answering "unknown" to every resend of a request that never ran, until its claim
+/// expires. The store is slow, and the claim is written after its caller has stopped waiting. Such
+/// a claim is not acted on, so it must be released.
 #[tokio::test]
-async fn a_claim_written_after_its_caller_left_is_released() {
+async fn a_claim_written_after_its_caller_stopped_waiting_is_released() {
     let platform = platform().await;
     let (a, b) = (claims(&platform, "a"), claims(&platform, "b"));
-    claim_ours(&a, "warm up").await;
+    claim_acquired(&a, "warm up").await;
     platform.faults().set_slow(Duration::from_millis(200));
     let refused = a.claim(key("k"), BODY, SHORT).await;
     assert_eq!(refused, ClaimVerdict::Unavailable);
@@ -212,58 +213,57 @@
     assert_eq!(claim(&a, "k").await, ClaimVerdict::Held);
 }
 
-/// Symptom: a request runs on two instances.
-/// Sequence: the claim is made, its holder is paused, the claim expires and another instance makes it, the first
-/// wakes up and finds its verdict.
-/// Cause: a verdict is only worth something within the time its caller meant to wait.
+/// Guards against a request running on two instances. The holder of a claim is paused, the claim
+/// expires, and another instance acquires it before the first resumes and sees its verdict. A
+/// verdict is valid only within the time that its caller was going to wait.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_verdict_found_after_a_pause_is_not_acted_on() {
+async fn a_verdict_delivered_after_a_pause_is_not_acted_on() {
     let platform = platform().await;
     let (a, b) = (claims(&platform, "a"), claims(&platform, "b"));
-    claim_ours(&a, "warm up").await;
-    let mut asked = Box::pin(a.claim(key("k"), BODY, SHORT));
-    assert!(futures::poll!(&mut asked).is_pending());
-    // Stops only this thread: the claim is made meanwhile.
+    claim_acquired(&a, "warm up").await;
+    let mut pending = Box::pin(a.claim(key("k"), BODY, SHORT));
+    assert!(futures::poll!(&mut pending).is_pending());
+    // Blocks only this thread; the claim is made in the meantime.
     std::thread::sleep(SHORT * 3);
-    assert_eq!(asked.await, ClaimVerdict::Unavailable);
+    assert_eq!(pending.await, ClaimVerdict::Unavailable);
     claim_released(&b, "k").await;
 }
 
-/// Symptom: a resend runs again, or gets "unknown", although the run ended.
-/// Sequence: the store goes down between a claim and its outcome, and comes back.
-/// Cause: the outcome waits in memory until it can be written.
+/// Guards against a resend that runs again, or gets "unknown", although the run has ended. The
+/// store is down between the claim and its outcome. The outcome must stay in memory until it can be
+/// written.
 #[tokio::test]
 async fn an_outcome_recorded_during_an_outage_is_written_after_it() {
     let platform = platform().await;
     let (a, b) = (claims(&platform, "a"), claims(&platform, "b"));
-    let id = claim_ours(&a, "k").await;
+    let id = claim_acquired(&a, "k").await;
     platform.faults().set_down(true);
     let ran = outcome("done", RunState::Ran);
     let recorded = a.record(&key("k"), &id, ran.clone()).await;
     assert_eq!(recorded, Err(StoreError::MaybeApplied));
     platform.faults().set_down(false);
-    let joined = b.wait_for_outcome(&key("k"), LONG).await;
-    assert_eq!(joined, ClaimVerdict::Recorded(ran));
+    let received = b.wait_for_outcome(&key("k"), LONG).await;
+    assert_eq!(received, ClaimVerdict::Recorded(ran));
 }
 
 #[tokio::test]
-async fn a_resend_joins_the_run_that_holds_its_key() {
+async fn a_resend_waits_for_the_outcome_of_the_run_that_holds_its_key() {
     let platform = platform().await;
     let (a, b) = (claims(&platform, "a"), claims(&platform, "b"));
-    let ended = claim_ours(&a, "ended").await;
-    let refused = claim_ours(&a, "refused").await;
-    claim_ours(&a, "running").await;
+    let ended = claim_acquired(&a, "ended").await;
+    let refused = claim_acquired(&a, "refused").await;
+    claim_acquired(&a, "running").await;
     let ran = outcome("done", RunState::Ran);
     let not_run = outcome("no room", RunState::NotRun);
     let (ended_key, refused_key, running_key) = (key("ended"), key("refused"), key("running"));
-    let joins = async {
+    let waits = async {
         tokio::join!(
             b.wait_for_outcome(&ended_key, LONG),
             b.wait_for_outcome(&refused_key, LONG),
             b.wait_for_outcome(&running_key, SHORT),
         )
     };
-    let (joined, ()) = tokio::join!(joins, async {
+    let (received, ()) = tokio::join!(waits, async {
         a.record(&ended_key, &ended, ran.clone()).await.unwrap();
         a.record(&refused_key, &refused, not_run).await.unwrap();
     });
@@ -272,19 +272,18 @@
         ClaimVerdict::Unavailable,
         ClaimVerdict::Held,
     );
-    assert_eq!(joined, expected);
+    assert_eq!(received, expected);
     claim_released(&b, "refused").await;
 }
 
-/// Symptom: a key is claimed once in each of two shards.
-/// Sequence: two instances are set to different numbers of shards.
-/// Cause: the number that is in the store counts, not the setting.
+/// Guards against a key being claimed once in each of two shards, if two instances are configured
+/// with different numbers of shards. The number in the store takes precedence over the setting.
 #[tokio::test]
-async fn the_number_of_shards_in_the_store_counts() {
+async fn the_stored_number_of_shards_overrides_the_setting() {
     let platform = platform().await;
     let (a, b) = (claims_in(&platform, "a", 5), claims_in(&platform, "b", 7));
     for k in numbered(20) {
-        claim_ours(&a, &k).await;
+        claim_acquired(&a, &k).await;
         assert_eq!(claim(&b, &k).await, ClaimVerdict::Held);
     }
 }
@@ -294,7 +293,7 @@
     let platform = platform().await;
     let a = Arc::new(claims_in(&platform, "a", 1));
     let body = "x".repeat(3_900);
-    let ids = join_all(numbered(400).map(|k| claim_ours(&a, k))).await;
+    let ids = join_all(numbered(400).map(|k| claim_acquired(&a, k))).await;
     let keys: Vec<_> = numbered(400).map(key).collect();
     let records = keys.iter().zip(&ids);
     let recorded = records.map(|(k, id)| a.record(k, id, outcome(&body, RunState::Ran)));
--- a/crates/tc-platform/tests/common/mod.rs
+++ b/crates/tc-platform/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A platform and clients of it.
+//! Platform stand-in and store clients for tests.
 
 use std::time::Duration;
 
 use tc_platform::{Store, StoreSettings};
 use tc_stand_ins::Platform;
 
-/// Longest time one call to the store may take.
+/// Maximum duration of a store call.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(300);
 
 pub(crate) async fn platform() -> Platform {
--- a/crates/tc-platform/tests/kinds.rs
+++ b/crates/tc-platform/tests/kinds.rs
@@ -1,4 +1,4 @@
-//! Lists and watches of kinds when connections stop responding.
+//! Tests of lists and watches on connections that stop responding.
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/tc-platform/tests/leases.rs
+++ b/crates/tc-platform/tests/leases.rs
@@ -1,4 +1,4 @@
-//! When a lease begins and ends: never two holders, whatever the store's answers take.
+//! Tests that a lease never has two holders, however long the store's responses take.
 
 mod common;
 
@@ -10,10 +10,10 @@
 
 const TTL: Duration = Duration::from_millis(100);
 const LONG: Duration = Duration::from_mins(1);
-/// Between two tries to take over, much shorter than the lease.
+/// Interval between attempts to take over, much shorter than the lease.
 const POLL: Duration = Duration::from_millis(5);
 const TAKEOVERS: usize = 4;
-/// Far longer than any answer here takes.
+/// Much longer than any response takes here.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn lease(store: Store, holder: &str, ttl: Duration) -> Lease {
@@ -35,52 +35,53 @@
     }
 }
 
-/// Symptom: two instances give orders to one upstream at once.
-/// Sequence: the holder renews and then stops; another instance tries all the time and takes over.
-/// Cause: the other counts the lease's time from too early, or the holder from too late.
+/// Guards against two instances sending orders to one upstream at the same time. The holder renews
+/// its lease and then stops, while another instance keeps trying to take over. It must not start
+/// counting the lease's duration too early, nor the holder too late.
 #[tokio::test]
 async fn a_holder_stops_before_another_can_start() {
     let platform = platform().await;
-    let mut names = ["a", "b"].map(|name| lease(store(&platform), name, TTL));
-    let mut held = take_over(&mut names[0]).await;
+    let mut leases = ["a", "b"].map(|name| lease(store(&platform), name, TTL));
+    let mut held = take_over(&mut leases[0]).await;
     for _ in 0..TAKEOVERS {
-        let [holder, other] = &mut names;
-        // Fails on a machine so busy that the lease is over already, which is one more way of stopping.
+        let [holder, other] = &mut leases;
+        // On a very busy machine the lease may have expired already, which is another way for the
+        // holder to stop.
         let renewed = holder.renew(&mut held).await;
         assert!(matches!(renewed, Ok(()) | Err(LeaseError::Expired)));
         let next = take_over(other).await;
         assert_eq!(held.fence(), None);
         assert!(next.expires_at() > held.expires_at());
         held = next;
-        names.reverse();
+        leases.reverse();
     }
 }
 
-/// Symptom: two holders after a slow answer.
-/// Sequence: the write that takes the lease takes effect, and its answer comes when the lease is over.
-/// Cause: the lease's time is counted from the answer instead of from before the write was sent.
+/// Guards against two holders after a slow response. The write that acquires the lease takes
+/// effect, and its response arrives after the lease has expired. The duration must be counted from
+/// before the write was sent, not from the response.
 #[tokio::test]
-async fn an_answer_that_comes_after_the_lease_is_over_gives_no_fence() {
+async fn a_response_after_the_lease_has_expired_gives_no_fence() {
     let platform = platform().await;
-    let patient = Store::new(StoreSettings {
+    let store_with_long_timeout = Store::new(StoreSettings {
         timeout: TIMEOUT,
         ..settings(&platform)
     });
-    let mut lease = lease(patient, "a", TTL);
+    let mut lease = lease(store_with_long_timeout, "a", TTL);
     platform.faults().set_slow(TTL * 2);
     let held = lease.acquire().await.unwrap();
     assert_eq!(held.fence(), None);
 }
 
-/// Symptom: an instance goes on with a lease that is no longer its own.
-/// Sequence: its object was written by someone else since, each time in another way.
-/// Cause: a renewal that does not name the version it is based on.
+/// Guards against an instance continuing with a lease that it no longer holds. Another writer has
+/// changed the lease object, in a different way in each case. A renewal must therefore name the
+/// version it is based on.
 #[tokio::test]
 async fn a_lease_written_by_another_cannot_be_renewed() {
     for released in [false, true] {
         let platform = platform().await;
         let mut first = lease(store(&platform), "a", LONG);
-        // The same holder under the same incarnation: it may take the lease at once.
+        // The same holder with the same incarnation may acquire the lease immediately.
         let mut second = lease(store(&platform), "a", LONG);
         let mut held = take_over(&mut first).await;
         let newer = take_over(&mut second).await;
--- a/crates/tc-platform/tests/objects.rs
+++ b/crates/tc-platform/tests/objects.rs
@@ -1,4 +1,4 @@
-//! The configuration object, leases and quarantine, with lost answers.
+//! Tests of the configuration object, leases and quarantine, with lost responses.
 
 mod common;
 
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn of_two_operators_the_first_is_applied_and_the_second_told() {
+async fn the_first_of_two_concurrent_applies_succeeds_and_the_second_conflicts() {
     let platform = platform().await;
     let store = store(&platform);
     assert_eq!(read(&store).await, None);
@@ -51,21 +51,21 @@
     assert_eq!(skipped, ApplyResult::NotApplied(StoreError::Malformed));
 }
 
-/// Symptom: an apply that is in force is reported as failed and applied again.
-/// Sequence: the answer to the write is lost, before or after it took effect.
-/// Cause: only the apply's identifier in the object tells whose write it was.
+/// Guards against reporting an apply as failed although it is in force, so that it is applied
+/// again. The response to the write is lost, before or after the write takes effect. Only the apply
+/// ID in the object shows whose write it was.
 #[tokio::test]
-async fn a_lost_answer_to_an_apply_is_read_back() {
-    type Break = fn(&Platform);
-    let table: [(Break, bool); 3] = [
+async fn a_lost_response_to_an_apply_is_resolved_by_reading_back() {
+    type Fault = fn(&Platform);
+    let cases: [(Fault, bool); 3] = [
         (|p| p.faults().lose_answers(1), true),
         (|p| p.faults().lose_requests(1), true),
         (|p| p.faults().lose_requests(9), false),
     ];
-    for (break_it, is_applied) in table {
+    for (inject_fault, is_applied) in cases {
         let platform = platform().await;
         let store = store(&platform);
-        break_it(&platform);
+        inject_fault(&platform);
         let result = apply_config(&store, None, config(1, "a")).await;
         assert_eq!(matches!(result, ApplyResult::Applied { .. }), is_applied);
         assert_eq!(result == ApplyResult::Unknown, !is_applied);
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn a_lease_is_held_by_one_renewed_and_released() {
+async fn a_lease_is_held_by_one_instance_and_renewed_and_released() {
     let platform = platform().await;
     let (mut a, mut b) = (
         lease(&platform, "a", 1, LONG),
@@ -99,14 +99,15 @@
     assert!(b.acquire().await.unwrap().fence().unwrap() > fence);
 }
 
-/// Symptom: two instances give orders to the same upstreams.
-/// Sequence: the holder is paused until its lease is over, another takes it, the first wakes up.
-/// Cause: a holder that does not look at its clock before acting believes it still holds the lease.
+/// Guards against two instances sending orders to the same upstreams. The holder is paused until
+/// its lease has expired, and another instance acquires it before the first resumes. The holder
+/// must check its clock before it acts.
 #[tokio::test]
-async fn a_lapsed_lease_gives_no_fence_and_cannot_be_renewed() {
+async fn an_expired_lease_gives_no_fence_and_cannot_be_renewed() {
     let platform = platform().await;
     let mut a = lease(&platform, "a", 1, SHORT);
-    // A new life of the same instance is another holder: the old one may only be paused.
+    // A new incarnation of the same instance is a different holder, because the old one may only be
+    // paused.
     let mut b = lease(&platform, "a", 2, LONG);
     let mut held = a.acquire().await.unwrap();
     let old = held.fence_at(held.expires_at());
@@ -121,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_to_a_lease_is_read_back_or_unknown() {
+async fn a_lost_response_to_a_lease_write_is_read_back_or_unknown() {
     let platform = platform().await;
     let mut a = lease(&platform, "a", 1, LONG);
     platform.faults().lose_answers(1);
--- a/crates/tc-platform/tests/store.rs
+++ b/crates/tc-platform/tests/store.rs
@@ -1,4 +1,4 @@
-//! Contract of the object API as the store client sees it, with its faults.
+//! Contract tests of the object API as seen by the store client, including faults.
 
 mod common;
 
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn writes_that_do_not_fit_are_told() {
+async fn invalid_writes_are_rejected_with_their_cause() {
     let platform = platform().await;
     let store = store(&platform);
     let version = create(&store, "a").await.unwrap();
@@ -63,17 +63,17 @@
     assert_eq!(slash, Err(StoreError::Malformed));
 }
 
-/// Symptom: a write that took effect is taken for one that did not, or the other way round.
-/// Sequence: the platform fails in one way during one write and one read.
-/// Cause: the same broken connection means different things before and after sending.
+/// Guards against mistaking a write that took effect for one that did not, or the reverse. In each
+/// case the platform fails in one way during a write and a read. The same broken connection means
+/// different things before and after the request is sent.
 #[tokio::test]
-async fn each_fault_is_told_by_what_is_certain() {
+async fn each_fault_gives_the_error_that_is_certain() {
     use StoreError::{MaybeApplied, Refused, Unreachable};
-    type Break = fn(&Platform);
-    type Ending = Result<(), StoreError>;
-    let table: [(&str, Break, Ending, Ending); 7] = [
+    type Fault = fn(&Platform);
+    type Expected = Result<(), StoreError>;
+    let cases: [(&str, Fault, Expected, Expected); 7] = [
         (
-            "answer lost",
+            "response lost",
             |p| p.faults().lose_answers(1),
             Err(MaybeApplied),
             Ok(()),
@@ -109,16 +109,16 @@
             Err(Unreachable),
         ),
         (
-            "not there",
+            "stopped",
             Platform::stop,
             Err(Unreachable),
             Err(Unreachable),
         ),
     ];
-    for (fault, break_it, write, read) in table {
+    for (fault, inject_fault, write, read) in cases {
         let platform = platform().await;
         let store = store(&platform);
-        break_it(&platform);
+        inject_fault(&platform);
         assert_eq!(create(&store, "a").await.map(drop), write, "{fault}: write");
         let found = store.get(PURPOSE, KIND, "b").await.map(drop);
         assert_eq!(found, read, "{fault}: read");
@@ -127,45 +127,45 @@
 }
 
 #[tokio::test]
-async fn a_call_above_the_platforms_rate_is_refused() {
+async fn a_call_above_the_rate_limit_of_the_platform_is_refused() {
     let platform = platform().await;
     let store = store(&platform);
     platform.faults().set_rate_limits(Some(RateLimits {
         writes_per_s: 0.001,
         reads_per_s: 0.001,
     }));
-    // The bucket holds one write to begin with.
+    // The bucket initially holds one write.
     assert!(create(&store, "a").await.is_ok());
     assert_eq!(create(&store, "b").await, Err(StoreError::Refused(429)));
     assert_eq!(platform.object(KIND, "b"), None);
 }
 
-/// Symptom: an operator is told "conflict" for a change that is in force, or "applied" for one that is not.
-/// Sequence: the answers of some tries of one write are lost, before or after they take effect.
-/// Cause: a lost answer can only be settled by reading back, and not always by that.
+/// Guards against reporting "conflict" to an operator for a change that is in force, or "applied"
+/// for one that is not. The responses to some attempts of one write are lost, before or after they
+/// take effect. Only reading the object back can resolve that, and not in all cases.
 #[tokio::test]
-async fn a_sure_write_tells_the_truth() {
-    type Break = fn(&Platform);
-    let table: [(&str, Break, &str); 7] = [
-        ("no fault", |_| {}, "ours"),
-        ("answer lost", |p| p.faults().lose_answers(1), "ours"),
-        ("request lost", |p| p.faults().lose_requests(1), "ours"),
-        ("three lost", |p| p.faults().lose_requests(3), "ours"),
+async fn a_verified_write_reports_whether_it_took_effect() {
+    type Fault = fn(&Platform);
+    let cases: [(&str, Fault, &str); 7] = [
+        ("no fault", |_| {}, "written"),
+        ("response lost", |p| p.faults().lose_answers(1), "written"),
+        ("request lost", |p| p.faults().lose_requests(1), "written"),
+        ("three lost", |p| p.faults().lose_requests(3), "written"),
         ("all lost", |p| p.faults().lose_requests(9), "unknown"),
         ("500", |p| p.faults().fail_writes(true), "unknown"),
-        ("not there", Platform::stop, "not written"),
+        ("stopped", Platform::stop, "not written"),
     ];
-    for (fault, break_it, expected) in table {
+    for (fault, inject_fault, expected) in cases {
         let platform = platform().await;
         let store = store(&platform);
-        break_it(&platform);
+        inject_fault(&platform);
         let ours = json!("ours");
         let written = store
             .write_verified(PURPOSE, KIND, "a", Precondition::Absent, &ours, |v| {
                 *v == ours
             })
             .await;
-        assert_eq!(word(&written), expected, "{fault}");
+        assert_eq!(label(&written), expected, "{fault}");
         if let WriteResult::Written { version } = written {
             assert_eq!(platform.object(KIND, "a"), Some((version, ours)), "{fault}");
         }
@@ -173,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn a_sure_write_that_was_second_is_a_conflict_and_one_overwritten_is_unknown() {
+async fn a_verified_write_is_a_conflict_if_second_and_unknown_if_overwritten() {
     let platform = platform().await;
     let store = store(&platform);
     create(&store, "a").await.unwrap();
@@ -194,14 +194,14 @@
         panic!("not a conflict");
     };
     assert_eq!(found.value, json!("ours"));
-    // Lost before it took effect, and somebody else's object is there on reading back.
+    // The request is lost before it takes effect, and reading back finds another writer's object.
     platform.faults().lose_requests(1);
-    assert_eq!(word(&write().await), "unknown");
+    assert_eq!(label(&write().await), "unknown");
 }
 
-const fn word(written: &WriteResult) -> &'static str {
+const fn label(written: &WriteResult) -> &'static str {
     match written {
-        WriteResult::Written { .. } => "ours",
+        WriteResult::Written { .. } => "written",
         WriteResult::Conflict { .. } => "conflict",
         WriteResult::NotWritten(_) => "not written",
         WriteResult::Unknown { .. } => "unknown",
@@ -220,7 +220,7 @@
         while calls() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        // The first call is on its way and must not be joined: it may find an older value.
+        // The first call is in flight and must not be joined, because it may return an older value.
         join_all(reads()).await
     };
     let (first, second) = tokio::join!(join_all(reads()), later);
@@ -230,7 +230,7 @@
 }
 
 #[tokio::test]
-async fn an_instance_keeps_to_its_own_rate() {
+async fn calls_above_the_own_rate_limit_of_an_instance_are_rejected() {
     let platform = platform().await;
     let store = Store::new(StoreSettings {
         calls_per_s: 2.0,
@@ -239,10 +239,10 @@
     let names: Vec<_> = (0..5).map(|n| format!("n{n}")).collect();
     let reads = names.iter().map(|name| store.get(PURPOSE, KIND, name));
     let results = join_all(reads).await;
-    let paced = results
+    let rate_limited = results
         .iter()
         .filter(|r| **r == Err(StoreError::RateLimited));
-    assert_eq!(paced.count(), 3);
+    assert_eq!(rate_limited.count(), 3);
     assert_eq!(
         platform.calls(),
         BTreeMap::from([("get test".to_owned(), 2)])
@@ -251,7 +251,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_sees_the_next_version_or_runs_out() {
+async fn a_watch_returns_the_next_version_or_times_out() {
     let platform = platform().await;
     let store = store(&platform);
     let short = Duration::from_millis(20);
