--- a/crates/tc-fleet/src/orders/planner.rs
+++ b/crates/tc-fleet/src/orders/planner.rs
@@ -204,7 +204,7 @@
         }
         let store = &parts.store;
         let found = store.get(Purpose::Leases, PLAN_KIND, name.as_str()).await?;
-        let expect = match found {
+        let precondition = match found {
             None => Precondition::Absent,
             Some(found) => {
                 let stored: PlanRecord = serde_json::from_value(found.value).unwrap_or_default();
@@ -217,18 +217,19 @@
         let Ok(value) = serde_json::to_value(&record) else {
             return Err(LeaseError::Unknown);
         };
-        let ours = record.clone();
-        let is_ours = move |stored: &serde_json::Value| {
-            serde_json::from_value::<PlanRecord>(stored.clone()).is_ok_and(|stored| stored == ours)
+        let own_record = record.clone();
+        let is_own_write = move |stored: &serde_json::Value| {
+            serde_json::from_value::<PlanRecord>(stored.clone())
+                .is_ok_and(|stored| stored == own_record)
         };
         let written = store
             .write_verified(
                 Purpose::Leases,
                 PLAN_KIND,
                 name.as_str(),
-                expect,
+                precondition,
                 &value,
-                is_ours,
+                is_own_write,
             )
             .await;
         match written {
