--- a/crates/tc-platform/src/claims/group.rs
+++ b/crates/tc-platform/src/claims/committer.rs
@@ -1,4 +1,4 @@
-//! Group commit: one task per shard collects operations and carries out the shard's steps.
+//! Group commit: one task per shard collects operations and executes the shard's steps.
 
 use std::{
     collections::HashMap,
@@ -21,17 +21,17 @@
 
 use super::{
     CLAIM_KIND,
-    grant::Grant,
+    claim_guard::ClaimGuard,
     model::KeyDigest,
-    op::{Op, Recording, Reply, Ticket},
+    op::{Op, RecordResult, Reply, Ticket},
     shard::{Progress, Shard, Step},
 };
 use crate::{Backoff, Purpose, Store, StoreError, Versioned};
 
-const FIRST_DELAY: Duration = Duration::from_millis(5);
-const LONGEST_DELAY: Duration = Duration::from_secs(1);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// An operation and who waits for its answer.
+/// An operation and the receiver of its reply.
 pub(super) struct Request {
     pub(super) op: Op,
     pub(super) waiter: Waiter,
@@ -41,41 +41,41 @@
     pub(super) fn release(key: KeyDigest, claim_id: Arc<str>) -> Self {
         Self {
             op: Op::Release { key, claim_id },
-            waiter: Waiter::Nobody,
+            waiter: Waiter::None,
         }
     }
 }
 
 pub(super) enum Waiter {
-    Claim(KeyDigest, oneshot::Sender<Grant>),
-    Look(oneshot::Sender<ClaimVerdict>),
-    Record(oneshot::Sender<Recording>),
-    Nobody,
+    Claim(KeyDigest, oneshot::Sender<ClaimGuard>),
+    Lookup(oneshot::Sender<ClaimVerdict>),
+    Record(oneshot::Sender<RecordResult>),
+    None,
 }
 
 impl Waiter {
-    /// Whether it counts towards the bound on waiting operations. Releases do not: losing one would leave a key
-    /// claimed by a run that never happens.
+    /// Whether the operation counts towards the limit on queued operations. Releases do not,
+    /// because losing one would leave a key claimed by a run that never happens.
     pub(super) const fn is_counted(&self) -> bool {
-        !matches!(self, Self::Nobody)
+        !matches!(self, Self::None)
     }
 
-    fn has_left(&self) -> bool {
+    fn is_abandoned(&self) -> bool {
         match self {
             Self::Claim(_, tx) => tx.is_closed(),
-            Self::Look(tx) => tx.is_closed(),
-            Self::Record(_) | Self::Nobody => false,
+            Self::Lookup(tx) => tx.is_closed(),
+            Self::Record(_) | Self::None => false,
         }
     }
 }
 
-/// What the commit tasks share with the handle.
+/// State shared by the commit tasks and the handle.
 pub(super) struct Shared {
     pub(super) store: Store,
     pub(super) commit_interval: Duration,
     pub(super) retention_ms: AtomicU64,
-    /// Operations somebody asked for that have no answer yet, over all shards.
-    pub(super) waiting: AtomicUsize,
+    /// Number of counted operations without a reply, over all shards.
+    pub(super) queued_ops: AtomicUsize,
 }
 
 /// The commit task of one shard.
@@ -84,27 +84,28 @@
     pub(super) shard: Shard,
     pub(super) head_name: String,
     pub(super) rx: UnboundedReceiver<Request>,
-    /// Weak, so that the task ends when all handles are gone.
+    /// Weak, so that the task ends when all handles are dropped.
     pub(super) tx: WeakUnboundedSender<Request>,
     pub(super) waiters: HashMap<Ticket, Waiter>,
     pub(super) last_commit: Option<Instant>,
-    /// Calls whose turn was waited for already.
-    pub(super) turns: u32,
+    /// Calls already admitted by the rate limiter and not made yet.
+    pub(super) reserved_calls: u32,
 }
 
 impl Committer {
-    /// Runs until all handles are dropped and what they asked for is done, or the store cannot be reached then.
+    /// Runs until all handles are dropped and their operations are done, or the store cannot be
+    /// reached after that.
     pub(super) async fn run(mut self) {
-        let mut backoff = Backoff::new(FIRST_DELAY, LONGEST_DELAY);
+        let mut backoff = Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
         while let Some(req) = self.rx.recv().await {
             self.accept(req);
-            self.collect().await;
+            self.wait_for_interval().await;
             loop {
-                self.drain();
-                let turn = self.take_turns(self.shard.calls_ahead()).await;
-                self.drain();
-                let done = match turn {
-                    Ok(()) => self.step().await,
+                self.accept_queued();
+                let reserved = self.reserve_calls(self.shard.expected_calls()).await;
+                self.accept_queued();
+                let done = match reserved {
+                    Ok(()) => self.run_step().await,
                     Err(_) => Some(Progress::None),
                 };
                 match done {
@@ -117,37 +118,38 @@
         }
     }
 
-    /// Lets operations gather until the commit interval since the last commit is over.
-    async fn collect(&self) {
+    /// Waits until the commit interval since the last commit has passed, so that operations
+    /// accumulate.
+    async fn wait_for_interval(&self) {
         if let Some(last) = self.last_commit {
             tokio::time::sleep_until(last + self.shared.commit_interval).await;
         }
     }
 
-    /// Waits for the turns of the next calls, before the operations for them are taken: those that come meanwhile
-    /// are then in the same commit.
-    async fn take_turns(&mut self, calls: u32) -> Result<(), StoreError> {
-        let missing = calls.saturating_sub(self.turns);
+    /// Waits until the rate limiter admits the next calls. This happens before their operations are
+    /// taken from the queue, so that operations submitted in the meantime join the same commit.
+    async fn reserve_calls(&mut self, calls: u32) -> Result<(), StoreError> {
+        let missing = calls.saturating_sub(self.reserved_calls);
         if missing > 0 {
-            self.shared.store.take_turns(missing).await?;
-            self.turns += missing;
+            self.shared.store.reserve_calls(missing).await?;
+            self.reserved_calls += missing;
         }
         Ok(())
     }
 
-    fn drain(&mut self) {
+    fn accept_queued(&mut self) {
         while let Ok(req) = self.rx.try_recv() {
             self.accept(req);
         }
         let waiters = &mut self.waiters;
         let shared = &self.shared;
         self.shard
-            .drop_abandoned(|ticket| waiters.get(&ticket).is_some_and(Waiter::has_left));
-        if waiters.len() > self.shard.waiting() {
+            .drop_abandoned(|ticket| waiters.get(&ticket).is_some_and(Waiter::is_abandoned));
+        if waiters.len() > self.shard.queue_len() {
             let before = waiters.len();
-            waiters.retain(|ticket, _| self.shard.has(*ticket));
+            waiters.retain(|ticket, _| self.shard.is_queued(*ticket));
             shared
-                .waiting
+                .queued_ops
                 .fetch_sub(before - waiters.len(), Ordering::Relaxed);
         }
     }
@@ -157,8 +159,8 @@
         self.waiters.insert(ticket, req.waiter);
     }
 
-    /// Carries out one step; `None` when there was none.
-    async fn step(&mut self) -> Option<Progress> {
+    /// Executes one step. Returns `None` if there was none.
+    async fn run_step(&mut self) -> Option<Progress> {
         let retention = self.shared.retention_ms.load(Ordering::Relaxed);
         self.shard.set_retention(Duration::from_millis(retention));
         let step = self.shard.next_step(MonoTime::now());
@@ -167,20 +169,21 @@
             Step::Idle => return None,
             Step::ReadHead => {
                 let found = self.get(&self.head_name.clone()).await;
-                self.shard.on_head(MonoTime::now(), found)
+                self.shard.on_head_read(MonoTime::now(), found)
             }
             Step::ReadSegment(name) => {
                 let found = self.get(&name).await;
-                self.shard.on_segment(MonoTime::now(), &name, found)
+                self.shard.on_segment_read(MonoTime::now(), &name, found)
             }
             Step::CreateSegment(name, value) => {
                 let created = self.create(&name, &value).await;
-                self.shard.on_created(MonoTime::now(), &name, &created)
+                self.shard
+                    .on_segment_created(MonoTime::now(), &name, &created)
             }
             Step::WriteHead(base, value) => self.write_head(base, &value).await,
             Step::Delete(name) => {
                 let deleted = self.delete(&name).await;
-                self.shard.on_deleted(&name, deleted.is_ok());
+                self.shard.on_segment_deleted(&name, deleted.is_ok());
                 Progress::Made
             }
         };
@@ -188,20 +191,20 @@
         Some(progress)
     }
 
-    /// The client for the next call, after waiting for its turn unless that was done before.
-    async fn turn(&mut self) -> Result<Store, StoreError> {
-        self.take_turns(1).await?;
-        self.turns -= 1;
-        Ok(self.shared.store.with_turns())
+    /// Returns the client for the next call, after reserving the call if that was not done before.
+    async fn reserved_store(&mut self) -> Result<Store, StoreError> {
+        self.reserve_calls(1).await?;
+        self.reserved_calls -= 1;
+        Ok(self.shared.store.with_reserved_calls())
     }
 
     async fn get(&mut self, name: &str) -> Result<Option<Versioned<Value>>, StoreError> {
-        let store = self.turn().await?;
+        let store = self.reserved_store().await?;
         store.get(Purpose::Claims, CLAIM_KIND, name).await
     }
 
     async fn create(&mut self, name: &str, value: &Value) -> Result<u64, StoreError> {
-        let store = self.turn().await?;
+        let store = self.reserved_store().await?;
         store.create(Purpose::Claims, CLAIM_KIND, name, value).await
     }
 
@@ -209,7 +212,7 @@
         if base == 0 {
             return self.create(&self.head_name.clone(), value).await;
         }
-        let store = self.turn().await?;
+        let store = self.reserved_store().await?;
         store
             .update(Purpose::Claims, CLAIM_KIND, &self.head_name, base, value)
             .await
@@ -218,12 +221,12 @@
     async fn write_head(&mut self, base: u64, value: &Value) -> Progress {
         let written = self.put_head(base, value).await;
         let committed = written.is_ok();
-        let progress = self.shard.on_written(MonoTime::now(), written);
+        let progress = self.shard.on_head_written(MonoTime::now(), written);
         if committed {
             self.deliver();
             self.last_commit = Some(Instant::now());
-            if self.shard.waiting() > 0 {
-                self.collect().await;
+            if self.shard.queue_len() > 0 {
+                self.wait_for_interval().await;
             }
         }
         progress
@@ -233,7 +236,7 @@
         let Some(found) = self.get(name).await? else {
             return Ok(());
         };
-        let store = self.turn().await?;
+        let store = self.reserved_store().await?;
         store
             .delete(Purpose::Claims, CLAIM_KIND, name, found.version)
             .await
@@ -245,29 +248,31 @@
                 continue;
             };
             if waiter.is_counted() {
-                self.shared.waiting.fetch_sub(1, Ordering::Relaxed);
+                self.shared.queued_ops.fetch_sub(1, Ordering::Relaxed);
             }
-            // Whoever left gets nothing; a claim that went to nobody is released by its grant.
+            // The send fails if the caller has left. A claim without a receiver is released by its
+            // guard.
             match (waiter, reply) {
                 (Waiter::Claim(key, tx), Reply::Claim(verdict)) => {
-                    let Some(requests) = self.release_lane() else {
+                    let Some(requests) = self.release_sender() else {
                         continue;
                     };
-                    let _ = tx.send(Grant::new(key, verdict, requests));
+                    let _ = tx.send(ClaimGuard::new(key, verdict, requests));
                 }
-                (Waiter::Look(tx), Reply::Look(verdict)) => {
+                (Waiter::Lookup(tx), Reply::Lookup(verdict)) => {
                     let _ = tx.send(verdict);
                 }
-                (Waiter::Record(tx), Reply::Record(recording)) => {
-                    let _ = tx.send(recording);
+                (Waiter::Record(tx), Reply::Record(record_result)) => {
+                    let _ = tx.send(record_result);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Where a grant sends its release; `None` when no handle is left, so that nobody can wait for a verdict either.
-    fn release_lane(&self) -> Option<UnboundedSender<Request>> {
+    /// Returns where a guard sends its release, or `None` if all handles are dropped, so that no
+    /// caller can wait for a verdict either.
+    fn release_sender(&self) -> Option<UnboundedSender<Request>> {
         self.tx.upgrade()
     }
 }
--- a/crates/tc-platform/src/claims/mod.rs
+++ b/crates/tc-platform/src/claims/mod.rs
@@ -1,14 +1,14 @@
 //! Claims on idempotency keys: a request that must not run twice runs only under a claim.
 
 mod batch;
-mod feedback;
-mod grant;
-mod group;
+mod claim_guard;
+mod committer;
 mod model;
 mod op;
-mod outage;
-mod sealed;
+mod outage_detector;
+mod sealed_index;
 mod shard;
+mod step_results;
 
 use std::{
     collections::HashMap,
@@ -33,50 +33,53 @@
     },
 };
 
-use crate::{Backoff, Expect, Purpose, Store, StoreError, SureWrite};
-use group::{Committer, Request, Shared, Waiter};
-use outage::Outage;
+use crate::{Backoff, Precondition, Purpose, Store, StoreError, WriteResult};
+use committer::{Committer, Request, Shared, Waiter};
+use outage_detector::OutageDetector;
 
 pub use model::{KeyDigest, MAX_OUTCOME_BYTES};
-pub use op::{Op, Recording, Reply, ShardLimits, Ticket};
+pub use op::{Op, RecordResult, Reply, ShardLimits, Ticket};
 pub use shard::{Progress, Shard, Step};
 
 /// Kind of the objects that hold claims.
 pub const CLAIM_KIND: &str = "tanagercroft-claims";
 
-/// Object that holds the number of shards.
+/// Name of the object that holds the number of shards.
 const LAYOUT_NAME: &str = "layout";
-/// Operations that may wait at once; more are refused, since the store is hopelessly behind.
-const MAX_WAITING: usize = 20_000;
-/// How long recording an outcome is waited for; it goes on in the background.
-const RECORD_WAIT: Duration = Duration::from_secs(2);
-const FIRST_LOOK_DELAY: Duration = Duration::from_millis(20);
-const LONGEST_LOOK_DELAY: Duration = Duration::from_millis(400);
+/// Maximum number of queued operations. More are refused, because the store is too far behind.
+const MAX_QUEUED: usize = 20_000;
+/// How long to wait for an outcome to be recorded. Recording continues in the background after
+/// that.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
+const INITIAL_POLL_DELAY: Duration = Duration::from_millis(20);
+const MAX_POLL_DELAY: Duration = Duration::from_millis(400);
 
-/// How claims are made.
+/// Settings of [`Claims`].
 #[derive(Clone, Debug)]
 pub struct ClaimsSettings {
-    /// Shards to spread claims over. The first instance ever to claim fixes the number for all.
+    /// Number of shards. The value of the first instance that ever makes a claim applies to all
+    /// instances.
     pub shards: u32,
-    /// Shortest time between two commits of one shard by this instance.
+    /// Minimum time between two commits of one shard by this instance.
     pub commit_interval: Duration,
-    /// Most operations in one commit.
+    /// Maximum number of operations per commit.
     pub max_batch: usize,
-    /// How long a claim and its outcome are kept at least; must exceed the longest deadline.
+    /// Minimum time that a claim and its outcome are kept. Must exceed the longest deadline.
     pub retention: Duration,
-    /// This instance.
+    /// ID of this instance.
     pub holder: InstanceId,
-    /// Which life of its process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
 }
 
-/// The number of shards, which must be the same for all: with two numbers, a key could be claimed in two shards.
+/// Stored number of shards. It must be the same for all instances; with two numbers, one key could
+/// be claimed in two shards.
 #[derive(Debug, Serialize, Deserialize)]
 struct Layout {
     shards: u32,
 }
 
-/// Handle for making claims; clones share everything.
+/// Handle for making claims. Clones share all state.
 #[derive(Clone)]
 pub struct Claims {
     inner: Arc<Inner>,
@@ -87,26 +90,27 @@
     settings: ClaimsSettings,
     runtime: Handle,
     shards: OnceCell<u32>,
-    lanes: Mutex<HashMap<u32, UnboundedSender<Request>>>,
-    outage: Outage,
-    /// Random, so that two lives of one instance never make the same claim id, even with a stuck clock.
+    commit_queues: Mutex<HashMap<u32, UnboundedSender<Request>>>,
+    outage_detector: OutageDetector,
+    /// Random, so that two incarnations of an instance never generate the same claim ID, even if
+    /// the clock is stuck.
     nonce: u32,
     next_claim: AtomicU64,
 }
 
 impl Claims {
-    /// Starts claiming; commit tasks run on the current tokio runtime.
+    /// Creates the handle. Commit tasks run on the current tokio runtime.
     ///
     /// # Panics
     ///
-    /// Outside a tokio runtime.
+    /// Panics outside a tokio runtime.
     #[must_use]
     pub fn start(store: Store, settings: ClaimsSettings) -> Self {
         let shared = Shared {
             store,
             commit_interval: settings.commit_interval,
             retention_ms: AtomicU64::new(settings.retention.as_millis() as u64),
-            waiting: AtomicUsize::new(0),
+            queued_ops: AtomicUsize::new(0),
         };
         Self {
             inner: Arc::new(Inner {
@@ -114,55 +118,64 @@
                 settings,
                 runtime: Handle::current(),
                 shards: OnceCell::new(),
-                lanes: Mutex::default(),
-                outage: Outage::default(),
+                commit_queues: Mutex::default(),
+                outage_detector: OutageDetector::default(),
                 nonce: rand::random(),
                 next_claim: AtomicU64::new(0),
             }),
         }
     }
 
-    /// Claims a key for a request with this body, within `wait`; gives up sooner when the store cannot be reached.
+    /// Claims a key for a request with this body hash, within `wait`. Returns earlier if the store
+    /// cannot be reached.
     ///
-    /// [`ClaimVerdict::Acquired`] must be acted on only before the request's deadline, and at most once. With
-    /// [`ClaimVerdict::Unavailable`] the request must not run; a claim of ours that turns out to have been written
-    /// is released, so that a resend may claim again.
+    /// [`ClaimVerdict::Acquired`] must be acted on at most once, and only before the request's
+    /// deadline. On [`ClaimVerdict::Unavailable`] the request must not run. If its claim turns out
+    /// to have been written, it is released, so that a resend can claim the key again.
     pub async fn claim(&self, key: ClaimKey, body_hash: u64, wait: Duration) -> ClaimVerdict {
         let started = (MonoTime::now(), SystemTime::now());
         let store = &self.inner.shared.store;
         let runtime = &self.inner.runtime;
-        if self.inner.outage.refuses(store, runtime, started.0) {
+        if self
+            .inner
+            .outage_detector
+            .rejects_claim(store, runtime, started.0)
+        {
             return ClaimVerdict::Unavailable;
         }
         let key = KeyDigest::of(&key);
         let (tx, rx) = oneshot::channel();
-        let asked = async {
+        let reply = async {
             let op = Op::Claim {
                 key,
-                body: body_hash,
+                body_hash,
                 claim_id: self.new_claim_id(),
             };
-            self.ask(key, op, Waiter::Claim(key, tx)).await?;
+            self.submit(key, op, Waiter::Claim(key, tx)).await?;
             rx.await.map_err(|_| StoreError::Unreachable)
         };
-        let grant = tokio::select! {
+        let result = tokio::select! {
             biased;
-            grant = tokio::time::timeout(wait, asked) => grant,
-            () = Outage::gives_up(store) => return ClaimVerdict::Unavailable,
+            result = tokio::time::timeout(wait, reply) => result,
+            () = OutageDetector::wait_until_down(store) => return ClaimVerdict::Unavailable,
         };
-        match grant {
-            // A process that was paused finds its verdict long after its time: the claim may have expired since,
-            // and acting on it would run the request beside the next holder's.
-            Ok(Ok(grant)) if !is_over(started, wait) => grant.take(),
+        match result {
+            // A process that was paused may see the verdict long after `wait`. The claim may have
+            // expired since, and running the request would duplicate the run of the next holder.
+            Ok(Ok(guard)) if !has_elapsed(started, wait) => guard.into_verdict(),
             _ => ClaimVerdict::Unavailable,
         }
     }
 
-    /// Records the outcome of a claim of ours, so that resends get it; its body only when it is small.
+    /// Records the outcome of a claim made by this instance, so that resends get it. The body is
+    /// kept only if it is small.
+    ///
+    /// An outcome with [`RunState::NotRun`] is not kept; the claim is released instead, so that a
+    /// resend can run.
     ///
-    /// An outcome that says [`RunState::NotRun`] is not kept: the claim is released, so that a resend can run.
-    /// Fails with [`StoreError::MaybeApplied`] when it takes long; it then goes on in the background. Fails with
-    /// [`StoreError::Conflict`] when the claim is not ours any more or has another outcome.
+    /// Fails with [`StoreError::MaybeApplied`] if recording takes too long; it then continues in
+    /// the background. Fails with [`StoreError::Conflict`] if this instance no longer holds the
+    /// claim or another outcome was recorded.
     pub async fn record(
         &self,
         key: &ClaimKey,
@@ -173,35 +186,36 @@
         let claim_id: Arc<str> = claim_id.into();
         if outcome.run_state == RunState::NotRun {
             let op = Op::Release { key, claim_id };
-            return self.ask(key, op, Waiter::Nobody).await;
+            return self.submit(key, op, Waiter::None).await;
         }
         let (tx, rx) = oneshot::channel();
         let op = Op::Record {
             key,
             claim_id,
-            outcome: Arc::new(model::kept(outcome)),
+            outcome: Arc::new(model::truncate_outcome(outcome)),
         };
-        self.ask(key, op, Waiter::Record(tx)).await?;
-        match tokio::time::timeout(RECORD_WAIT, rx).await {
-            Ok(Ok(Recording::Done)) => Ok(()),
-            Ok(Ok(Recording::NotOurs)) => Err(StoreError::Conflict { current: None }),
-            Ok(Ok(Recording::Full)) => Err(StoreError::TooLarge),
+        self.submit(key, op, Waiter::Record(tx)).await?;
+        match tokio::time::timeout(RECORD_TIMEOUT, rx).await {
+            Ok(Ok(RecordResult::Recorded)) => Ok(()),
+            Ok(Ok(RecordResult::NotHolder)) => Err(StoreError::Conflict { current: None }),
+            Ok(Ok(RecordResult::Full)) => Err(StoreError::TooLarge),
             Ok(Err(_)) | Err(_) => Err(StoreError::MaybeApplied),
         }
     }
 
-    /// Waits up to `wait` until the run that holds a key has recorded its outcome.
+    /// Waits up to `wait` until the outcome of the run that holds a key is recorded.
     ///
-    /// [`ClaimVerdict::Held`] when it has not in time, or when the store could not tell;
-    /// [`ClaimVerdict::Unavailable`] when the claim was released, so the request surely did not run.
-    pub async fn wait_recorded(&self, key: &ClaimKey, wait: Duration) -> ClaimVerdict {
+    /// Returns [`ClaimVerdict::Held`] if it was not recorded in time or the store could not be
+    /// read, and [`ClaimVerdict::Unavailable`] if the claim was released, which means that the
+    /// request did not run.
+    pub async fn wait_for_outcome(&self, key: &ClaimKey, wait: Duration) -> ClaimVerdict {
         let key = KeyDigest::of(key);
-        tokio::time::timeout(wait, self.look_until_settled(key))
+        tokio::time::timeout(wait, self.poll_outcome(key))
             .await
             .unwrap_or(ClaimVerdict::Held)
     }
 
-    /// Changes how long claims are kept from now on.
+    /// Sets how long claims are kept from now on.
     pub fn set_retention(&self, retention: Duration) {
         let millis = retention.as_millis() as u64;
         self.inner
@@ -210,12 +224,14 @@
             .store(millis, Ordering::Relaxed);
     }
 
-    async fn look_until_settled(&self, key: KeyDigest) -> ClaimVerdict {
-        let mut backoff = Backoff::new(FIRST_LOOK_DELAY, LONGEST_LOOK_DELAY);
+    async fn poll_outcome(&self, key: KeyDigest) -> ClaimVerdict {
+        let mut backoff = Backoff::new(INITIAL_POLL_DELAY, MAX_POLL_DELAY);
         loop {
             let (tx, rx) = oneshot::channel();
-            let asked = self.ask(key, Op::Look { key }, Waiter::Look(tx)).await;
-            if asked.is_ok()
+            let submitted = self
+                .submit(key, Op::Lookup { key }, Waiter::Lookup(tx))
+                .await;
+            if submitted.is_ok()
                 && let Ok(verdict) = rx.await
                 && verdict != ClaimVerdict::Held
             {
@@ -225,24 +241,25 @@
         }
     }
 
-    async fn ask(&self, key: KeyDigest, op: Op, waiter: Waiter) -> Result<(), StoreError> {
+    async fn submit(&self, key: KeyDigest, op: Op, waiter: Waiter) -> Result<(), StoreError> {
         let shards = *self
             .inner
             .shards
-            .get_or_try_init(|| self.agree_on_shards())
+            .get_or_try_init(|| self.read_or_create_layout())
             .await?;
-        let waiting = &self.inner.shared.waiting;
-        if waiter.is_counted() && waiting.fetch_add(1, Ordering::Relaxed) >= MAX_WAITING {
-            waiting.fetch_sub(1, Ordering::Relaxed);
-            return Err(StoreError::Paced);
+        let queued_ops = &self.inner.shared.queued_ops;
+        if waiter.is_counted() && queued_ops.fetch_add(1, Ordering::Relaxed) >= MAX_QUEUED {
+            queued_ops.fetch_sub(1, Ordering::Relaxed);
+            return Err(StoreError::RateLimited);
         }
-        let lane = self.lane(key.shard(shards));
-        lane.send(Request { op, waiter })
+        let commit_queue = self.commit_queue(key.shard(shards));
+        commit_queue
+            .send(Request { op, waiter })
             .map_err(|_| StoreError::Unreachable)
     }
 
-    /// Reads how many shards there are, or fixes the number if nobody has.
-    async fn agree_on_shards(&self) -> Result<u32, StoreError> {
+    /// Reads the number of shards from the store, or creates the layout if there is none.
+    async fn read_or_create_layout(&self) -> Result<u32, StoreError> {
         let store = &self.inner.shared.store;
         let wanted = Layout {
             shards: self.inner.settings.shards.max(1),
@@ -255,7 +272,7 @@
         let layout: Layout = serde_json::from_value(found).map_err(|_| StoreError::Malformed)?;
         if layout.shards != wanted.shards {
             log::warn!(
-                "claims are in {} shards; the setting of {} has no effect",
+                "the store has {} claim shards; ignoring the configured number of {}",
                 layout.shards,
                 wanted.shards
             );
@@ -263,9 +280,12 @@
         Ok(layout.shards)
     }
 
-    fn lane(&self, shard: u32) -> UnboundedSender<Request> {
+    fn commit_queue(&self, shard: u32) -> UnboundedSender<Request> {
         let inner = &self.inner;
-        let mut lanes = inner.lanes.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut commit_queues = inner
+            .commit_queues
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let start = || {
             let (tx, rx) = unbounded_channel();
             let limits = ShardLimits {
@@ -280,12 +300,12 @@
                 tx: tx.downgrade(),
                 waiters: HashMap::new(),
                 last_commit: None,
-                turns: 0,
+                reserved_calls: 0,
             };
             inner.runtime.spawn(committer.run());
             tx
         };
-        lanes.entry(shard).or_insert_with(start).clone()
+        commit_queues.entry(shard).or_insert_with(start).clone()
     }
 
     fn new_claim_id(&self) -> Arc<str> {
@@ -306,24 +326,25 @@
 /// Creates the layout and returns the one in force, which never changes once it exists.
 async fn create_layout(store: &Store, wanted: &Layout) -> Result<Value, StoreError> {
     let value = serde_json::to_value(wanted).map_err(|_| StoreError::Malformed)?;
-    let (purpose, absent) = (Purpose::Claims, Expect::Absent);
+    let (purpose, absent) = (Purpose::Claims, Precondition::Absent);
     let written = store
-        .write_sure(purpose, CLAIM_KIND, LAYOUT_NAME, absent, &value, |found| {
+        .write_verified(purpose, CLAIM_KIND, LAYOUT_NAME, absent, &value, |found| {
             *found == value
         })
         .await;
     match written {
-        SureWrite::Ours { .. } => Ok(value),
-        SureWrite::Conflict { current: Some(c) } | SureWrite::Unknown { current: Some(c) } => {
+        WriteResult::Written { .. } => Ok(value),
+        WriteResult::Conflict { current: Some(c) } | WriteResult::Unknown { current: Some(c) } => {
             Ok(c.value)
         }
-        SureWrite::NotWritten(e) => Err(e),
+        WriteResult::NotWritten(e) => Err(e),
         _ => Err(StoreError::Unreachable),
     }
 }
 
-/// Whether `wait` has passed, by the monotonic clock or, for a machine that was suspended, by the wall clock.
-fn is_over((mono, wall): (MonoTime, SystemTime), wait: Duration) -> bool {
+/// Whether `wait` has passed by the monotonic clock or, if the machine was suspended, by the wall
+/// clock.
+fn has_elapsed((mono, wall): (MonoTime, SystemTime), wait: Duration) -> bool {
     let by_mono = MonoTime::now().since(mono) > wait;
     by_mono || wall.elapsed().is_ok_and(|age| age > wait)
 }
--- a/crates/tc-platform/src/claims/feedback.rs
+++ b/crates/tc-platform/src/claims/step_results.rs
@@ -1,4 +1,4 @@
-//! How a shard's state changes with the results of its steps.
+//! State changes of a shard caused by the results of its steps.
 
 use std::sync::Arc;
 
@@ -10,18 +10,19 @@
 use super::{
     batch::Batch,
     model::{Head, Segment, json_len},
-    shard::{Prepared, Progress, Shard},
+    shard::{PreparedSegment, Progress, Shard},
 };
 use crate::{StoreError, Versioned};
 
-/// Reads in a row that must find the head unchanged before it is written again without reading it first.
+/// Consecutive reads that must find the head unchanged before it is written again without reading
+/// it first.
 const UNCHANGED_READS: u32 = 4;
-/// Reads of a listed segment that is not there after which the shard is called damaged.
+/// Reads of a listed but missing segment after which the shard is reported as damaged.
 const MISSING_SEGMENT_READS: u32 = 5;
 
 impl Shard {
-    /// Feeds back [`Step::ReadHead`].
-    pub fn on_head(
+    /// Reports the result of [`Step::ReadHead`].
+    pub fn on_head_read(
         &mut self,
         now: MonoTime,
         result: Result<Option<Versioned<Value>>, StoreError>,
@@ -34,16 +35,16 @@
             Some(object) => (object.version, serde_json::from_value(object.value)),
         };
         let Ok(head) = head else {
-            log::error!("head of claim shard {} cannot be read", self.index);
+            log::error!("head of claim shard {} cannot be decoded", self.index);
             return Progress::None;
         };
-        self.reads_first = if version == self.last_version {
-            self.reads_first.saturating_sub(1)
+        self.reads_before_write = if version == self.last_version {
+            self.reads_before_write.saturating_sub(1)
         } else {
             UNCHANGED_READS
         };
         self.adopt(now, version, head);
-        self.forget_unlisted();
+        self.drop_unlisted();
         Progress::Made
     }
 
@@ -57,31 +58,33 @@
         }
         self.head_bytes = json_len(&head.entries);
         self.last_version = version;
-        self.fresh_below = self.asked_at;
+        self.fresh_below = self.ticket_at_call;
         self.head = Some(Versioned {
             version,
             value: head,
         });
     }
 
-    /// Settles a prepared segment that the head has passed by, and forgets those it no longer lists.
+    /// Forgets segments that the head no longer lists, and schedules the deletion of a prepared
+    /// segment that it can no longer list.
     ///
-    /// The head may be listed a prepared segment only by a write based on the version the segment was made from.
-    /// So once the head has moved on without listing it, it never will, and deleting it is safe.
-    fn forget_unlisted(&mut self) {
+    /// A prepared segment can be listed only by a write based on the head version it was created
+    /// from. Once the head has a later version that does not list the segment, no version ever
+    /// will, so it can be deleted.
+    fn drop_unlisted(&mut self) {
         let Some(head) = &self.head else { return };
         let listed = |name: &Arc<str>| head.value.segments.contains(name);
-        let passed_by = self.prepared.take_if(|p| p.version != head.version);
-        if let Some(orphan) = passed_by.filter(|p| !listed(&p.name)) {
-            self.garbage.push(orphan.name);
+        let outdated = self.prepared_segment.take_if(|p| p.version != head.version);
+        if let Some(orphan) = outdated.filter(|p| !listed(&p.name)) {
+            self.to_delete.push(orphan.name);
         }
-        let prepared = self.prepared.as_ref().map(|p| &p.name);
+        let prepared_segment = self.prepared_segment.as_ref().map(|p| &p.name);
         self.sealed
-            .retain(|name| listed(name) || prepared == Some(name));
+            .retain(|name| listed(name) || prepared_segment == Some(name));
     }
 
-    /// Feeds back [`Step::ReadSegment`].
-    pub fn on_segment(
+    /// Reports the result of [`Step::ReadSegment`].
+    pub fn on_segment_read(
         &mut self,
         now: MonoTime,
         name: &Arc<str>,
@@ -93,28 +96,29 @@
             Err(_) => return Progress::None,
         };
         let Ok(segment) = serde_json::from_value::<Segment>(object.value) else {
-            log::error!("claim segment {name} cannot be read");
+            log::error!("claim segment {name} cannot be decoded");
             return Progress::None;
         };
-        self.missing_reads = 0;
+        self.missing_segment_reads = 0;
         self.sealed.insert(now, name.clone(), segment.entries);
         Progress::Made
     }
 
-    /// A listed segment is gone: most likely others expired it meanwhile, and the head is old.
+    /// Handles a listed segment that is missing. Most likely another instance has expired it and
+    /// our head is old.
     fn on_missing_segment(&mut self, name: &Arc<str>) -> Progress {
         self.head = None;
-        self.missing_reads += 1;
-        if self.missing_reads < MISSING_SEGMENT_READS {
+        self.missing_segment_reads += 1;
+        if self.missing_segment_reads < MISSING_SEGMENT_READS {
             return Progress::Made;
         }
-        log::error!("claim segment {name} is listed and missing; its shard takes no claims");
+        log::error!("claim segment {name} is listed but missing; its shard accepts no claims");
         Progress::None
     }
 
-    /// Feeds back [`Step::CreateSegment`]. That it exists already is as good: whoever made it from the same version
-    /// of the head wrote the same.
-    pub fn on_created(
+    /// Reports the result of [`Step::CreateSegment`]. An existing segment is fine too, because
+    /// every instance that creates it from the same version of the head writes the same content.
+    pub fn on_segment_created(
         &mut self,
         now: MonoTime,
         name: &Arc<str>,
@@ -125,7 +129,7 @@
         }
         if let Some(head) = &self.head {
             let entries = head.value.entries.clone();
-            self.prepared = Some(Prepared {
+            self.prepared_segment = Some(PreparedSegment {
                 version: head.version,
                 name: name.clone(),
             });
@@ -134,8 +138,8 @@
         Progress::Made
     }
 
-    /// Feeds back [`Step::WriteHead`].
-    pub fn on_written(&mut self, now: MonoTime, result: Result<u64, StoreError>) -> Progress {
+    /// Reports the result of [`Step::WriteHead`].
+    pub fn on_head_written(&mut self, now: MonoTime, result: Result<u64, StoreError>) -> Progress {
         let Some(batch) = self.batch.take() else {
             return Progress::None;
         };
@@ -146,7 +150,7 @@
             }
             Err(StoreError::Conflict { .. }) => {
                 self.head = None;
-                self.reads_first = UNCHANGED_READS;
+                self.reads_before_write = UNCHANGED_READS;
                 Progress::Made
             }
             Err(StoreError::MaybeApplied) => {
@@ -154,7 +158,7 @@
                 Progress::None
             }
             Err(e) => {
-                log::warn!("claim shard {} was not written: {e}", self.index);
+                log::warn!("head of claim shard {} was not written: {e}", self.index);
                 Progress::None
             }
         }
@@ -164,18 +168,20 @@
         if batch.expired > 0 {
             let old = self.head.take().map(|h| h.value).unwrap_or_default();
             let dropped = old.segments.into_iter().take(batch.expired);
-            self.garbage.extend(old.retired.into_iter().chain(dropped));
+            self.to_delete
+                .extend(old.retired.into_iter().chain(dropped));
         }
-        self.garbage_blocked = false;
-        self.adopt(now, version, batch.new);
-        self.forget_unlisted();
+        self.is_deletion_paused = false;
+        self.adopt(now, version, batch.new_head);
+        self.drop_unlisted();
         self.answer(&batch.pending);
     }
 
-    /// Forgets that the first `judged` operations may have been written on an older head than `version`: having been
-    /// judged on this one, each was either found in force or never will be.
-    pub(super) fn settle_lost_writes(&mut self, version: u64, judged: usize) {
-        for queued in self.queue.iter_mut().take(judged) {
+    /// Clears the mark of a lost write on the first `decided` operations, if it was based on an
+    /// older head than `version`. They were decided on this version, so each write was either found
+    /// in force or can no longer take effect.
+    pub(super) fn clear_lost_writes(&mut self, version: u64, decided: usize) {
+        for queued in self.queue.iter_mut().take(decided) {
             queued.maybe_written_on.take_if(|on| *on < version);
         }
     }
@@ -189,12 +195,13 @@
         }
     }
 
-    /// Feeds back [`Step::Delete`]; after a failure it is tried again only after the next commit.
-    pub fn on_deleted(&mut self, name: &Arc<str>, done: bool) {
+    /// Reports the result of [`Step::Delete`]. A failed deletion is retried only after the next
+    /// commit.
+    pub fn on_segment_deleted(&mut self, name: &Arc<str>, done: bool) {
         if done {
-            self.garbage.retain(|n| n != name);
+            self.to_delete.retain(|n| n != name);
         } else {
-            self.garbage_blocked = true;
+            self.is_deletion_paused = true;
         }
     }
 }
--- a/crates/tc-platform/src/store/coalesce.rs
+++ b/crates/tc-platform/src/store/coalesce.rs
@@ -1,4 +1,4 @@
-//! Coalescing of concurrent identical reads.
+//! Coalesces concurrent reads of the same object.
 
 use std::{
     collections::HashMap,
@@ -18,27 +18,28 @@
 pub(crate) type ReadResult = Result<Option<Versioned<Value>>, StoreError>;
 type SharedRead = Shared<BoxFuture<'static, ReadResult>>;
 
-/// Reads of one object: at most one on its way and one more waiting to be sent, which later callers join.
+/// Reads of one object: at most one in flight, and one more that is not sent yet, which later
+/// callers join.
 #[derive(Clone, Default)]
-struct Lane {
-    on_its_way: Arc<tokio::sync::Mutex<()>>,
-    waiting: Option<SharedRead>,
+struct ObjectReads {
+    in_flight: Arc<tokio::sync::Mutex<()>>,
+    next: Option<SharedRead>,
 }
 
 /// Lets concurrent reads of one object share a call.
 ///
-/// A caller only ever joins a read that has not been sent yet. Joining one already on its way could give a value
-/// from before the caller's own write, seen as a lost write that in truth took effect.
+/// A caller joins only a read that has not been sent yet. A read already in flight could return a
+/// value from before the caller's own write, which would look as if that write had been lost.
 ///
-/// Reads run in tasks of their own: a caller that joined one and is then not polled for long would otherwise hold up
-/// all others that wait for the same object.
+/// Each read runs in its own task. Otherwise a caller that joined a read and is not polled for a
+/// while would block all others waiting for the same object.
 #[derive(Clone, Default)]
 pub(crate) struct Coalescer {
-    lanes: Arc<Mutex<HashMap<String, Lane>>>,
+    objects: Arc<Mutex<HashMap<String, ObjectReads>>>,
 }
 
 impl Coalescer {
-    /// Joins the waiting read of `path`, or makes `read` the waiting one.
+    /// Joins the unsent read of `path`, or makes `read` the unsent one.
     pub(crate) async fn read<F>(&self, path: &str, read: F) -> ReadResult
     where
         F: Future<Output = ReadResult> + Send + 'static,
@@ -51,46 +52,47 @@
     where
         F: Future<Output = ReadResult> + Send + 'static,
     {
-        let mut lanes = self.lanes.lock().unwrap_or_else(PoisonError::into_inner);
-        let lane = lanes.entry(path.to_owned()).or_default();
-        if let Some(waiting) = &lane.waiting {
-            return waiting.clone();
+        let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
+        let object = objects.entry(path.to_owned()).or_default();
+        if let Some(next) = &object.next {
+            return next.clone();
         }
         let coalescer = self.clone();
         let path = path.to_owned();
-        let on_its_way = lane.on_its_way.clone();
+        let in_flight = object.in_flight.clone();
         let read = async move {
-            let turn = on_its_way.lock().await;
-            coalescer.leave_waiting(&path);
+            let guard = in_flight.lock().await;
+            coalescer.mark_sent(&path);
             let result = read.await;
-            drop(turn);
-            drop(on_its_way);
-            coalescer.forget_if_idle(&path);
+            drop(guard);
+            drop(in_flight);
+            coalescer.remove_if_idle(&path);
             result
         };
         let task = tokio::spawn(read.in_current_span());
         let shared = async move { task.await.unwrap_or(Err(StoreError::Unreachable)) }
             .boxed()
             .shared();
-        lane.waiting = Some(shared.clone());
+        object.next = Some(shared.clone());
         shared
     }
 
-    fn leave_waiting(&self, path: &str) {
-        let mut lanes = self.lanes.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(lane) = lanes.get_mut(path) {
-            lane.waiting = None;
+    fn mark_sent(&self, path: &str) {
+        let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(object) = objects.get_mut(path) {
+            object.next = None;
         }
     }
 
-    /// Removes an unused lane; object names keep changing, so lanes would pile up otherwise.
-    fn forget_if_idle(&self, path: &str) {
-        let mut lanes = self.lanes.lock().unwrap_or_else(PoisonError::into_inner);
-        let idle = lanes
-            .get(path)
-            .is_some_and(|lane| lane.waiting.is_none() && Arc::strong_count(&lane.on_its_way) == 1);
-        if idle {
-            lanes.remove(path);
+    /// Removes the entry of an object without reads. Object names keep changing, so entries would
+    /// accumulate.
+    fn remove_if_idle(&self, path: &str) {
+        let mut objects = self.objects.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_idle = objects.get(path).is_some_and(|object| {
+            object.next.is_none() && Arc::strong_count(&object.in_flight) == 1
+        });
+        if is_idle {
+            objects.remove(path);
         }
     }
 }
--- a/crates/tc-platform/src/store/mod.rs
+++ b/crates/tc-platform/src/store/mod.rs
@@ -1,9 +1,9 @@
-//! Client of the platform's object API and instance list.
+//! Client for the platform's object API and instance list.
 
+mod call_stats;
 mod coalesce;
-mod pace;
-mod sure;
-mod tally;
+mod rate_limiter;
+mod verified_write;
 mod wire;
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
@@ -21,55 +21,55 @@
 use tracing::Instrument;
 
 use crate::StoreError;
+use call_stats::CallStats;
 use coalesce::Coalescer;
-use pace::Pace;
-use tally::Tally;
+use rate_limiter::RateLimiter;
 use wire::HttpClient;
-pub(crate) use wire::{Answer, Connection, Effect};
+pub(crate) use wire::{Connection, Effect, Response};
 
-pub use sure::{Expect, SureWrite};
-pub use tally::Purpose;
+pub use call_stats::Purpose;
+pub use verified_write::{Precondition, WriteResult};
 
-/// How the store is reached.
+/// Settings of the store client.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// Where the platform listens.
+    /// Address of the platform.
     pub address: SocketAddr,
-    /// Most calls a second this instance makes in the long run; a second's worth may come at once.
+    /// Maximum average rate of calls per second. One second's worth may be sent in a burst.
     pub calls_per_s: f64,
-    /// Longest time one call may take, and longest time it may wait for its turn.
+    /// Maximum duration of a call, and maximum time it may wait for the rate limiter.
     pub timeout: Duration,
 }
 
-/// A value and the version of the object that holds it.
+/// A value with the version of its object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Versioned<T> {
-    /// The object's version.
+    /// Version of the object.
     pub version: u64,
-    /// The object's value.
+    /// Value of the object.
     pub value: T,
 }
 
-/// Client of the store; clones share connections, rate and counters.
+/// Client for the store. Clones share connections, rate limit and counters.
 #[derive(Clone)]
 pub struct Store {
     inner: Arc<Inner>,
-    /// Whether the turns of all calls made through this clone were waited for already.
-    has_turns: bool,
+    /// Whether the calls made through this clone were already admitted by the rate limiter.
+    is_reserved: bool,
 }
 
 struct Inner {
     settings: StoreSettings,
     client: HttpClient,
-    /// Opens a new connection for each call.
+    /// Client that opens a new connection for each call.
     unpooled_client: HttpClient,
-    pace: Pace,
-    tally: Tally,
+    rate_limiter: RateLimiter,
+    call_stats: CallStats,
     reads: Coalescer,
 }
 
 impl Store {
-    /// A client that connects when first used. Calls need a tokio runtime.
+    /// Creates a client that connects on first use. Calls require a tokio runtime.
     ///
     /// ```
     /// use std::time::Duration;
@@ -88,33 +88,39 @@
             inner: Arc::new(Inner {
                 client: wire::http_client(settings.timeout, wire::MAX_IDLE_CONNECTIONS),
                 unpooled_client: wire::http_client(settings.timeout, 0),
-                pace: Pace::new(settings.calls_per_s),
-                tally: Tally::new(),
+                rate_limiter: RateLimiter::new(settings.calls_per_s),
+                call_stats: CallStats::new(),
                 reads: Coalescer::default(),
                 settings,
             }),
-            has_turns: false,
+            is_reserved: false,
         }
     }
 
-    /// Waits for the turns of so many calls together, which are then made through [`Store::with_turns`].
+    /// Waits until the rate limiter admits this many calls together, which are then made through
+    /// [`Store::with_reserved_calls`].
     ///
-    /// A read and the write based on it belong together: with a wait for a turn between them, the object would
-    /// have changed more often than not when others write it too, and the write would fail again and again.
-    pub(crate) async fn take_turns(&self, calls: u32) -> Result<(), StoreError> {
+    /// A read and the write based on it are reserved together. If the write had to wait after the
+    /// read, other writers would usually change the object in between, and the write would fail
+    /// repeatedly.
+    pub(crate) async fn reserve_calls(&self, calls: u32) -> Result<(), StoreError> {
         let inner = &self.inner;
-        inner.pace.take(calls, inner.settings.timeout).await
+        inner
+            .rate_limiter
+            .acquire(calls, inner.settings.timeout)
+            .await
     }
 
-    /// A clone for calls whose turns were taken already.
-    pub(crate) fn with_turns(&self) -> Self {
+    /// Returns a clone for calls that were reserved before.
+    pub(crate) fn with_reserved_calls(&self) -> Self {
         Self {
             inner: self.inner.clone(),
-            has_turns: true,
+            is_reserved: true,
         }
     }
 
-    /// Reads one object; `None` when it does not exist. Concurrent reads of one object share calls.
+    /// Reads an object, or returns `None` if it does not exist. Concurrent reads of the same object
+    /// share calls.
     pub async fn get(
         &self,
         purpose: Purpose,
@@ -126,28 +132,28 @@
         let target = path.clone();
         let read = async move {
             let timeout = store.inner.settings.timeout;
-            let answer = store.read(purpose, &target, timeout).await?;
-            object_in(&answer)
+            let response = store.read(purpose, &target, timeout).await?;
+            decode_object(&response)
         };
         self.inner.reads.read(&path, read).await
     }
 
-    /// Lists all objects of a kind, in order of name.
+    /// Lists all objects of a kind, ordered by name.
     pub async fn list(&self, purpose: Purpose, kind: &str) -> Result<Vec<ObjectItem>, StoreError> {
-        let path = format!("/objects/{}", checked(kind)?);
-        let answer = self
+        let path = format!("/objects/{}", check_segment(kind)?);
+        let response = self
             .read(purpose, &path, self.inner.settings.timeout)
             .await?;
-        if answer.status == StatusCode::NOT_FOUND {
+        if response.status == StatusCode::NOT_FOUND {
             return Ok(Vec::new());
         }
-        Ok(decode::<ObjectList>(&answer.body)?.items)
+        Ok(decode::<ObjectList>(&response.body)?.items)
     }
 
     /// Creates an object and returns its version.
     ///
-    /// Fails with [`StoreError::Conflict`] when it exists, and with [`StoreError::MaybeApplied`] when the answer
-    /// was lost; see [`Store::write_sure`].
+    /// Fails with [`StoreError::Conflict`] if it exists, and with [`StoreError::MaybeApplied`] if
+    /// the response was lost; see [`Store::write_verified`].
     pub async fn create(
         &self,
         purpose: Purpose,
@@ -155,12 +161,13 @@
         name: &str,
         value: &Value,
     ) -> Result<u64, StoreError> {
-        self.put(purpose, kind, name, Expect::Absent, value).await
+        self.put(purpose, kind, name, Precondition::Absent, value)
+            .await
     }
 
-    /// Writes an object whose version still is `version` and returns the new one.
+    /// Replaces an object that still has version `version`, and returns the new version.
     ///
-    /// Fails as [`Store::create`] does.
+    /// Fails like [`Store::create`].
     pub async fn update(
         &self,
         purpose: Purpose,
@@ -169,11 +176,11 @@
         version: u64,
         value: &Value,
     ) -> Result<u64, StoreError> {
-        self.put(purpose, kind, name, Expect::Version(version), value)
+        self.put(purpose, kind, name, Precondition::Version(version), value)
             .await
     }
 
-    /// Deletes an object whose version still is `version`.
+    /// Deletes an object that still has version `version`.
     pub async fn delete(
         &self,
         purpose: Purpose,
@@ -197,7 +204,8 @@
         .map(|_| ())
     }
 
-    /// Waits up to `wait` until the object's version is above `after`; `None` when it did not change.
+    /// Waits up to `wait` until the object's version is above `after`. Returns `None` if it did not
+    /// change.
     pub async fn watch(
         &self,
         purpose: Purpose,
@@ -209,33 +217,33 @@
         let path = object_path(kind, name)?;
         let path = format!("{path}?watch={after}&timeout_ms={}", wait.as_millis());
         let timeout = wait + self.inner.settings.timeout;
-        let answer = self.read(purpose, &path, timeout).await?;
-        object_in(&answer)
+        let response = self.read(purpose, &path, timeout).await?;
+        decode_object(&response)
     }
 
     /// Reads the instance list.
     pub async fn instances(&self, purpose: Purpose) -> Result<InstanceList, StoreError> {
-        let answer = self
+        let response = self
             .read(purpose, "/instances", self.inner.settings.timeout)
             .await?;
-        decode(&answer.body)
+        decode(&response.body)
     }
 
-    /// Whether the last call was answered, and how long ago one last was.
+    /// Returns whether the last call was answered, and the time since a call was last answered.
     #[must_use]
     pub fn health(&self) -> StoreHealth {
-        self.inner.tally.health()
+        self.inner.call_stats.health()
     }
 
-    /// For how long every call has failed; zero while the last one succeeded or none was made.
+    /// Returns for how long all calls have failed; zero if the last one succeeded or none was made.
     pub(crate) fn failing_for(&self) -> Duration {
-        self.inner.tally.failing_for()
+        self.inner.call_stats.failing_for()
     }
 
-    /// Calls sent so far by purpose.
+    /// Returns the number of calls sent, by purpose.
     #[must_use]
     pub fn calls(&self) -> BTreeMap<&'static str, u64> {
-        self.inner.tally.calls()
+        self.inner.call_stats.calls()
     }
 
     async fn read(
@@ -243,7 +251,7 @@
         purpose: Purpose,
         path: &str,
         timeout: Duration,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<Response, StoreError> {
         let req = Request::builder().method(Method::GET);
         self.call(purpose, req, path, Bytes::new(), Effect::Read, timeout)
             .await
@@ -254,7 +262,7 @@
         purpose: Purpose,
         kind: &str,
         name: &str,
-        expect: Expect,
+        precondition: Precondition,
         value: &Value,
     ) -> Result<u64, StoreError> {
         let path = object_path(kind, name)?;
@@ -265,19 +273,19 @@
         let req = Request::builder()
             .method(Method::PUT)
             .header(header::CONTENT_TYPE, "application/json");
-        let req = match expect {
-            Expect::Absent => req.header(header::IF_NONE_MATCH, "*"),
-            Expect::Version(v) => req.header(header::IF_MATCH, format!("\"{v}\"")),
+        let req = match precondition {
+            Precondition::Absent => req.header(header::IF_NONE_MATCH, "*"),
+            Precondition::Version(v) => req.header(header::IF_MATCH, format!("\"{v}\"")),
         };
         let timeout = self.inner.settings.timeout;
         self.call(purpose, req, &path, body.into(), Effect::Write, timeout)
             .await?
             .version
-            // It was written, but without the version nothing can be built on it.
+            // The write took effect, but without the version no further write can be based on it.
             .ok_or(StoreError::MaybeApplied)
     }
 
-    /// Longest time one call may take.
+    /// Returns the maximum duration of a call.
     pub(crate) fn timeout(&self) -> Duration {
         self.inner.settings.timeout
     }
@@ -290,7 +298,7 @@
         body: Bytes,
         effect: Effect,
         timeout: Duration,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<Response, StoreError> {
         let req = req.body(Full::new(body));
         let req = req.map_err(|_| StoreError::Malformed)?;
         self.call_over(Connection::Pooled, purpose, req, path, effect, timeout)
@@ -306,12 +314,12 @@
         path: &str,
         effect: Effect,
         timeout: Duration,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<Response, StoreError> {
         let inner = &self.inner;
         let uri = format!("http://{}{path}", inner.settings.address);
         *req.uri_mut() = uri.parse().map_err(|_| StoreError::Malformed)?;
-        if !self.has_turns {
-            self.take_turns(1).await?;
+        if !self.is_reserved {
+            self.reserve_calls(1).await?;
         }
         let client = match connection {
             Connection::Pooled => &inner.client,
@@ -321,28 +329,35 @@
         let result = wire::exchange(client, req, effect, timeout)
             .instrument(span)
             .await;
-        inner.tally.note(purpose, result.as_ref().map(|_| ()));
+        inner
+            .call_stats
+            .record(purpose, result.as_ref().map(|_| ()));
         result
     }
 }
 
 fn object_path(kind: &str, name: &str) -> Result<String, StoreError> {
-    Ok(format!("/objects/{}/{}", checked(kind)?, checked(name)?))
+    Ok(format!(
+        "/objects/{}/{}",
+        check_segment(kind)?,
+        check_segment(name)?
+    ))
 }
 
-/// A part of a path, which must need no escaping: a name with a slash would address another object.
-fn checked(part: &str) -> Result<&str, StoreError> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~@".contains(&b);
-    let fits = !part.is_empty() && part.bytes().all(plain) && part != "." && part != "..";
-    fits.then_some(part).ok_or(StoreError::Malformed)
+/// Checks that a path segment needs no escaping. A name with a slash would address another object.
+fn check_segment(part: &str) -> Result<&str, StoreError> {
+    let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~@".contains(&b);
+    let is_valid =
+        !part.is_empty() && part.bytes().all(is_unreserved) && part != "." && part != "..";
+    is_valid.then_some(part).ok_or(StoreError::Malformed)
 }
 
-fn object_in(answer: &Answer) -> Result<Option<Versioned<Value>>, StoreError> {
-    if answer.status != StatusCode::OK {
+fn decode_object(response: &Response) -> Result<Option<Versioned<Value>>, StoreError> {
+    if response.status != StatusCode::OK {
         return Ok(None);
     }
-    let version = answer.version.ok_or(StoreError::Malformed)?;
-    let value = decode(&answer.body)?;
+    let version = response.version.ok_or(StoreError::Malformed)?;
+    let value = decode(&response.body)?;
     Ok(Some(Versioned { version, value }))
 }
 
--- a/crates/tc-platform/tests/kinds.rs
+++ b/crates/tc-platform/tests/kinds.rs
@@ -1,4 +1,4 @@
-//! Lists and watches of kinds when connections stop responding.
+//! Tests of lists and watches on connections that stop responding.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,7 +19,7 @@
         Some(ListPage {
             items: Vec::new(),
             has_more: false,
-            at: 1,
+            revision: 1,
             unreadable: Vec::new(),
         })
     },
@@ -27,7 +27,7 @@
     read_watch: |_| {
         Some(WatchPage {
             events: Vec::new(),
-            at: 1,
+            revision: 1,
             unreadable: Vec::new(),
         })
     },
