--- a/crates/tc-caller/src/idempotency/once.rs
+++ b/crates/tc-caller/src/idempotency/once.rs
@@ -137,7 +137,7 @@
     let verdict = tokio::time::timeout(cx.remaining(), asked).await;
     match verdict.unwrap_or(ClaimVerdict::Unavailable) {
         ClaimVerdict::Held => {
-            let joined = (ports.join_claim)(keyed.key.clone(), cx.remaining());
+            let joined = (ports.wait_for_outcome)(keyed.key.clone(), cx.remaining());
             match tokio::time::timeout(cx.remaining(), joined).await {
                 // The store was lost while another run holds the claim. Told "not run", the caller could send the
                 // same thing under another key, and its effect would be doubled.
@@ -155,7 +155,7 @@
     claim_id: String,
     outcome: tc_protocol::RecordedOutcome,
 ) {
-    let recording = (cx.shared.ports.record)(key.clone(), claim_id, outcome);
+    let recording = (cx.shared.ports.record_outcome)(key.clone(), claim_id, outcome);
     let recorded = tokio::time::timeout(RECORD_TIMEOUT, recording).await;
     if !recorded.unwrap_or(false) {
         metrics::counter!("tc_outcomes_not_recorded_total").increment(1);
--- a/crates/tc-caller/src/lib.rs
+++ b/crates/tc-caller/src/lib.rs
@@ -1,6 +1,6 @@
-//! HTTP towards callers: authentication, addresses, pipelines, streams and problem details.
+//! The HTTP server for callers: authentication, addresses, pipelines, streams and problem details.
 //!
-//! Everything this crate needs from the rest of the fleet comes in through [`Ports`].
+//! All dependencies on the rest of the fleet are passed in through [`Ports`].
 
 mod connection;
 mod http;
@@ -17,8 +17,9 @@
 
 pub use idempotency::{Begin, FinalAnswer, KeyTable, KeyTableLimits};
 pub use ports::{
-    AddressesPort, AskPort, CallerSettings, CallerTimeouts, ClaimPort, CrashedPort, JoinClaimPort,
-    Ports, RanWholePort, RecordPort, SharePort, ViewPort,
+    AddressesPort, CallerSettings, CallerTimeouts, ClaimPort, Ports, RecordOutcomePort,
+    ReportCompletedPort, ReportCrashPort, RequestPermitPort, StartRequestPort, ViewPort,
+    WaitForOutcomePort,
 };
 pub use record::{StageCost, WorkspaceStats};
 pub use server::CallerServer;
--- a/crates/tc-caller/src/ports.rs
+++ b/crates/tc-caller/src/ports.rs
@@ -1,4 +1,4 @@
-//! What this crate needs from the rest of the fleet, as closures, so that tests can give small fakes.
+//! The dependencies of this crate on the rest of the fleet, as closures that tests replace with fakes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,80 +9,81 @@
     wire::AddressAnswer,
 };
 
-/// Reads the current snapshot of the fleet; must not lock.
+/// Returns the current snapshot of the fleet. Must not lock.
 pub type ViewPort = Arc<dyn Fn() -> Arc<FleetView> + Send + Sync>;
-/// Picks an upstream and asks its home for a permit; dropping the future cancels the ask.
-pub type AskPort =
+/// Picks an upstream and requests a permit from its home. Dropping the future cancels the request.
+pub type RequestPermitPort =
     Arc<dyn Fn(PermitRequest) -> BoxFuture<'static, Result<Permit, PermitRefusal>> + Send + Sync>;
-/// Starts a request under its workspace's limits, or says after how long to ask again.
-pub type SharePort =
+/// Starts a request within its workspace's limits, or returns the time after which to retry.
+pub type StartRequestPort =
     Arc<dyn Fn(&WorkspaceName) -> Result<WorkspaceLimitGuard, Duration> + Send + Sync>;
-/// Claims a key for a body hash; gives up after the duration.
+/// Claims a key for a body hash, with a timeout.
 pub type ClaimPort =
     Arc<dyn Fn(ClaimKey, u64, Duration) -> BoxFuture<'static, ClaimVerdict> + Send + Sync>;
-/// Records the outcome of a claim named by its identifier; says whether that took effect.
-pub type RecordPort =
+/// Records the outcome of the claim with the given identifier. Returns true if it was recorded.
+pub type RecordOutcomePort =
     Arc<dyn Fn(ClaimKey, String, RecordedOutcome) -> BoxFuture<'static, bool> + Send + Sync>;
-/// Waits up to the duration for the outcome of a claim held by another run.
-pub type JoinClaimPort =
+/// Waits, with a timeout, for the outcome of a claim held by another run.
+pub type WaitForOutcomePort =
     Arc<dyn Fn(ClaimKey, Duration) -> BoxFuture<'static, ClaimVerdict> + Send + Sync>;
-/// Reports that an upstream died while it ran a call; done once the report has been taken.
-pub type CrashedPort = Arc<dyn Fn(Fingerprint, UpstreamId) -> BoxFuture<'static, ()> + Send + Sync>;
-/// Reports that a call ran to its end.
-pub type RanWholePort = Arc<dyn Fn(Fingerprint) + Send + Sync>;
-/// Addresses that a workspace's callers should use.
+/// Reports that an upstream died during a call. Completes once the report has been accepted.
+pub type ReportCrashPort =
+    Arc<dyn Fn(Fingerprint, UpstreamId) -> BoxFuture<'static, ()> + Send + Sync>;
+/// Reports that a call ran to completion.
+pub type ReportCompletedPort = Arc<dyn Fn(Fingerprint) + Send + Sync>;
+/// Returns the addresses that a workspace's callers should use.
 pub type AddressesPort = Arc<dyn Fn(&WorkspaceName) -> AddressAnswer + Send + Sync>;
 
-/// Everything that comes in from the rest of the fleet.
+/// All dependencies on the rest of the fleet.
 #[derive(Clone)]
 pub struct Ports {
-    /// Snapshot of the fleet.
+    /// Reads the snapshot of the fleet.
     pub view: ViewPort,
-    /// Permits.
-    pub ask: AskPort,
-    /// Workspace limits.
-    pub share: SharePort,
-    /// Claims in the platform's store.
+    /// Requests permits.
+    pub request_permit: RequestPermitPort,
+    /// Enforces workspace limits.
+    pub start_request: StartRequestPort,
+    /// Claims idempotency keys in the platform's store.
     pub claim: ClaimPort,
-    /// Outcomes of claims.
-    pub record: RecordPort,
-    /// Claims held by others.
-    pub join_claim: JoinClaimPort,
-    /// Upstreams that died under a call; waited for before the caller is answered or the call retried, since a
-    /// resend that overtakes the report would reach one upstream more.
-    pub crashed: CrashedPort,
-    /// Calls that ran to their end.
-    pub ran_whole: RanWholePort,
-    /// Address answers.
+    /// Records outcomes of claims.
+    pub record_outcome: RecordOutcomePort,
+    /// Waits for claims held by other runs.
+    pub wait_for_outcome: WaitForOutcomePort,
+    /// Reports upstreams that died during a call. Awaited before the caller gets its response or the call is retried:
+    /// a resend that overtakes the report would reach one more upstream.
+    pub report_crash: ReportCrashPort,
+    /// Reports calls that ran to completion.
+    pub report_completed: ReportCompletedPort,
+    /// Looks up caller addresses.
     pub addresses: AddressesPort,
 }
 
-/// Settings of the caller side.
+/// Settings of the server for callers.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
     /// This instance.
     pub me: InstanceId,
-    /// This life of its process.
+    /// Incarnation of this instance's process.
     pub incarnation: Incarnation,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Largest sum of header names and values, in bytes.
+    /// Maximum total size of header names and values, in bytes.
     pub max_header_bytes: usize,
-    /// Comparison policy: no admission and no hedges.
+    /// Whether to use the comparison policy, which has no admission control and no hedges.
     pub baseline: bool,
 }
 
-/// How long callers may keep a connection or a request waiting. Each bounds what a caller that stops sending or reading
-/// can hold of this instance.
+/// Timeouts for callers. Each limits the resources of this instance that a caller can hold after it stops sending or
+/// reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerTimeouts {
-    /// From the connection to the first whole request head.
+    /// From accepting the connection to the first complete request head.
     pub first_request: Duration,
-    /// For any request head, and for the next one on an idle HTTP/1.1 connection.
+    /// For reading a request head, including the wait for the next one on an idle HTTP/1.1 connection.
     pub header_read: Duration,
-    /// For a request body; the request's own deadline counts too.
+    /// For reading a request body. The request's own deadline applies as well.
     pub body_read: Duration,
-    /// For a caller to take the next part of an answer that is ready for it.
+    /// For a caller to read the next part of a response that is ready to send.
     pub reader_stall: Duration,
 }
 
--- a/crates/tc-caller/src/run/admission.rs
+++ b/crates/tc-caller/src/run/admission.rs
@@ -12,7 +12,7 @@
 
 /// Counts the request against its workspace's limits.
 pub(crate) fn start_share(cx: &RequestContext) -> Result<(), Failure> {
-    match (cx.shared.ports.share)(&cx.workspace) {
+    match (cx.shared.ports.start_request)(&cx.workspace) {
         Ok(guard) => {
             cx.hold_share(guard);
             Ok(())
--- a/crates/tc-caller/src/run/attempt.rs
+++ b/crates/tc-caller/src/run/attempt.rs
@@ -69,7 +69,7 @@
     F: Fn(CallTarget) -> Fut,
     Fut: Future<Output = Result<T, CallError>>,
 {
-    let permit = (cx.shared.ports.ask)(ask_for(cx, plan, facts, this))
+    let permit = (cx.shared.ports.request_permit)(ask_for(cx, plan, facts, this))
         .await
         .map_err(|refusal| refused(cx, plan, this, refusal))?;
     let target = granted(cx, plan, this, &permit);
@@ -163,6 +163,6 @@
         wasted: true,
     });
     if error.outcome == Outcome::Died && error.run_state != RunState::NotRun {
-        (cx.shared.ports.crashed)(facts.fingerprint, error.upstream.clone()).await;
+        (cx.shared.ports.report_crash)(facts.fingerprint, error.upstream.clone()).await;
     }
 }
--- a/crates/tc-caller/src/run/plain.rs
+++ b/crates/tc-caller/src/run/plain.rs
@@ -92,7 +92,7 @@
             cost,
             wasted: false,
         });
-        (self.cx.shared.ports.ran_whole)(self.facts.fingerprint);
+        (self.cx.shared.ports.report_completed)(self.facts.fingerprint);
         self.cx.finish(None);
     }
 
--- a/crates/tc-caller/src/run/stage.rs
+++ b/crates/tc-caller/src/run/stage.rs
@@ -111,7 +111,7 @@
 
     /// Records the time of a whole answer and clears its input of suspicion.
     pub(crate) fn done(&self, output: String, tries: &Tries) -> StageDone {
-        (self.cx.shared.ports.ran_whole)(self.facts.fingerprint);
+        (self.cx.shared.ports.report_completed)(self.facts.fingerprint);
         let took = self.elapsed();
         self.plan.policy.record(self.plan.class, took);
         StageDone {
--- a/crates/tc-caller/tests/support/ports.rs
+++ b/crates/tc-caller/tests/support/ports.rs
@@ -84,24 +84,24 @@
         let (crashed, ran) = (me(), me());
         Ports {
             view: Arc::new(move || view.view()),
-            ask: Arc::new(move |a| {
+            request_permit: Arc::new(move |a| {
                 let fakes = ask.clone();
                 async move { fakes.ask(a).await }.boxed()
             }),
-            share: Arc::new(move |_| share.share()),
+            start_request: Arc::new(move |_| share.share()),
             claim: Arc::new(move |key, hash, _| {
                 let verdict = claim.claim(key, hash);
                 async move { verdict }.boxed()
             }),
-            record: Arc::new(move |key, id, outcome| {
+            record_outcome: Arc::new(move |key, id, outcome| {
                 let done = record.record(&key, &id, outcome);
                 async move { done }.boxed()
             }),
-            join_claim: Arc::new(move |key, wait| {
+            wait_for_outcome: Arc::new(move |key, wait| {
                 let fakes = join.clone();
                 async move { fakes.join(key, wait).await }.boxed()
             }),
-            crashed: Arc::new(move |fingerprint, upstream| {
+            report_crash: Arc::new(move |fingerprint, upstream| {
                 crashed
                     .crashed
                     .lock()
@@ -109,7 +109,9 @@
                     .push((fingerprint, upstream));
                 async {}.boxed()
             }),
-            ran_whole: Arc::new(move |fingerprint| ran.ran_whole.lock().unwrap().push(fingerprint)),
+            report_completed: Arc::new(move |fingerprint| {
+                ran.ran_whole.lock().unwrap().push(fingerprint)
+            }),
             addresses: Arc::new(|_| addresses()),
         }
     }
--- a/crates/tc-operator/src/serve/ports.rs
+++ b/crates/tc-operator/src/serve/ports.rs
@@ -8,32 +8,32 @@
 
 pub(super) fn caller(fleet: &Fleet, claims: &Claims) -> Ports {
     let view = fleet.clone();
-    let ask = fleet.clone();
-    let share = fleet.clone();
-    let crashed = fleet.clone();
-    let ran_whole = fleet.clone();
+    let permits = fleet.clone();
+    let requests = fleet.clone();
+    let crash_reports = fleet.clone();
+    let completions = fleet.clone();
     let addresses = fleet.clone();
     let claim = claims.clone();
     let record = claims.clone();
-    let join = claims.clone();
+    let outcomes = claims.clone();
     Ports {
         view: Arc::new(move || view.view()),
-        ask: Arc::new(move |request| ask.request_permit(request)),
-        share: Arc::new(move |workspace| share.start_request(workspace)),
+        request_permit: Arc::new(move |request| permits.request_permit(request)),
+        start_request: Arc::new(move |workspace| requests.start_request(workspace)),
         claim: Arc::new(move |key, body_hash, wait| {
             let claims = claim.clone();
             Box::pin(async move { claims.claim(key, body_hash, wait).await })
         }),
-        record: Arc::new(move |key, claim_id, outcome| {
+        record_outcome: Arc::new(move |key, claim_id, outcome| {
             let claims = record.clone();
             Box::pin(async move { claims.record(&key, &claim_id, outcome).await.is_ok() })
         }),
-        join_claim: Arc::new(move |key, wait| {
-            let claims = join.clone();
+        wait_for_outcome: Arc::new(move |key, wait| {
+            let claims = outcomes.clone();
             Box::pin(async move { claims.wait_recorded(&key, wait).await })
         }),
-        crashed: Arc::new(move |input, upstream| crashed.report_crash(input, upstream)),
-        ran_whole: Arc::new(move |input| ran_whole.report_completed(input)),
+        report_crash: Arc::new(move |input, upstream| crash_reports.report_crash(input, upstream)),
+        report_completed: Arc::new(move |input| completions.report_completed(input)),
         addresses: Arc::new(move |workspace| addresses.addresses(workspace)),
     }
 }
