--- a/crates/tc-caller/src/connection.rs
+++ b/crates/tc-caller/src/connection.rs
@@ -25,7 +25,8 @@
 use crate::{
     http::handle,
     limits::{
-        HTTP1_MAX_HEADERS, HTTP1_MIN_BUF_BYTES, HTTP2_KEEP_ALIVE, HTTP2_MAX_STREAMS, STALL_CHECK,
+        HTTP1_MAX_HEADERS, HTTP1_MIN_BUF_BYTES, HTTP2_KEEP_ALIVE, HTTP2_MAX_STREAMS,
+        STALL_CHECK_INTERVAL,
     },
     ports::CallerTimeouts,
     shared::Shared,
@@ -33,7 +34,7 @@
 
 /// Room beyond the allowed header bytes, so that a request somewhat too large gets a problem that says so; one larger
 /// still gets the library's bare 431.
-const HEADER_ROOM: usize = 4;
+const HEADER_LIMIT_FACTOR: usize = 4;
 
 /// What a connection is told from outside.
 pub(crate) struct Signals {
@@ -44,26 +45,26 @@
 }
 
 /// Serves one connection to its end.
-pub(crate) async fn connection(shared: Arc<Shared>, socket: TcpStream, signals: Signals) {
+pub(crate) async fn serve_connection(shared: Arc<Shared>, socket: TcpStream, signals: Signals) {
     let _ = socket.set_nodelay(true);
     let timeouts = shared.timeouts;
-    let progress = Arc::new(Progress::new());
-    let builder = builder(shared.settings.max_header_bytes, &timeouts);
+    let progress = Arc::new(ConnectionProgress::new());
+    let builder = connection_builder(shared.settings.max_header_bytes, &timeouts);
     let service = {
         let progress = progress.clone();
         service_fn(move |req: Request<Incoming>| {
-            let taken = progress.request(req.version());
+            let response = progress.start_response(req.version());
             let shared = shared.clone();
-            async move { Ok::<_, Infallible>(handle(shared, req, taken).await) }
+            async move { Ok::<_, Infallible>(handle(shared, req, response).await) }
         })
     };
     let mut served = pin!(builder.serve_connection(TokioIo::new(socket), service));
     let mut closing = pin!(signals.closing.cancelled());
     let mut stopping = pin!(signals.stop.cancelled());
-    let mut silence = pin!(sleep(timeouts.first_request));
-    let mut check = interval(STALL_CHECK);
+    let mut first_request_timeout = pin!(sleep(timeouts.first_request));
+    let mut check = interval(STALL_CHECK_INTERVAL);
     check.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let (mut announced, mut stopped, mut watched) = (false, false, true);
+    let (mut closing_sent, mut stopped, mut awaiting_request) = (false, false, true);
     loop {
         tokio::select! {
             ended = served.as_mut() => {
@@ -74,22 +75,22 @@
             }
             () = &mut stopping, if !stopped => {
                 stopped = true;
-                progress.touch();
+                progress.record_activity();
                 served.as_mut().graceful_shutdown();
             }
             // HTTP/1.1 callers are told by a header on their next answer: closing an idle connection here could meet a
             // request on its way, which its caller would see fail.
-            () = &mut closing, if !announced => {
-                announced = true;
+            () = &mut closing, if !closing_sent => {
+                closing_sent = true;
                 if progress.is_http2() {
                     served.as_mut().graceful_shutdown();
                 }
             }
             // Without this a caller that connects and sends nothing, or part of the first bytes, would hold a
             // connection for ever, seen as file descriptors running out.
-            () = &mut silence, if watched => {
-                watched = false;
-                if !progress.any_request() {
+            () = &mut first_request_timeout, if awaiting_request => {
+                awaiting_request = false;
+                if !progress.request_received() {
                     return;
                 }
             }
@@ -108,46 +109,47 @@
 /// A caller that stops reading for good would hold its answer's memory, and a planned stop would wait for it for ever,
 /// seen as an instance that does not exit. Its connection is closed once it has taken nothing of what is ready for it
 /// for the time that the settings allow. An answer that is not ready yet is never counted against its caller.
-struct Progress {
-    any_request: AtomicBool,
+struct ConnectionProgress {
+    request_received: AtomicBool,
     http2: AtomicBool,
     /// Requests whose answer has not been sent whole.
-    open: AtomicUsize,
+    open_responses: AtomicUsize,
     /// Answers of which a part was handed over for sending and the next was not asked for.
-    offered: AtomicUsize,
-    last: AtomicU64,
+    awaiting_read: AtomicUsize,
+    last_activity: AtomicU64,
 }
 
-impl Progress {
+impl ConnectionProgress {
     fn new() -> Self {
         Self {
-            any_request: AtomicBool::new(false),
+            request_received: AtomicBool::new(false),
             http2: AtomicBool::new(false),
-            open: AtomicUsize::new(0),
-            offered: AtomicUsize::new(0),
-            last: AtomicU64::new(MonoTime::now().0),
+            open_responses: AtomicUsize::new(0),
+            awaiting_read: AtomicUsize::new(0),
+            last_activity: AtomicU64::new(MonoTime::now().0),
         }
     }
 
-    fn request(self: &Arc<Self>, version: Version) -> Taken {
-        self.any_request.store(true, Ordering::Relaxed);
+    fn start_response(self: &Arc<Self>, version: Version) -> ResponseProgress {
+        self.request_received.store(true, Ordering::Relaxed);
         if version == Version::HTTP_2 {
             self.http2.store(true, Ordering::Relaxed);
         }
-        self.open.fetch_add(1, Ordering::Relaxed);
-        self.touch();
-        Taken {
+        self.open_responses.fetch_add(1, Ordering::Relaxed);
+        self.record_activity();
+        ResponseProgress {
             progress: self.clone(),
-            offered: false,
+            awaiting_read: false,
         }
     }
 
-    fn touch(&self) {
-        self.last.store(MonoTime::now().0, Ordering::Relaxed);
+    fn record_activity(&self) {
+        self.last_activity
+            .store(MonoTime::now().0, Ordering::Relaxed);
     }
 
-    fn any_request(&self) -> bool {
-        self.any_request.load(Ordering::Relaxed)
+    fn request_received(&self) -> bool {
+        self.request_received.load(Ordering::Relaxed)
     }
 
     fn is_http2(&self) -> bool {
@@ -155,63 +157,66 @@
     }
 
     fn is_stalled(&self, stopped: bool, timeouts: &CallerTimeouts) -> bool {
-        let last = MonoTime(self.last.load(Ordering::Relaxed));
-        let waits_for_caller = self.offered.load(Ordering::Relaxed) > 0
-            // All was handed over, and the connection has not ended: its last bytes are not taken.
-            || (stopped && self.open.load(Ordering::Relaxed) == 0);
-        waits_for_caller && MonoTime::now().since(last) > timeouts.reader_stall
+        let last_activity = MonoTime(self.last_activity.load(Ordering::Relaxed));
+        let waiting_for_caller = self.awaiting_read.load(Ordering::Relaxed) > 0
+            // All was handed over, and the connection has not ended: its last_activity bytes are not taken.
+            || (stopped && self.open_responses.load(Ordering::Relaxed) == 0);
+        waiting_for_caller && MonoTime::now().since(last_activity) > timeouts.reader_stall
     }
 }
 
 /// How far one answer has been taken.
-pub(crate) struct Taken {
-    progress: Arc<Progress>,
-    offered: bool,
+pub(crate) struct ResponseProgress {
+    progress: Arc<ConnectionProgress>,
+    awaiting_read: bool,
 }
 
-impl Taken {
+impl ResponseProgress {
     /// The next part was asked for; `ready` when it was there.
     pub(crate) fn polled(&mut self, ready: bool) {
-        self.progress.touch();
-        self.offer(ready);
+        self.progress.record_activity();
+        self.set_awaiting_read(ready);
     }
 
-    fn offer(&mut self, offered: bool) {
-        if self.offered == offered {
+    fn set_awaiting_read(&mut self, awaiting_read: bool) {
+        if self.awaiting_read == awaiting_read {
             return;
         }
-        self.offered = offered;
-        if offered {
-            self.progress.offered.fetch_add(1, Ordering::Relaxed);
+        self.awaiting_read = awaiting_read;
+        if awaiting_read {
+            self.progress.awaiting_read.fetch_add(1, Ordering::Relaxed);
         } else {
-            self.progress.offered.fetch_sub(1, Ordering::Relaxed);
+            self.progress.awaiting_read.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-impl Drop for Taken {
+impl Drop for ResponseProgress {
     fn drop(&mut self) {
-        self.offer(false);
-        self.progress.open.fetch_sub(1, Ordering::Relaxed);
-        self.progress.touch();
+        self.set_awaiting_read(false);
+        self.progress.open_responses.fetch_sub(1, Ordering::Relaxed);
+        self.progress.record_activity();
     }
 }
 
-fn builder(max_header_bytes: usize, timeouts: &CallerTimeouts) -> auto::Builder<TokioExecutor> {
-    let room = max_header_bytes.saturating_mul(HEADER_ROOM);
+fn connection_builder(
+    max_header_bytes: usize,
+    timeouts: &CallerTimeouts,
+) -> auto::Builder<TokioExecutor> {
+    let header_limit = max_header_bytes.saturating_mul(HEADER_LIMIT_FACTOR);
     let mut builder = auto::Builder::new(TokioExecutor::new());
     builder
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(timeouts.header_read)
         .max_headers(HTTP1_MAX_HEADERS)
-        .max_buf_size(room.max(HTTP1_MIN_BUF_BYTES));
+        .max_buf_size(header_limit.max(HTTP1_MIN_BUF_BYTES));
     builder
         .http2()
         .timer(TokioTimer::new())
         .keep_alive_interval(HTTP2_KEEP_ALIVE)
         .keep_alive_timeout(HTTP2_KEEP_ALIVE)
         .max_concurrent_streams(HTTP2_MAX_STREAMS)
-        .max_header_list_size(u32::try_from(room).unwrap_or(u32::MAX));
+        .max_header_list_size(u32::try_from(header_limit).unwrap_or(u32::MAX));
     builder
 }
--- a/crates/tc-caller/src/http/answer.rs
+++ b/crates/tc-caller/src/http/answer.rs
@@ -16,7 +16,9 @@
 use serde::Serialize;
 use tc_protocol::{ProblemKind, RequestId, wire};
 
-use crate::{connection::Taken, http::Failure, idempotency::FinalAnswer, shared::InFlight};
+use crate::{
+    connection::ResponseProgress, http::Failure, idempotency::FinalAnswer, shared::InFlight,
+};
 
 /// Error that ends a body early.
 pub(crate) type BodyError = Box<dyn std::error::Error + Send + Sync>;
@@ -27,7 +29,7 @@
 pub(crate) struct CallerBody {
     content: Content,
     in_flight: Option<InFlight>,
-    taken: Option<Taken>,
+    progress: Option<ResponseProgress>,
 }
 
 enum Content {
@@ -41,7 +43,7 @@
         Self {
             content: Content::Whole((!bytes.is_empty()).then_some(bytes)),
             in_flight: None,
-            taken: None,
+            progress: None,
         }
     }
 
@@ -49,13 +51,13 @@
         Self {
             content: Content::Stream(stream),
             in_flight: None,
-            taken: None,
+            progress: None,
         }
     }
 
-    pub(crate) fn hold(&mut self, in_flight: InFlight, taken: Taken) {
+    pub(crate) fn hold(&mut self, in_flight: InFlight, progress: ResponseProgress) {
         self.in_flight = Some(in_flight);
-        self.taken = Some(taken);
+        self.progress = Some(progress);
     }
 }
 
@@ -73,8 +75,8 @@
                 .poll_next_unpin(cx)
                 .map(|next| next.map(|chunk| chunk.map(Frame::data))),
         };
-        if let Some(taken) = &mut self.taken {
-            taken.polled(frame.is_ready());
+        if let Some(progress) = &mut self.progress {
+            progress.polled(frame.is_ready());
         }
         frame
     }
@@ -104,7 +106,7 @@
 }
 
 /// The answer that tells a failure.
-pub(crate) fn problem_answer(failure: &Failure, id: &RequestId) -> FinalAnswer {
+pub(crate) fn problem_response(failure: &Failure, id: &RequestId) -> FinalAnswer {
     let problem = failure.problem(id);
     let mut headers = HeaderMap::new();
     headers.insert(
--- a/crates/tc-caller/src/http/auth.rs
+++ b/crates/tc-caller/src/http/auth.rs
@@ -45,22 +45,22 @@
         config: &Arc<FleetConfig>,
         headers: &HeaderMap,
     ) -> Result<WorkspaceName, Failure> {
-        let refused = |detail: &str| Failure::not_run(ProblemKind::Unauthorized, detail);
+        let unauthorized = |detail: &str| Failure::not_run(ProblemKind::Unauthorized, detail);
         let value = headers
             .get(AUTHORIZATION)
-            .ok_or_else(|| refused("no Authorization header; send Bearer and the token"))?;
+            .ok_or_else(|| unauthorized("no Authorization header; send Bearer and the token"))?;
         let token = value
             .to_str()
             .ok()
             .and_then(|text| text.split_once(' '))
             .filter(|(scheme, _)| scheme.eq_ignore_ascii_case("bearer"))
             .map(|(_, token)| token.trim())
-            .ok_or_else(|| refused("Authorization must be Bearer and the token"))?;
-        self.lookup(config, &hash_of(token))
-            .ok_or_else(|| refused("no workspace has this token"))
+            .ok_or_else(|| unauthorized("Authorization must be Bearer and the token"))?;
+        self.find_workspace(config, &hash_token(token))
+            .ok_or_else(|| unauthorized("no workspace has this token"))
     }
 
-    fn lookup(&self, config: &Arc<FleetConfig>, hash: &str) -> Option<WorkspaceName> {
+    fn find_workspace(&self, config: &Arc<FleetConfig>, hash: &str) -> Option<WorkspaceName> {
         if !Arc::ptr_eq(&self.current.load().config, config) {
             self.current.store(Arc::new(Index::of(config.clone())));
         }
@@ -70,7 +70,7 @@
     }
 }
 
-fn hash_of(token: &str) -> String {
+fn hash_token(token: &str) -> String {
     let digest = Sha256::digest(token.as_bytes());
     digest.iter().fold(String::with_capacity(64), |mut hex, b| {
         let _ = write!(hex, "{b:02x}");
--- a/crates/tc-caller/src/http/body.rs
+++ b/crates/tc-caller/src/http/body.rs
@@ -10,14 +10,14 @@
 
 use crate::{
     http::Failure,
-    limits::{DRAIN_BYTES, DRAIN_TIMEOUT},
+    limits::{DRAIN_TIMEOUT, MAX_DRAIN_BYTES},
 };
 
-/// Reads a body whole, up to `max` bytes and within `wait`.
+/// Reads a body whole, up to `max` bytes and within `timeout`.
 ///
 /// Without the time limit a caller that sends one byte a minute would hold memory and a request slot for hours, seen as
 /// requests in flight that never end.
-pub(crate) async fn read_body<B>(body: B, max: usize, wait: Duration) -> Result<Bytes, Failure>
+pub(crate) async fn read_body<B>(body: B, max: usize, timeout: Duration) -> Result<Bytes, Failure>
 where
     B: Body,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -25,7 +25,7 @@
     if body.size_hint().lower() > max as u64 {
         return Err(too_large(max));
     }
-    match tokio::time::timeout(wait, Limited::new(body, max).collect()).await {
+    match tokio::time::timeout(timeout, Limited::new(body, max).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(too_large(max)),
         Ok(Err(e)) => Err(Failure::bad(format!("the body did not arrive whole: {e}"))),
@@ -40,7 +40,7 @@
 /// that gets broken connections in place of clear refusals.
 pub(crate) async fn drain(mut body: Incoming) {
     let all = async {
-        let mut left = DRAIN_BYTES;
+        let mut left = MAX_DRAIN_BYTES;
         while let Some(Ok(frame)) = body.frame().await {
             let bytes = frame.data_ref().map_or(0, Bytes::len);
             match left.checked_sub(bytes) {
--- a/crates/tc-caller/src/http/caller.rs
+++ b/crates/tc-caller/src/http/caller.rs
@@ -57,10 +57,10 @@
         })
     }
 
-    /// The deadline: the caller's, unless `longest` is less.
-    pub(crate) fn deadline(&self, longest: Duration) -> Deadline {
-        let wanted = self.headers.timeout.unwrap_or(MAX_TIMEOUT);
-        Deadline::from_budget(self.arrival.at, wanted.min(longest))
+    /// The deadline: the caller's, unless `max` is less.
+    pub(crate) fn deadline(&self, max: Duration) -> Deadline {
+        let requested = self.headers.timeout.unwrap_or(MAX_TIMEOUT);
+        Deadline::from_budget(self.arrival.at, requested.min(max))
     }
 
     /// The priority: the caller's or else `default`, never more urgent than its workspace may ask for.
@@ -86,7 +86,7 @@
             deadline,
             priority: self.priority(priority),
             key: self.headers.key.clone(),
-            received_trace: trace::received(self.headers.traceparent.as_deref()),
+            caller_trace: trace::from_caller(self.headers.traceparent.as_deref()),
             view: self.view.clone(),
         };
         RequestContext::new(shared.clone(), request)
--- a/crates/tc-caller/src/http/handle.rs
+++ b/crates/tc-caller/src/http/handle.rs
@@ -12,14 +12,14 @@
 use tracing::Instrument;
 
 use crate::{
-    connection::Taken,
+    connection::ResponseProgress,
     http::{
         CallerResponse, Failure,
         addresses::addresses,
         body::drain,
         caller::{Arrival, Caller},
         pipelines::call_pipeline,
-        problem_answer,
+        problem_response,
         route::{Route, route},
         services::call_service,
     },
@@ -29,10 +29,10 @@
 pub(crate) async fn handle(
     shared: Arc<Shared>,
     req: Request<Incoming>,
-    taken: Taken,
+    progress: ResponseProgress,
 ) -> CallerResponse {
     let (id, counter) = shared.next_request_id();
-    let in_flight = shared.enter();
+    let in_flight = shared.track_request();
     let version = req.version();
     let span = tracing::info_span!("request", request = %id);
     if let Some(Ok(parent)) = req
@@ -47,27 +47,27 @@
         counter,
         at: MonoTime::now(),
     };
-    let answer = answer(&shared, arrival, req).instrument(span).await;
-    let mut response = answer.unwrap_or_else(|failure| {
+    let result = respond(&shared, arrival, req).instrument(span).await;
+    let mut response = result.unwrap_or_else(|failure| {
         metrics::counter!("tc_failures_total", "kind" => failure.kind.as_str()).increment(1);
-        problem_answer(&failure, &id).into_response()
+        problem_response(&failure, &id).into_response()
     });
     finish_headers(response.headers_mut(), &shared, &id, version);
-    response.body_mut().hold(in_flight, taken);
+    response.body_mut().hold(in_flight, progress);
     response
 }
 
 fn finish_headers(headers: &mut HeaderMap, shared: &Shared, id: &RequestId, version: Version) {
     // An answer passed through from another instance has its own.
-    fill(headers, wire::REQUEST_ID, id.as_str());
-    fill(headers, wire::INSTANCE, shared.settings.me.as_str());
+    insert_if_absent(headers, wire::REQUEST_ID, id.as_str());
+    insert_if_absent(headers, wire::INSTANCE, shared.settings.me.as_str());
     if shared.is_closing() && version <= Version::HTTP_11 {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
 }
 
 /// Sets a header that is not there yet.
-fn fill(headers: &mut HeaderMap, name: &'static str, value: &str) {
+fn insert_if_absent(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Entry::Vacant(vacant) = headers.entry(name)
         && let Ok(value) = HeaderValue::from_str(value)
     {
@@ -75,15 +75,15 @@
     }
 }
 
-async fn answer(
+async fn respond(
     shared: &Arc<Shared>,
     arrival: Arrival,
     req: Request<Incoming>,
 ) -> Result<CallerResponse, Failure> {
     let (parts, mut body) = req.into_parts();
-    let answer = dispatch(shared, arrival, parts, &mut body).await;
+    let result = dispatch(shared, arrival, parts, &mut body).await;
     drain(body).await;
-    answer
+    result
 }
 
 async fn dispatch(
--- a/crates/tc-caller/src/http/keyed.rs
+++ b/crates/tc-caller/src/http/keyed.rs
@@ -22,17 +22,17 @@
 }
 
 /// Where a delivery is handled.
-pub(crate) enum Placed {
-    Here(Keyed),
-    Answered(CallerResponse),
+pub(crate) enum Routed {
+    Local(Keyed),
+    Forwarded(CallerResponse),
 }
 
 /// Checks the key, and passes the delivery on when its key is bound to another instance.
-pub(crate) async fn place(
+pub(crate) async fn route_delivery(
     shared: &Arc<Shared>,
     caller: &Caller,
     delivery: Delivery,
-) -> Result<Placed, Failure> {
+) -> Result<Routed, Failure> {
     let key = caller.headers.key.clone().ok_or_else(|| {
         Failure::not_run(
             ProblemKind::KeyRequired,
@@ -43,19 +43,19 @@
         let place = place_of(&caller.view, binding, caller.headers.forwarded)?;
         if let Place::At(address) = place {
             let remaining = delivery.deadline.remaining(MonoTime::now());
-            let onward = onward(caller, delivery.body, remaining);
+            let onward = forwarded_request(caller, delivery.body, remaining);
             let forwarded = shared
                 .forwarder
                 .forward(&shared.settings.me, address, onward);
             // Whatever the connection's error proves of this delivery, an earlier one may have arrived there.
-            return forwarded.await.map(Placed::Answered).map_err(|error| {
+            return forwarded.await.map(Routed::Forwarded).map_err(|error| {
                 let instance = binding.instance.as_str();
                 log::warn!(instance = instance, error = error.to_string().as_str(); "key not forwarded");
                 unknown(&binding.instance)
             });
         }
     }
-    Ok(Placed::Here(Keyed {
+    Ok(Routed::Local(Keyed {
         body_hash: body_hash(caller, &delivery.body),
         key: ClaimKey {
             workspace: caller.workspace.clone(),
@@ -67,7 +67,7 @@
 }
 
 /// The request as it is passed on to another instance.
-pub(crate) fn onward(caller: &Caller, body: Bytes, remaining: Duration) -> Onward {
+pub(crate) fn forwarded_request(caller: &Caller, body: Bytes, remaining: Duration) -> Onward {
     Onward {
         method: caller.parts.method.clone(),
         uri: caller.parts.uri.clone(),
@@ -78,7 +78,7 @@
 }
 
 /// The answer of a delivery, wherever its run was started.
-pub(crate) async fn answer(
+pub(crate) async fn respond(
     cx: &RequestContext,
     begun: Result<Once, Failure>,
 ) -> Result<CallerResponse, Failure> {
--- a/crates/tc-caller/src/http/mod.rs
+++ b/crates/tc-caller/src/http/mod.rs
@@ -13,7 +13,7 @@
 mod route;
 mod services;
 
-pub(crate) use answer::{CallerBody, CallerResponse, json_response, problem_answer};
+pub(crate) use answer::{CallerBody, CallerResponse, json_response, problem_response};
 pub(crate) use auth::TokenIndex;
 pub(crate) use failure::Failure;
 pub(crate) use handle::handle;
--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -16,10 +16,10 @@
         caller::Caller,
         json_response,
         keyed::{self, Delivery},
-        problem_answer,
+        problem_response,
     },
     idempotency::{FinalAnswer, Once, once, wait_for},
-    run::{PipelineAnswer, PipelineWork, RequestContext, run_pipeline},
+    run::{PipelineCall, PipelineResponse, RequestContext, run_pipeline},
     shared::Shared,
     streams::{self, Opening, StreamLog},
 };
@@ -38,7 +38,7 @@
     name: PipelineName,
     body: &mut Incoming,
 ) -> Result<CallerResponse, Failure> {
-    let pipeline = find(&caller, &name)?;
+    let pipeline = find_pipeline(&caller, &name)?;
     let deadline = caller.deadline(Duration::from_millis(pipeline.deadline_ms));
     let remaining = deadline.remaining(MonoTime::now());
     let wait = remaining.min(shared.timeouts.body_read);
@@ -46,30 +46,30 @@
     if let Some(from) = &caller.headers.resume {
         return resume(shared, &caller, from, body, remaining).await;
     }
-    let request = parse(&body)?;
-    let work = PipelineWork {
+    let request = parse_request(&body)?;
+    let call = PipelineCall {
         input: request.input,
         max_tokens: request.max_tokens,
         pipeline,
     };
-    if !work.is_idempotent(&caller.view.config) {
+    if !call.is_idempotent(&caller.view.config) {
         let delivery = Delivery {
             target: format!("pipeline/{name}"),
             body,
             deadline,
         };
-        return call_once(shared, &caller, name, delivery, work).await;
+        return call_with_key(shared, &caller, name, delivery, call).await;
     }
-    let cx = caller.context(shared, Some(name), deadline, work.pipeline.priority);
+    let cx = caller.context(shared, Some(name), deadline, call.pipeline.priority);
     if caller.headers.wants_stream {
-        return streams::start(cx, work).await;
+        return streams::start(cx, call).await;
     }
-    let result = run_pipeline(&cx, &work, None).await;
+    let result = run_pipeline(&cx, &call, None).await;
     cx.finish(result.as_ref().err());
     result.map(|answer| json_response(&answer))
 }
 
-fn find(caller: &Caller, name: &PipelineName) -> Result<Pipeline, Failure> {
+fn find_pipeline(caller: &Caller, name: &PipelineName) -> Result<Pipeline, Failure> {
     let config = &caller.view.config;
     let pipeline = config
         .pipelines
@@ -85,7 +85,7 @@
     Ok(pipeline.clone())
 }
 
-fn parse(body: &[u8]) -> Result<PipelineRequest, Failure> {
+fn parse_request(body: &[u8]) -> Result<PipelineRequest, Failure> {
     let request: PipelineRequest = serde_json::from_slice(body)
         .map_err(|e| Failure::bad(format!("the body is not a pipeline request: {e}")))?;
     if request.max_tokens == Some(0) {
@@ -117,7 +117,7 @@
         .filter(|_| !caller.headers.forwarded)
         .map(|member| member.caller_address)
         .ok_or_else(streams::gone)?;
-    let onward = keyed::onward(caller, body, remaining);
+    let onward = keyed::forwarded_request(caller, body, remaining);
     let forwarded = shared
         .forwarder
         .forward(&shared.settings.me, address, onward)
@@ -129,53 +129,53 @@
 }
 
 /// Runs a pipeline with a stage that may not be repeated.
-async fn call_once(
+async fn call_with_key(
     shared: &Arc<Shared>,
     caller: &Caller,
     name: PipelineName,
     delivery: Delivery,
-    work: PipelineWork,
+    call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let deadline = delivery.deadline;
-    let keyed = match keyed::place(shared, caller, delivery).await? {
-        keyed::Placed::Here(keyed) => keyed,
-        keyed::Placed::Answered(response) => return Ok(response),
+    let keyed = match keyed::route_delivery(shared, caller, delivery).await? {
+        keyed::Routed::Local(keyed) => keyed,
+        keyed::Routed::Forwarded(response) => return Ok(response),
     };
-    let cx = caller.context(shared, Some(name), deadline, work.pipeline.priority);
+    let cx = caller.context(shared, Some(name), deadline, call.pipeline.priority);
     if caller.headers.wants_stream {
-        return stream_once(cx, keyed, work).await;
+        return stream_with_key(cx, keyed, call).await;
     }
     let run = {
         let cx = cx.clone();
-        move || async move { whole_answer(&cx, &work).await }.boxed()
+        move || async move { complete_answer(&cx, &call).await }.boxed()
     };
     let begun = once(&cx, keyed, run);
-    keyed::answer(&cx, begun).await
+    keyed::respond(&cx, begun).await
 }
 
-async fn whole_answer(cx: &Arc<RequestContext>, work: &PipelineWork) -> FinalAnswer {
-    let result = run_pipeline(cx, work, None).await;
+async fn complete_answer(cx: &Arc<RequestContext>, call: &PipelineCall) -> FinalAnswer {
+    let result = run_pipeline(cx, call, None).await;
     cx.finish(result.as_ref().err());
     match result {
         Ok(answer) => {
             let body = serde_json::to_vec(&answer).unwrap_or_default();
             final_answer(cx, "application/json", body.into())
         }
-        Err(failure) => problem_answer(&failure, &cx.id),
+        Err(failure) => problem_response(&failure, &cx.id),
     }
 }
 
 /// Streams the run to the delivery that started it; others get its answer whole.
-async fn stream_once(
+async fn stream_with_key(
     cx: Arc<RequestContext>,
     keyed: crate::idempotency::Keyed,
-    work: PipelineWork,
+    call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let log = Arc::new(StreamLog::new());
     let response = streams::stream_response(&log, 0, &cx.id)?;
     let run = {
         let (cx, log) = (cx.clone(), log.clone());
-        move || async move { streamed_answer(&cx, &work, &log).await }.boxed()
+        move || async move { stream_answer(&cx, &call, &log).await }.boxed()
     };
     match once(&cx, keyed, run) {
         Ok(Once::First(answer)) => tokio::select! {
@@ -187,23 +187,23 @@
             // The claim was refused, so that the stream never began.
             answer = wait_for(&cx, answer) => Ok(answer?.to_response(&cx.id)),
         },
-        begun => keyed::answer(&cx, begun).await,
+        begun => keyed::respond(&cx, begun).await,
     }
 }
 
-async fn streamed_answer(
+async fn stream_answer(
     cx: &Arc<RequestContext>,
-    work: &PipelineWork,
+    call: &PipelineCall,
     log: &Arc<StreamLog>,
 ) -> FinalAnswer {
-    match streams::run_into(cx, work, log).await {
-        Ok(answer) => final_answer(cx, "text/event-stream", events_of(&answer)),
-        Err(failure) => problem_answer(&failure, &cx.id),
+    match streams::run_into(cx, call, log).await {
+        Ok(answer) => final_answer(cx, "text/event-stream", to_events(&answer)),
+        Err(failure) => problem_response(&failure, &cx.id),
     }
 }
 
 /// The whole stream of an answer, its text in one event.
-fn events_of(answer: &PipelineAnswer) -> Bytes {
+fn to_events(answer: &PipelineResponse) -> Bytes {
     let parts = [
         streams::text_event(1, &answer.output),
         streams::done_event(answer),
--- a/crates/tc-caller/src/http/route.rs
+++ b/crates/tc-caller/src/http/route.rs
@@ -24,13 +24,14 @@
     let unknown = || Failure::not_run(ProblemKind::NotFound, format!("no path {}", uri.path()));
     let path = uri.path().strip_prefix("/v1/").ok_or_else(unknown)?;
     if path == "instances" {
-        return only(method, &Method::GET, "GET").map(|()| Route::Addresses);
+        return require_method(method, &Method::GET, "GET").map(|()| Route::Addresses);
     }
     if let Some(pipeline) = path.strip_prefix("pipelines/") {
         if pipeline.is_empty() || pipeline.contains('/') {
             return Err(unknown());
         }
-        return only(method, &Method::POST, "POST").map(|()| Route::Pipeline(pipeline.into()));
+        return require_method(method, &Method::POST, "POST")
+            .map(|()| Route::Pipeline(pipeline.into()));
     }
     let rest = path.strip_prefix("services/").ok_or_else(unknown)?;
     let (service, inner) = rest.split_once('/').unwrap_or((rest, ""));
@@ -47,8 +48,8 @@
     })
 }
 
-fn only(method: &Method, fits: &Method, allow: &'static str) -> Result<(), Failure> {
-    if method == fits {
+fn require_method(method: &Method, required: &Method, allow: &'static str) -> Result<(), Failure> {
+    if method == required {
         return Ok(());
     }
     let detail = format!("method {method} does not fit this path");
--- a/crates/tc-caller/src/http/services.rs
+++ b/crates/tc-caller/src/http/services.rs
@@ -14,11 +14,11 @@
         body::read_body,
         caller::Caller,
         keyed::{self, Delivery},
-        problem_answer,
+        problem_response,
     },
     idempotency::{FinalAnswer, once},
-    limits::{MAX_KEPT_ANSWER_BYTES, PLAIN_PRIORITY, PLAIN_TIMEOUT},
-    run::{AnswerBody, PlainAnswer, PlainRequest, RequestContext, run_plain},
+    limits::{DEFAULT_PLAIN_PRIORITY, DEFAULT_PLAIN_TIMEOUT, MAX_BUFFERED_RESPONSE_BYTES},
+    run::{PlainRequest, PlainServiceBody, PlainServiceResponse, RequestContext, run_plain},
     shared::Shared,
 };
 
@@ -29,33 +29,33 @@
     path: &str,
     body: &mut Incoming,
 ) -> Result<CallerResponse, Failure> {
-    let service = find(&caller, &name)?;
-    let deadline = caller.deadline(longest(&caller));
+    let service = find_service(&caller, &name)?;
+    let deadline = caller.deadline(max_duration(&caller));
     let remaining = deadline.remaining(MonoTime::now());
     let wait = remaining.min(shared.timeouts.body_read);
     let body = read_body(body, shared.settings.max_body_bytes, wait).await?;
-    let request = request(&caller, &service, name, path, body.clone())?;
+    let request = plain_request(&caller, &service, name, path, body.clone())?;
     if !request.idempotent {
         let delivery = Delivery {
             target: format!("service/{}{path}", request.service),
             body,
             deadline,
         };
-        let keyed = match keyed::place(shared, &caller, delivery).await? {
-            keyed::Placed::Here(keyed) => keyed,
-            keyed::Placed::Answered(response) => return Ok(response),
+        let keyed = match keyed::route_delivery(shared, &caller, delivery).await? {
+            keyed::Routed::Local(keyed) => keyed,
+            keyed::Routed::Forwarded(response) => return Ok(response),
         };
-        let cx = caller.context(shared, None, deadline, PLAIN_PRIORITY);
+        let cx = caller.context(shared, None, deadline, DEFAULT_PLAIN_PRIORITY);
         let run = {
             let cx = cx.clone();
-            move || async move { whole_answer(&cx, &request, &service).await }.boxed()
+            move || async move { complete_answer(&cx, &request, &service).await }.boxed()
         };
         let begun = once(&cx, keyed, run);
-        return keyed::answer(&cx, begun).await;
+        return keyed::respond(&cx, begun).await;
     }
-    let cx = caller.context(shared, None, deadline, PLAIN_PRIORITY);
+    let cx = caller.context(shared, None, deadline, DEFAULT_PLAIN_PRIORITY);
     match run_plain(&cx, &request, &service).await {
-        Ok(answer) => Ok(streamed(answer)),
+        Ok(answer) => Ok(stream_response(answer)),
         Err(failure) => {
             cx.finish(Some(&failure));
             Err(failure)
@@ -64,11 +64,11 @@
 }
 
 /// Longest time a call may take; a caller may ask for more than the default.
-fn longest(caller: &Caller) -> std::time::Duration {
-    caller.headers.timeout.unwrap_or(PLAIN_TIMEOUT)
+fn max_duration(caller: &Caller) -> std::time::Duration {
+    caller.headers.timeout.unwrap_or(DEFAULT_PLAIN_TIMEOUT)
 }
 
-fn find(caller: &Caller, name: &ServiceName) -> Result<Service, Failure> {
+fn find_service(caller: &Caller, name: &ServiceName) -> Result<Service, Failure> {
     let known = caller.view.config.services.get(name);
     known
         .filter(|service| service.kind == ServiceKind::Plain)
@@ -76,7 +76,7 @@
         .ok_or_else(|| Failure::not_run(ProblemKind::NotFound, format!("no plain service {name}")))
 }
 
-fn request(
+fn plain_request(
     caller: &Caller,
     service: &Service,
     name: ServiceName,
@@ -97,12 +97,12 @@
 }
 
 /// Passes the answer on as it comes.
-fn streamed(answer: PlainAnswer) -> CallerResponse {
+fn stream_response(answer: PlainServiceResponse) -> CallerResponse {
     let chunks = stream::unfold(Some(answer.body), |body| async move {
         let mut body = body?;
         match body.next().await? {
             Ok(chunk) => Some((Ok(chunk), Some(body))),
-            // The connection is broken off, so that the caller can't take the part for the whole.
+            // The connection is broken off, so that the caller can't take the part for the bytes.
             Err(failure) => Some((Err(failure.into()), None)),
         }
     });
@@ -112,8 +112,8 @@
     response
 }
 
-/// The answer as a whole, so that other deliveries of the key get the same.
-async fn whole_answer(
+/// The answer as a bytes, so that other deliveries of the key get the same.
+async fn complete_answer(
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
     service: &Service,
@@ -123,10 +123,13 @@
         Err(failure) => Err(failure),
     };
     cx.finish(collected.as_ref().err());
-    collected.unwrap_or_else(|failure| problem_answer(&failure, &cx.id))
+    collected.unwrap_or_else(|failure| problem_response(&failure, &cx.id))
 }
 
-async fn collect(cx: &RequestContext, answer: PlainAnswer) -> Result<FinalAnswer, Failure> {
+async fn collect(
+    cx: &RequestContext,
+    answer: PlainServiceResponse,
+) -> Result<FinalAnswer, Failure> {
     let body = collect_body(cx, answer.body).await?;
     Ok(FinalAnswer {
         status: answer.status,
@@ -136,17 +139,17 @@
     })
 }
 
-async fn collect_body(cx: &RequestContext, mut body: AnswerBody) -> Result<Bytes, Failure> {
-    let mut whole = BytesMut::new();
+async fn collect_body(cx: &RequestContext, mut body: PlainServiceBody) -> Result<Bytes, Failure> {
+    let mut bytes = BytesMut::new();
     while let Some(chunk) = body.next().await {
-        whole.extend_from_slice(&chunk?);
-        if whole.len() > MAX_KEPT_ANSWER_BYTES {
-            cx.note_run_state(RunState::Ran);
+        bytes.extend_from_slice(&chunk?);
+        if bytes.len() > MAX_BUFFERED_RESPONSE_BYTES {
+            cx.record_run_state(RunState::Ran);
             return Err(cx.failure(
                 ProblemKind::UpstreamFailed,
                 "the answer is larger than may be kept for a request that must not be repeated",
             ));
         }
     }
-    Ok(whole.freeze())
+    Ok(bytes.freeze())
 }
--- a/crates/tc-caller/src/idempotency/answer.rs
+++ b/crates/tc-caller/src/idempotency/answer.rs
@@ -5,7 +5,7 @@
 use tc_protocol::{ProblemKind, RecordedOutcome, RequestId, RunState};
 
 use crate::{
-    http::{CallerBody, CallerResponse, Failure, problem_answer},
+    http::{CallerBody, CallerResponse, Failure, problem_response},
     limits::MAX_RECORDED_BYTES,
 };
 
@@ -98,7 +98,7 @@
                     self.status
                 ),
             );
-            return problem_answer(&failure, id).into_response();
+            return problem_response(&failure, id).into_response();
         };
         let mut response = Response::new(CallerBody::whole(body.clone()));
         *response.status_mut() = self.status;
--- a/crates/tc-caller/src/idempotency/once.rs
+++ b/crates/tc-caller/src/idempotency/once.rs
@@ -8,7 +8,7 @@
 use tracing::Instrument;
 
 use crate::{
-    http::{Failure, problem_answer},
+    http::{Failure, problem_response},
     idempotency::{Begin, FinalAnswer},
     limits::{RECORD_TIMEOUT, RETRY_AFTER},
     run::RequestContext,
@@ -56,7 +56,7 @@
         .with_retry_after(RETRY_AFTER)),
     };
     how.map(|(once, how)| {
-        cx.note(Decision::Claimed { how: how.into() });
+        cx.record(Decision::Claimed { how: how.into() });
         once
     })
 }
@@ -78,7 +78,7 @@
     R: FnOnce() -> BoxFuture<'static, FinalAnswer> + Send + 'static,
 {
     let shared = cx.shared.clone();
-    let in_flight = shared.enter();
+    let in_flight = shared.track_request();
     let to_its_end = async move {
         let _in_flight = in_flight;
         let running = Running::new(&cx, &keyed.key);
@@ -111,7 +111,7 @@
 
 async fn claim(cx: &RequestContext, keyed: &Keyed) -> Claimed {
     let verdict = ask_store(cx, keyed).await;
-    cx.note(Decision::Claimed {
+    cx.record(Decision::Claimed {
         how: words(&verdict).into(),
     });
     metrics::counter!("tc_claims_total", "verdict" => label(&verdict)).increment(1);
@@ -194,7 +194,7 @@
     /// store again: the run that holds the claim may have ended by then.
     fn give_up(mut self, failure: &Failure) {
         self.ended = true;
-        let answer = Arc::new(problem_answer(failure, &self.id));
+        let answer = Arc::new(problem_response(failure, &self.id));
         lock(&self.shared).give_up(&self.key, &answer);
     }
 
@@ -208,7 +208,7 @@
 impl Drop for Running {
     fn drop(&mut self) {
         if !self.ended {
-            self.end(problem_answer(&outcome_unknown(), &self.id));
+            self.end(problem_response(&outcome_unknown(), &self.id));
         }
     }
 }
--- a/crates/tc-caller/src/policy_state.rs
+++ b/crates/tc-caller/src/policy_state.rs
@@ -25,7 +25,7 @@
     name: ServiceName,
     estimators: Arc<Mutex<Estimators>>,
     /// Times to a stream's first item.
-    first_items: Arc<Mutex<Estimators>>,
+    first_item_estimators: Arc<Mutex<Estimators>>,
     hedges: Mutex<ExtraCallBudget>,
     retries: Mutex<ExtraCallBudget>,
     hedge_ratio: f64,
@@ -40,20 +40,20 @@
     }
 
     /// The service's state; its budgets start afresh when the configuration changes their ratios.
-    pub(crate) fn of(&self, service: &ServiceName, policy: &Policy) -> Arc<ServicePolicy> {
+    pub(crate) fn get(&self, service: &ServiceName, policy: &Policy) -> Arc<ServicePolicy> {
         if let Some(known) = self.services.load().get(service)
-            && known.fits(policy)
+            && known.has_ratios_of(policy)
         {
             return known.clone();
         }
         self.services.rcu(|current| {
             let mut next = HashMap::clone(current);
             let known = next.get(service).cloned();
-            if !known.as_ref().is_some_and(|k| k.fits(policy)) {
+            if !known.as_ref().is_some_and(|k| k.has_ratios_of(policy)) {
                 let mut fresh = ServicePolicy::new(service.clone(), policy);
                 if let Some(known) = known {
                     fresh.estimators = known.estimators.clone();
-                    fresh.first_items = known.first_items.clone();
+                    fresh.first_item_estimators = known.first_item_estimators.clone();
                 }
                 next.insert(service.clone(), Arc::new(fresh));
             }
@@ -68,7 +68,7 @@
         Self {
             name,
             estimators: Arc::default(),
-            first_items: Arc::default(),
+            first_item_estimators: Arc::default(),
             hedges: Mutex::new(ExtraCallBudget::new(policy.hedge_ratio, BUDGET_BURST)),
             retries: Mutex::new(ExtraCallBudget::new(policy.retry_ratio, BUDGET_BURST)),
             hedge_ratio: policy.hedge_ratio,
@@ -76,17 +76,17 @@
         }
     }
 
-    fn fits(&self, policy: &Policy) -> bool {
+    fn has_ratios_of(&self, policy: &Policy) -> bool {
         let same = |a: f64, b: f64| a.to_bits() == b.to_bits();
         same(self.hedge_ratio, policy.hedge_ratio) && same(self.retry_ratio, policy.retry_ratio)
     }
 
     pub(crate) fn estimate(&self, class: SizeClass, quantile: f64) -> StageEstimate {
-        self.lookup(&self.estimators, class, quantile)
+        self.stage_estimate(&self.estimators, class, quantile)
     }
 
     pub(crate) fn estimate_first_item(&self, class: SizeClass) -> StageEstimate {
-        self.lookup(&self.first_items, class, MEDIAN)
+        self.stage_estimate(&self.first_item_estimators, class, MEDIAN)
     }
 
     pub(crate) fn record(&self, class: SizeClass, took: Duration) {
@@ -94,25 +94,30 @@
     }
 
     pub(crate) fn record_first_item(&self, class: SizeClass, took: Duration) {
-        lock(&self.first_items).record(MonoTime::now(), &self.name, class, took);
+        lock(&self.first_item_estimators).record(MonoTime::now(), &self.name, class, took);
     }
 
-    fn lookup(&self, from: &Mutex<Estimators>, class: SizeClass, quantile: f64) -> StageEstimate {
+    fn stage_estimate(
+        &self,
+        from: &Mutex<Estimators>,
+        class: SizeClass,
+        quantile: f64,
+    ) -> StageEstimate {
         let mut estimators = lock(from);
         estimators.advance(MonoTime::now());
         estimators.stage(&self.name, class, quantile)
     }
 
-    pub(crate) fn note_call(&self) {
+    pub(crate) fn record_call(&self) {
         lock(&self.hedges).record_call();
         lock(&self.retries).record_call();
     }
 
-    pub(crate) fn spend_hedge(&self) -> bool {
+    pub(crate) fn try_spend_hedge(&self) -> bool {
         lock(&self.hedges).try_spend()
     }
 
-    pub(crate) fn spend_retry(&self) -> bool {
+    pub(crate) fn try_spend_retry(&self) -> bool {
         lock(&self.retries).try_spend()
     }
 }
--- a/crates/tc-caller/src/record/explain.rs
+++ b/crates/tc-caller/src/record/explain.rs
@@ -5,7 +5,7 @@
 use arc_swap::ArcSwapOption;
 use tc_protocol::{Decision, Explanation, MonoTime, PipelineName, RequestId, Step, WorkspaceName};
 
-use crate::limits::{EXPLANATIONS, STEPS_PER_REQUEST};
+use crate::limits::{MAX_EXPLANATIONS, MAX_STEPS_PER_REQUEST};
 
 /// Decisions of one request, readable while it runs.
 pub(crate) struct RequestTrace {
@@ -36,7 +36,7 @@
     pub(crate) fn add(&self, decision: Decision) {
         let at_ms = MonoTime::now().since(self.arrived).as_secs_f64() * 1e3;
         let mut steps = self.steps.lock().unwrap_or_else(PoisonError::into_inner);
-        if steps.len() < STEPS_PER_REQUEST {
+        if steps.len() < MAX_STEPS_PER_REQUEST {
             steps.push(Step { at_ms, decision });
         }
     }
@@ -63,20 +63,22 @@
 impl ExplanationRing {
     pub(crate) fn new() -> Self {
         Self {
-            slots: (0..EXPLANATIONS).map(|_| ArcSwapOption::empty()).collect(),
+            slots: (0..MAX_EXPLANATIONS)
+                .map(|_| ArcSwapOption::empty())
+                .collect(),
         }
     }
 
     /// Keeps a request in place of the one that came a whole ring earlier.
     pub(crate) fn keep(&self, counter: u64, trace: Arc<RequestTrace>) {
-        let slot = (counter % EXPLANATIONS as u64) as usize;
+        let slot = (counter % MAX_EXPLANATIONS as u64) as usize;
         self.slots[slot].store(Some(trace));
     }
 
     pub(crate) fn explain(&self, id: &RequestId) -> Option<Explanation> {
         let (_, counter) = id.as_str().rsplit_once('-')?;
         let counter = u64::from_str_radix(counter, 16).ok()?;
-        let slot = (counter % EXPLANATIONS as u64) as usize;
+        let slot = (counter % MAX_EXPLANATIONS as u64) as usize;
         let trace = self.slots[slot].load();
         let trace = trace.as_ref().filter(|t| t.request == *id)?;
         Some(trace.explanation())
--- a/crates/tc-caller/src/record/stats.rs
+++ b/crates/tc-caller/src/record/stats.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use tc_protocol::{Cost, PipelineName, StageName, WorkspaceName};
 
-use crate::limits::LABELLED_WORKSPACES;
+use crate::limits::MAX_LABELLED_WORKSPACES;
 
 /// Significant digits of the time histograms.
 const HISTOGRAM_DIGITS: u8 = 2;
@@ -186,7 +186,7 @@
         }
         self.workspaces.rcu(|current| {
             let mut next = HashMap::clone(current);
-            let label = if next.len() < LABELLED_WORKSPACES {
+            let label = if next.len() < MAX_LABELLED_WORKSPACES {
                 SharedString::from(workspace.as_str().to_owned())
             } else {
                 SharedString::const_str("other")
--- a/crates/tc-caller/src/run/admission.rs
+++ b/crates/tc-caller/src/run/admission.rs
@@ -11,10 +11,10 @@
 };
 
 /// Counts the request against its workspace's limits.
-pub(crate) fn start_share(cx: &RequestContext) -> Result<(), Failure> {
+pub(crate) fn start_request(cx: &RequestContext) -> Result<(), Failure> {
     match (cx.shared.ports.start_request)(&cx.workspace) {
         Ok(guard) => {
-            cx.hold_share(guard);
+            cx.set_limit_guard(guard);
             Ok(())
         }
         Err(after) => Err(cx
@@ -39,7 +39,7 @@
             .with_retry_after(after)
         })?
     };
-    cx.note(Decision::Admitted {
+    cx.record(Decision::Admitted {
         budget_ms: remaining.as_millis() as u64,
         estimate_ms: estimate.as_secs_f64() * 1e3,
     });
--- a/crates/tc-caller/src/run/attempt.rs
+++ b/crates/tc-caller/src/run/attempt.rs
@@ -10,14 +10,14 @@
 
 use crate::run::{
     context::RequestContext,
-    hold::{CallEnd, PermitHold},
-    plan::{InputFacts, StagePlan},
+    permit_guard::{CallEnd, PermitGuard},
+    plan::{InputProperties, StagePlan},
 };
 
 /// The attempt that every stage begins with.
 const FIRST_ATTEMPT: Attempt = Attempt(0);
 
-/// Where a granted attempt goes.
+/// Where a record_grant attempt goes.
 #[derive(Clone)]
 pub(crate) struct CallTarget {
     pub(crate) upstream: UpstreamId,
@@ -27,19 +27,19 @@
 }
 
 /// An attempt that brought a result; its permit is still held.
-pub(crate) struct Won<T> {
+pub(crate) struct AttemptSuccess<T> {
     pub(crate) value: T,
-    pub(crate) hold: PermitHold,
+    pub(crate) permit_guard: PermitGuard,
     pub(crate) target: CallTarget,
 }
 
 /// An attempt that brought none.
-pub(crate) enum Lost {
+pub(crate) enum AttemptFailure {
     Refused(PermitRefusal),
     Call(CallError),
 }
 
-impl Lost {
+impl AttemptFailure {
     pub(crate) fn run_state(&self) -> RunState {
         match self {
             Self::Refused(_) => RunState::NotRun,
@@ -49,61 +49,67 @@
 }
 
 /// One try of a stage, and what the others of the same stage need to know of it.
-pub(crate) struct Try {
+pub(crate) struct AttemptState {
     pub(crate) attempt: Attempt,
-    pub(crate) avoid: Vec<UpstreamId>,
+    pub(crate) excluded: Vec<UpstreamId>,
     /// Longest wait for a permit.
     pub(crate) slack: Duration,
-    /// Set once a permit was granted and the call is about to be sent.
+    /// Set once a permit was record_grant and the call is about to be sent.
     pub(crate) sent_to: OnceLock<UpstreamId>,
 }
 
-pub(crate) async fn attempt<T, F, Fut>(
+pub(crate) async fn run_attempt<T, F, Fut>(
     cx: &Arc<RequestContext>,
     plan: &StagePlan,
-    facts: &InputFacts,
-    this: &Try,
+    input_properties: &InputProperties,
+    state: &AttemptState,
     call: &F,
-) -> Result<Won<T>, Lost>
+) -> Result<AttemptSuccess<T>, AttemptFailure>
 where
     F: Fn(CallTarget) -> Fut,
     Fut: Future<Output = Result<T, CallError>>,
 {
-    let permit = (cx.shared.ports.request_permit)(ask_for(cx, plan, facts, this))
-        .await
-        .map_err(|refusal| refused(cx, plan, this, refusal))?;
-    let target = granted(cx, plan, this, &permit);
+    let permit =
+        (cx.shared.ports.request_permit)(permit_request(cx, plan, input_properties, state))
+            .await
+            .map_err(|refusal| record_refusal(cx, plan, state, refusal))?;
+    let target = record_grant(cx, plan, state, &permit);
     if target.remaining.is_zero() {
         // The grant came after the deadline: dropping the permit gives it back as unused.
-        return Err(Lost::Refused(PermitRefusal {
+        return Err(AttemptFailure::Refused(PermitRefusal {
             reason: RefusalReason::TooLate,
             retry_after: Duration::ZERO,
         }));
     }
-    if this.attempt == FIRST_ATTEMPT {
+    if state.attempt == FIRST_ATTEMPT {
         // Extra calls earn no further ones.
-        plan.policy.note_call();
+        plan.policy.record_call();
     }
-    let hold = PermitHold::new(cx.clone(), plan.stage.clone(), this.attempt, permit);
-    let _ = this.sent_to.set(target.upstream.clone());
+    let permit_guard = PermitGuard::new(cx.clone(), plan.stage.clone(), state.attempt, permit);
+    let _ = state.sent_to.set(target.upstream.clone());
     match call(target.clone()).await {
-        Ok(value) => Ok(Won {
+        Ok(value) => Ok(AttemptSuccess {
             value,
-            hold,
+            permit_guard,
             target,
         }),
         Err(error) => {
-            fail(cx, facts, hold, &error).await;
-            Err(Lost::Call(error))
+            settle_failed(cx, input_properties, permit_guard, &error).await;
+            Err(AttemptFailure::Call(error))
         }
     }
 }
 
-fn granted(cx: &RequestContext, plan: &StagePlan, this: &Try, permit: &Permit) -> CallTarget {
+fn record_grant(
+    cx: &RequestContext,
+    plan: &StagePlan,
+    state: &AttemptState,
+    permit: &Permit,
+) -> CallTarget {
     let grant = permit.grant();
-    cx.note(Decision::Granted {
+    cx.record(Decision::Granted {
         stage: plan.stage.clone(),
-        attempt: this.attempt,
+        attempt: state.attempt,
         upstream: grant.upstream.clone(),
         why: permit.selection_reason().to_owned(),
         waited_ms: grant.waited.as_secs_f64() * 1e3,
@@ -111,34 +117,44 @@
     CallTarget {
         upstream: grant.upstream.clone(),
         address: grant.address,
-        attempt: this.attempt,
+        attempt: state.attempt,
         remaining: cx.remaining(),
     }
 }
 
-fn ask_for(cx: &RequestContext, plan: &StagePlan, facts: &InputFacts, this: &Try) -> PermitRequest {
+fn permit_request(
+    cx: &RequestContext,
+    plan: &StagePlan,
+    input_properties: &InputProperties,
+    state: &AttemptState,
+) -> PermitRequest {
     PermitRequest {
         request: cx.id.clone(),
-        attempt: this.attempt,
+        attempt: state.attempt,
         workspace: cx.workspace.clone(),
         service: plan.service.clone(),
         priority: cx.priority,
-        slack: this.slack,
+        slack: state.slack,
         run_for: cx.remaining(),
-        estimate: facts.estimate,
-        prefix: facts.prefix,
-        fingerprint: facts.fingerprint,
-        excluded: this.avoid.clone(),
+        estimate: input_properties.estimate,
+        prefix: input_properties.prefix,
+        fingerprint: input_properties.fingerprint,
+        excluded: state.excluded.clone(),
     }
 }
 
-fn refused(cx: &RequestContext, plan: &StagePlan, this: &Try, refusal: PermitRefusal) -> Lost {
-    cx.note(Decision::PermitRefused {
+fn record_refusal(
+    cx: &RequestContext,
+    plan: &StagePlan,
+    state: &AttemptState,
+    refusal: PermitRefusal,
+) -> AttemptFailure {
+    cx.record(Decision::PermitRefused {
         stage: plan.stage.clone(),
-        attempt: this.attempt,
+        attempt: state.attempt,
         reason: refusal.reason,
     });
-    Lost::Refused(refusal)
+    AttemptFailure::Refused(refusal)
 }
 
 /// Settles a failed call, and waits until a suspected crash has been reported.
@@ -146,23 +162,23 @@
 /// An input that crashes upstreams is quarantined from these reports. Were the caller answered first, its resend could
 /// overtake the report and take down one upstream more, seen as a service that loses upstreams one after the other. A
 /// call that was provably not sent can't have been the cause and is not reported.
-pub(crate) async fn fail(
+pub(crate) async fn settle_failed(
     cx: &RequestContext,
-    facts: &InputFacts,
-    hold: PermitHold,
+    input_properties: &InputProperties,
+    permit_guard: PermitGuard,
     error: &CallError,
 ) {
     if error.kind == CallErrorKind::WrongIdentity {
         metrics::counter!("tc_late_results_total").increment(1);
     }
-    let cost = hold.time_cost();
-    hold.settle(&CallEnd {
+    let cost = permit_guard.time_cost();
+    permit_guard.settle(&CallEnd {
         outcome: error.outcome,
         run_state: error.run_state,
         cost,
         wasted: true,
     });
     if error.outcome == Outcome::Died && error.run_state != RunState::NotRun {
-        (cx.shared.ports.report_crash)(facts.fingerprint, error.upstream.clone()).await;
+        (cx.shared.ports.report_crash)(input_properties.fingerprint, error.upstream.clone()).await;
     }
 }
--- a/crates/tc-caller/src/run/context.rs
+++ b/crates/tc-caller/src/run/context.rs
@@ -31,7 +31,7 @@
     pub(crate) deadline: Deadline,
     pub(crate) priority: u8,
     pub(crate) key: Option<Arc<str>>,
-    pub(crate) received_trace: TraceContext,
+    pub(crate) caller_trace: TraceContext,
     pub(crate) view: Arc<FleetView>,
 }
 
@@ -41,11 +41,11 @@
 pub(crate) struct RequestContext {
     pub(crate) shared: Arc<Shared>,
     accepted: AcceptedRequest,
-    steps: Arc<RequestTrace>,
-    record: Arc<WorkspaceRecord>,
+    trace: Arc<RequestTrace>,
+    workspace_record: Arc<WorkspaceRecord>,
     run_state: AtomicU8,
     cost: Mutex<Cost>,
-    share: Mutex<Option<WorkspaceLimitGuard>>,
+    limit_guard: Mutex<Option<WorkspaceLimitGuard>>,
     finished: AtomicBool,
 }
 
@@ -59,21 +59,21 @@
 
 impl RequestContext {
     pub(crate) fn new(shared: Arc<Shared>, accepted: AcceptedRequest) -> Arc<Self> {
-        let steps = Arc::new(RequestTrace::new(
+        let trace = Arc::new(RequestTrace::new(
             accepted.id.clone(),
             accepted.workspace.clone(),
             accepted.pipeline.clone(),
             accepted.arrived,
         ));
-        shared.explanations.keep(accepted.counter, steps.clone());
+        shared.explanations.keep(accepted.counter, trace.clone());
         Arc::new(Self {
-            record: shared.stats.of(&accepted.workspace),
+            workspace_record: shared.stats.of(&accepted.workspace),
             shared,
             accepted,
-            steps,
+            trace,
             run_state: AtomicU8::new(RunState::NotRun as u8),
             cost: Mutex::new(Cost::default()),
-            share: Mutex::new(None),
+            limit_guard: Mutex::new(None),
             finished: AtomicBool::new(false),
         })
     }
@@ -82,21 +82,21 @@
         self.deadline.remaining(MonoTime::now())
     }
 
-    pub(crate) fn note(&self, decision: Decision) {
-        self.steps.add(decision);
+    pub(crate) fn record(&self, decision: Decision) {
+        self.trace.add(decision);
     }
 
     /// Takes into account what is known of one dispatched attempt.
-    pub(crate) fn note_run_state(&self, state: RunState) {
+    pub(crate) fn record_run_state(&self, state: RunState) {
         self.run_state.fetch_max(state as u8, Ordering::Relaxed);
     }
 
     /// What is known of the whole request.
     pub(crate) fn run_state(&self) -> RunState {
-        let seen = self.run_state.load(Ordering::Relaxed);
+        let highest = self.run_state.load(Ordering::Relaxed);
         [RunState::Ran, RunState::Unknown]
             .into_iter()
-            .find(|state| *state as u8 == seen)
+            .find(|state| *state as u8 == highest)
             .unwrap_or(RunState::NotRun)
     }
 
@@ -105,25 +105,25 @@
         Failure::new(kind, self.run_state(), detail)
     }
 
-    pub(crate) fn past_deadline(&self) -> Failure {
+    pub(crate) fn deadline_exceeded(&self) -> Failure {
         self.failure(
             ProblemKind::DeadlineExceeded,
             "the deadline passed before the request was answered",
         )
     }
 
-    pub(crate) fn hold_share(&self, guard: WorkspaceLimitGuard) {
-        *lock(&self.share) = Some(guard);
+    pub(crate) fn set_limit_guard(&self, guard: WorkspaceLimitGuard) {
+        *lock(&self.limit_guard) = Some(guard);
     }
 
     /// Adds the cost of one call of `stage`; `wasted` when its result was not used.
-    pub(crate) fn spend(&self, stage: &StageName, cost: &Cost, wasted: bool) {
+    pub(crate) fn add_cost(&self, stage: &StageName, cost: &Cost, wasted: bool) {
         let key = (self.pipeline.clone(), stage.clone());
-        self.record.spent(&key, cost, wasted);
-        let mut sum = lock(&self.cost);
-        sum.tokens_in = sum.tokens_in.saturating_add(cost.tokens_in);
-        sum.tokens_out = sum.tokens_out.saturating_add(cost.tokens_out);
-        sum.busy_ms += cost.busy_ms;
+        self.workspace_record.spent(&key, cost, wasted);
+        let mut total = lock(&self.cost);
+        total.tokens_in = total.tokens_in.saturating_add(cost.tokens_in);
+        total.tokens_out = total.tokens_out.saturating_add(cost.tokens_out);
+        total.busy_ms += cost.busy_ms;
     }
 
     pub(crate) fn cost(&self) -> Cost {
@@ -155,8 +155,8 @@
         if self.finished.swap(true, Ordering::Relaxed) {
             return;
         }
-        self.note(decision);
-        self.record
+        self.record(decision);
+        self.workspace_record
             .ended(ending, MonoTime::now().since(self.arrived));
     }
 }
@@ -165,8 +165,8 @@
     fn drop(&mut self) {
         self.end(Ending::CallerLeft, Decision::CallerLeft);
         let units = self.cost().units();
-        if let Some(mut share) = lock(&self.share).take() {
-            share.charge(units);
+        if let Some(mut guard) = lock(&self.limit_guard).take() {
+            guard.charge(units);
         }
     }
 }
--- a/crates/tc-caller/src/run/dispatch.rs
+++ b/crates/tc-caller/src/run/dispatch.rs
@@ -18,9 +18,9 @@
     http::Failure,
     limits::RETRY_AFTER,
     run::{
-        attempt::{CallTarget, Lost, Try, Won, attempt},
+        attempt::{AttemptFailure, AttemptState, AttemptSuccess, CallTarget, run_attempt},
         context::RequestContext,
-        plan::{InputFacts, StagePlan},
+        plan::{InputProperties, StagePlan},
     },
 };
 
@@ -28,7 +28,7 @@
 pub(crate) struct Dispatch<'a> {
     pub(crate) cx: &'a Arc<RequestContext>,
     pub(crate) plan: &'a StagePlan,
-    pub(crate) facts: &'a InputFacts,
+    pub(crate) input_properties: &'a InputProperties,
     /// Estimates of this stage and those after it.
     pub(crate) rest: &'a [StageEstimate],
     /// Time until a call brings what is waited for here: the whole result or a stream's first item.
@@ -37,72 +37,94 @@
 
 /// What the stage's attempts came to so far.
 #[derive(Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     pub(crate) count: u32,
-    avoid: Vec<UpstreamId>,
+    excluded: Vec<UpstreamId>,
 }
 
 impl Dispatch<'_> {
     /// Runs `call` on one upstream after the other until one brings a result, within the service's budgets.
-    pub(crate) async fn run<T, F, Fut>(&self, tries: &mut Tries, call: F) -> Result<Won<T>, Failure>
+    pub(crate) async fn run<T, F, Fut>(
+        &self,
+        attempts: &mut Attempts,
+        call: F,
+    ) -> Result<AttemptSuccess<T>, Failure>
     where
         F: Fn(CallTarget) -> Fut,
         Fut: Future<Output = Result<T, CallError>>,
     {
-        let mut failed: Option<Lost> = None;
+        let mut failed_call: Option<AttemptFailure> = None;
         loop {
-            let lost = match self.race(tries, &call).await {
-                Ok(won) => return Ok(won),
-                Err(lost) => lost,
+            let failure = match self.attempt_with_hedge(attempts, &call).await {
+                Ok(success) => return Ok(success),
+                Err(failure) => failure,
             };
-            let Some(delay) = self.retry_after(&lost, tries) else {
-                // A refusal for want of another upstream is no news beside the call that failed before it.
-                return Err(self.give_up(failed.as_ref().unwrap_or(&lost)));
+            let Some(delay) = self.retry_delay(&failure, attempts) else {
+                // A refusal for want of another upstream is no news beside the call that failed_call before it.
+                return Err(self.to_failure(failed_call.as_ref().unwrap_or(&failure)));
             };
             metrics::counter!("tc_retries_total", "service" => self.service()).increment(1);
-            self.cx.note(Decision::Retried {
+            self.cx.record(Decision::Retried {
                 stage: self.plan.stage.clone(),
-                after: describe(&lost),
+                after: failure_text(&failure),
             });
-            failed = matches!(lost, Lost::Call(_)).then_some(lost).or(failed);
+            failed_call = matches!(failure, AttemptFailure::Call(_))
+                .then_some(failure)
+                .or(failed_call);
             tokio::time::sleep(delay).await;
         }
     }
 
     /// One attempt, and a hedge beside it once it is slow.
-    async fn race<T, F, Fut>(&self, tries: &mut Tries, call: &F) -> Result<Won<T>, Lost>
+    async fn attempt_with_hedge<T, F, Fut>(
+        &self,
+        attempts: &mut Attempts,
+        call: &F,
+    ) -> Result<AttemptSuccess<T>, AttemptFailure>
     where
         F: Fn(CallTarget) -> Fut,
         Fut: Future<Output = Result<T, CallError>>,
     {
-        let first = self.next_try(tries);
-        let mut primary = Box::pin(attempt(self.cx, self.plan, self.facts, &first, call));
+        let first = self.next_attempt(attempts);
+        let mut primary = Box::pin(run_attempt(
+            self.cx,
+            self.plan,
+            self.input_properties,
+            &first,
+            call,
+        ));
         let settled = match self.hedge_delay() {
-            Some(delay) => self.until_slow(&mut primary, &first, delay).await,
+            Some(delay) => self.wait_until_hedge(&mut primary, &first, delay).await,
             None => Some(primary.as_mut().await),
         };
         let result = if let Some(result) = settled {
             result
         } else {
-            let hedge = self.next_try_beside(tries, &first);
-            let second = Box::pin(attempt(self.cx, self.plan, self.facts, &hedge, call));
-            let result = first_whole(primary, second).await;
-            tries.avoid.extend(hedge.sent_to.get().cloned());
+            let hedge = self.next_hedge(attempts, &first);
+            let second = Box::pin(run_attempt(
+                self.cx,
+                self.plan,
+                self.input_properties,
+                &hedge,
+                call,
+            ));
+            let result = first_success(primary, second).await;
+            attempts.excluded.extend(hedge.sent_to.get().cloned());
             result
         };
-        tries.avoid.extend(first.sent_to.get().cloned());
+        attempts.excluded.extend(first.sent_to.get().cloned());
         result
     }
 
     /// Waits for the first attempt; `None` once a hedge should start beside it.
-    async fn until_slow<T, P>(
+    async fn wait_until_hedge<T, P>(
         &self,
         primary: &mut P,
-        first: &Try,
+        first: &AttemptState,
         delay: Duration,
-    ) -> Option<Result<Won<T>, Lost>>
+    ) -> Option<Result<AttemptSuccess<T>, AttemptFailure>>
     where
-        P: Future<Output = Result<Won<T>, Lost>> + Unpin,
+        P: Future<Output = Result<AttemptSuccess<T>, AttemptFailure>> + Unpin,
     {
         loop {
             tokio::select! {
@@ -114,11 +136,11 @@
             if first.sent_to.get().is_none() {
                 continue;
             }
-            if !self.plan.policy.spend_hedge() {
+            if !self.plan.policy.try_spend_hedge() {
                 return Some(primary.await);
             }
             metrics::counter!("tc_hedges_total", "service" => self.service()).increment(1);
-            self.cx.note(Decision::Hedged {
+            self.cx.record(Decision::Hedged {
                 stage: self.plan.stage.clone(),
                 after_ms: delay.as_secs_f64() * 1e3,
             });
@@ -133,20 +155,20 @@
         hedge_after(self.until_result, self.cx.remaining())
     }
 
-    fn next_try(&self, tries: &mut Tries) -> Try {
-        let attempt = Attempt(tries.count);
-        tries.count += 1;
-        Try {
+    fn next_attempt(&self, attempts: &mut Attempts) -> AttemptState {
+        let attempt = Attempt(attempts.count);
+        attempts.count += 1;
+        AttemptState {
             attempt,
-            avoid: tries.avoid.clone(),
+            excluded: attempts.excluded.clone(),
             slack: self.slack(),
             sent_to: OnceLock::new(),
         }
     }
 
-    fn next_try_beside(&self, tries: &mut Tries, first: &Try) -> Try {
-        let mut hedge = self.next_try(tries);
-        hedge.avoid.extend(first.sent_to.get().cloned());
+    fn next_hedge(&self, attempts: &mut Attempts, first: &AttemptState) -> AttemptState {
+        let mut hedge = self.next_attempt(attempts);
+        hedge.excluded.extend(first.sent_to.get().cloned());
         hedge
     }
 
@@ -162,28 +184,35 @@
     /// When to try again, or `None` when the stage must not or cannot be tried again.
     ///
     /// A call that is not idempotent is dispatched again only if the one before was provably not sent.
-    fn retry_after(&self, lost: &Lost, tries: &Tries) -> Option<Duration> {
-        let may_repeat = self.plan.idempotent || lost.run_state() == RunState::NotRun;
-        if !may_repeat || !may_help(lost) {
+    fn retry_delay(&self, failure: &AttemptFailure, attempts: &Attempts) -> Option<Duration> {
+        let may_repeat = self.plan.idempotent || failure.run_state() == RunState::NotRun;
+        if !may_repeat || !is_retryable(failure) {
             return None;
         }
         let remaining = self.cx.remaining();
-        let delay = retry_delay(tries.count, remaining, &self.plan.timing, &mut rand::rng())?;
-        (delay < remaining && self.plan.policy.spend_retry()).then_some(delay)
+        let delay = retry_delay(
+            attempts.count,
+            remaining,
+            &self.plan.timing,
+            &mut rand::rng(),
+        )?;
+        (delay < remaining && self.plan.policy.try_spend_retry()).then_some(delay)
     }
 
-    fn give_up(&self, lost: &Lost) -> Failure {
+    fn to_failure(&self, failure: &AttemptFailure) -> Failure {
         let stage = &self.plan.stage;
-        match lost {
-            Lost::Refused(refusal) => {
-                let kind = self.kind_of(refusal.reason);
-                let detail = format!("stage {stage}: {}", words(refusal.reason));
+        match failure {
+            AttemptFailure::Refused(refusal) => {
+                let kind = self.problem_kind(refusal.reason);
+                let detail = format!("stage {stage}: {}", refusal_text(refusal.reason));
                 self.cx
                     .failure(kind, detail)
                     .with_retry_after(refusal.retry_after)
             }
-            Lost::Call(error) if error.kind == CallErrorKind::TimedOut => self.cx.past_deadline(),
-            Lost::Call(error) => {
+            AttemptFailure::Call(error) if error.kind == CallErrorKind::TimedOut => {
+                self.cx.deadline_exceeded()
+            }
+            AttemptFailure::Call(error) => {
                 let detail = format!("stage {stage}: {error}");
                 let failure = self.cx.failure(ProblemKind::UpstreamFailed, detail);
                 match error.kind {
@@ -195,7 +224,7 @@
         }
     }
 
-    fn kind_of(&self, reason: RefusalReason) -> ProblemKind {
+    fn problem_kind(&self, reason: RefusalReason) -> ProblemKind {
         match reason {
             RefusalReason::TooLate if self.cx.run_state() == RunState::NotRun => {
                 ProblemKind::CannotFinish
@@ -215,27 +244,31 @@
 }
 
 /// The first whole result of two attempts; the other is cancelled by dropping it.
-async fn first_whole<T, A, B>(primary: A, hedge: B) -> Result<Won<T>, Lost>
+async fn first_success<T, A, B>(primary: A, hedge: B) -> Result<AttemptSuccess<T>, AttemptFailure>
 where
-    A: Future<Output = Result<Won<T>, Lost>> + Unpin,
-    B: Future<Output = Result<Won<T>, Lost>> + Unpin,
+    A: Future<Output = Result<AttemptSuccess<T>, AttemptFailure>> + Unpin,
+    B: Future<Output = Result<AttemptSuccess<T>, AttemptFailure>> + Unpin,
 {
     match select(primary, hedge).await {
-        Either::Left((Ok(won), other)) => {
-            drop_late(other);
-            Ok(won)
+        Either::Left((Ok(success), other)) => {
+            drop_loser(other);
+            Ok(success)
         }
-        Either::Right((Ok(won), other)) => {
-            drop_late(other);
-            Ok(won)
+        Either::Right((Ok(success), other)) => {
+            drop_loser(other);
+            Ok(success)
         }
-        Either::Left((Err(lost), other)) => other.await.map_err(|second| worse(lost, second)),
-        Either::Right((Err(lost), other)) => other.await.map_err(|first| worse(first, lost)),
+        Either::Left((Err(failure), other)) => other
+            .await
+            .map_err(|second| more_informative(failure, second)),
+        Either::Right((Err(failure), other)) => other
+            .await
+            .map_err(|first| more_informative(first, failure)),
     }
 }
 
 /// Drops the losing attempt; one that had its result ready as well is counted.
-fn drop_late<T>(loser: impl Future<Output = Result<Won<T>, Lost>>) {
+fn drop_loser<T>(loser: impl Future<Output = Result<AttemptSuccess<T>, AttemptFailure>>) {
     if let Some(Ok(_late)) = loser.now_or_never() {
         metrics::counter!("tc_late_results_total").increment(1);
     }
@@ -243,10 +276,10 @@
 
 /// Whether another try could end better. Refusals are final, so that the caller hears of them at once; only a home
 /// that could not be reached may have been replaced a moment later.
-fn may_help(lost: &Lost) -> bool {
-    match lost {
-        Lost::Refused(refusal) => refusal.reason == RefusalReason::HomeUnreachable,
-        Lost::Call(error) => !matches!(
+fn is_retryable(failure: &AttemptFailure) -> bool {
+    match failure {
+        AttemptFailure::Refused(refusal) => refusal.reason == RefusalReason::HomeUnreachable,
+        AttemptFailure::Call(error) => !matches!(
             error.kind,
             CallErrorKind::Rejected(_) | CallErrorKind::TooLarge | CallErrorKind::TimedOut
         ),
@@ -254,22 +287,22 @@
 }
 
 /// Of two failures the one that says more: a call that may have run goes before one that did not.
-fn worse(first: Lost, second: Lost) -> Lost {
+fn more_informative(first: AttemptFailure, second: AttemptFailure) -> AttemptFailure {
     match (&first, &second) {
-        (Lost::Refused(_), Lost::Call(_)) => second,
+        (AttemptFailure::Refused(_), AttemptFailure::Call(_)) => second,
         _ if second.run_state() > first.run_state() => second,
         _ => first,
     }
 }
 
-fn describe(lost: &Lost) -> String {
-    match lost {
-        Lost::Refused(refusal) => words(refusal.reason).to_owned(),
-        Lost::Call(error) => error.to_string(),
+fn failure_text(failure: &AttemptFailure) -> String {
+    match failure {
+        AttemptFailure::Refused(refusal) => refusal_text(refusal.reason).to_owned(),
+        AttemptFailure::Call(error) => error.to_string(),
     }
 }
 
-const fn words(reason: RefusalReason) -> &'static str {
+const fn refusal_text(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::TooLate => "it could not have started in time",
         RefusalReason::QueueFull => "the workspace's queue is full",
--- a/crates/tc-caller/src/run/generation.rs
+++ b/crates/tc-caller/src/run/generation.rs
@@ -9,20 +9,20 @@
 
 use crate::{
     http::Failure,
-    limits::MAX_FRUITLESS_RESUMES,
+    limits::MAX_RESUMES_WITHOUT_EVENT,
     run::{
-        attempt::{CallTarget, fail},
+        attempt::{CallTarget, settle_failed},
         context::RequestContext,
-        dispatch::Tries,
-        hold::{CallEnd, PermitHold},
-        plan::{InputFacts, StagePlan},
-        stage::{StageDone, StageRun, run_stage, stage_call},
+        dispatch::Attempts,
+        permit_guard::{CallEnd, PermitGuard},
+        plan::{InputProperties, StagePlan},
+        stage::{StageOutput, StageRun, run_stage, stage_call},
     },
     streams::StreamLog,
 };
 
 /// A stream whose first item has come. Until then it may be hedged and retried, since the caller has seen nothing.
-struct Opened {
+struct OpenedStream {
     stream: EngineStream,
     first: StreamItem,
 }
@@ -34,7 +34,7 @@
     input: &Arc<str>,
     rest: &[StageEstimate],
     log: &StreamLog,
-) -> Result<StageDone, Failure> {
+) -> Result<StageOutput, Failure> {
     if plan.kind != ServiceKind::Engine {
         let done = run_stage(cx, plan, input, rest).await?;
         log.push_text(&done.output).await;
@@ -52,50 +52,52 @@
     input: &Arc<str>,
     rest: &[StageEstimate],
     log: &StreamLog,
-) -> Result<StageDone, Failure> {
+) -> Result<StageOutput, Failure> {
     let run = StageRun::start(cx, plan, input);
     let first_item = plan.policy.estimate_first_item(plan.class);
-    let mut tries = Tries::default();
-    let mut won = run
+    let mut attempts = Attempts::default();
+    let mut success = run
         .dispatch(rest, &first_item)
-        .run(&mut tries, |target| open(cx, plan, input, target))
+        .run(&mut attempts, |target| open_stream(cx, plan, input, target))
         .await?;
-    let waited = won.hold.elapsed();
-    won.hold.first_byte_after(waited);
+    let waited = success.permit_guard.elapsed();
+    success.permit_guard.record_first_byte(waited);
     plan.policy.record_first_item(plan.class, run.elapsed());
     let generation = Generation {
         cx,
         plan,
         input,
         log,
-        facts: &run.facts,
-        target: won.target,
+        input_properties: &run.input_properties,
+        target: success.target,
         output: String::new(),
         last_event_id: 0,
-        fruitless_resumes: 0,
+        resumes_without_event: 0,
     };
-    let output = generation.follow(won.value, won.hold).await?;
-    Ok(run.done(output, &tries))
+    let output = generation
+        .forward(success.value, success.permit_guard)
+        .await?;
+    Ok(run.done(output, &attempts))
 }
 
-async fn open(
+async fn open_stream(
     cx: &RequestContext,
     plan: &StagePlan,
     input: &Arc<str>,
     target: CallTarget,
-) -> Result<Opened, CallError> {
+) -> Result<OpenedStream, CallError> {
     let call = stage_call(cx, plan, input, &target);
     let mut stream = cx.shared.upstream.open_stream(call, 0).await?;
     match stream.next().await {
-        Some(first) => Ok(Opened {
+        Some(first) => Ok(OpenedStream {
             stream,
             first: first?,
         }),
-        None => Err(ended_early(&target)),
+        None => Err(missing_last_event(&target)),
     }
 }
 
-fn ended_early(target: &CallTarget) -> CallError {
+fn missing_last_event(target: &CallTarget) -> CallError {
     CallError {
         kind: CallErrorKind::Broken,
         run_state: RunState::Unknown,
@@ -111,28 +113,32 @@
     plan: &'a StagePlan,
     input: &'a Arc<str>,
     log: &'a StreamLog,
-    facts: &'a InputFacts,
+    input_properties: &'a InputProperties,
     target: CallTarget,
     output: String,
     last_event_id: u64,
     /// Resumes since the last event arrived.
-    fruitless_resumes: u32,
+    resumes_without_event: u32,
 }
 
 impl Generation<'_> {
-    /// Passes items on until the stream is whole; a broken one is resumed at the same engine.
+    /// Passes items on until the stream is whole; a failure one is resumed at the same engine.
     ///
     /// It is never begun again elsewhere: another engine may generate other text, and the caller would get a mix of
     /// two answers without any sign of it.
-    async fn follow(mut self, opened: Opened, hold: PermitHold) -> Result<String, Failure> {
+    async fn forward(
+        mut self,
+        opened: OpenedStream,
+        permit_guard: PermitGuard,
+    ) -> Result<String, Failure> {
         let mut stream = opened.stream;
         let mut item = Ok(opened.first);
         loop {
             match item {
-                Ok(StreamItem::Event { id, text }) => self.pass_on(id, &text).await,
+                Ok(StreamItem::Event { id, text }) => self.forward_event(id, &text).await,
                 Ok(StreamItem::Done { usage }) => {
-                    let cost = self.cost(usage, &hold);
-                    hold.settle(&CallEnd {
+                    let cost = self.cost(usage, &permit_guard);
+                    permit_guard.settle(&CallEnd {
                         outcome: Outcome::Answered,
                         run_state: RunState::Ran,
                         cost,
@@ -143,21 +149,21 @@
                 Err(error) => match self.resume(error).await {
                     Ok(resumed) => stream = resumed,
                     Err(error) => {
-                        fail(self.cx, self.facts, hold, &error).await;
-                        return Err(self.broken(&error));
+                        settle_failed(self.cx, self.input_properties, permit_guard, &error).await;
+                        return Err(self.failure(&error));
                     }
                 },
             }
             item = match stream.next().await {
                 Some(next) => next,
-                None => Err(ended_early(&self.target)),
+                None => Err(missing_last_event(&self.target)),
             };
         }
     }
 
-    async fn pass_on(&mut self, id: u64, text: &str) {
+    async fn forward_event(&mut self, id: u64, text: &str) {
         self.last_event_id = id;
-        self.fruitless_resumes = 0;
+        self.resumes_without_event = 0;
         self.output.push_str(text);
         if !text.is_empty() {
             self.log.push_text(text).await;
@@ -166,12 +172,14 @@
 
     /// Opens the stream again after the last event that arrived; gives `error` back when that is of no use.
     async fn resume(&mut self, error: CallError) -> Result<EngineStream, CallError> {
-        if error.kind != CallErrorKind::Broken || self.fruitless_resumes == MAX_FRUITLESS_RESUMES {
+        if error.kind != CallErrorKind::Broken
+            || self.resumes_without_event == MAX_RESUMES_WITHOUT_EVENT
+        {
             return Err(error);
         }
-        self.fruitless_resumes += 1;
+        self.resumes_without_event += 1;
         self.target.remaining = self.cx.remaining();
-        self.cx.note(Decision::Resumed {
+        self.cx.record(Decision::Resumed {
             stage: self.plan.stage.clone(),
             last_event_id: self.last_event_id,
         });
@@ -187,24 +195,24 @@
         resumed.map_err(|_| error)
     }
 
-    fn cost(&self, usage: Option<Usage>, hold: &PermitHold) -> Cost {
+    fn cost(&self, usage: Option<Usage>, permit_guard: &PermitGuard) -> Cost {
         let usage = usage.unwrap_or_else(|| Usage {
             completion_tokens: u32::try_from(self.last_event_id).unwrap_or(u32::MAX),
-            prompt_tokens: self.facts.estimate.tokens_in,
+            prompt_tokens: self.input_properties.estimate.tokens_in,
             cached_tokens: 0,
         });
         Cost {
             tokens_in: usage.prompt_tokens,
             tokens_out: usage.completion_tokens,
-            ..hold.time_cost()
+            ..permit_guard.time_cost()
         }
     }
 
-    fn broken(&self, error: &CallError) -> Failure {
+    fn failure(&self, error: &CallError) -> Failure {
         // Text of it has arrived, so it ran, whatever the last error proves.
-        self.cx.note_run_state(RunState::Ran);
+        self.cx.record_run_state(RunState::Ran);
         if error.kind == CallErrorKind::TimedOut {
-            return self.cx.past_deadline();
+            return self.cx.deadline_exceeded();
         }
         let detail = format!("stage {}: {error}", self.plan.stage);
         self.cx.failure(ProblemKind::UpstreamFailed, detail)
--- a/crates/tc-caller/src/run/mod.rs
+++ b/crates/tc-caller/src/run/mod.rs
@@ -5,7 +5,7 @@
 mod context;
 mod dispatch;
 mod generation;
-mod hold;
+mod permit_guard;
 mod pipeline;
 mod plain;
 mod plan;
@@ -13,6 +13,6 @@
 mod throttle;
 
 pub(crate) use context::{AcceptedRequest, RequestContext};
-pub(crate) use pipeline::{PipelineAnswer, PipelineWork, StageSummary, run_pipeline};
-pub(crate) use plain::{AnswerBody, PlainAnswer, PlainRequest, run_plain};
+pub(crate) use pipeline::{PipelineCall, PipelineResponse, StageSummary, run_pipeline};
+pub(crate) use plain::{PlainRequest, PlainServiceBody, PlainServiceResponse, run_plain};
 pub(crate) use throttle::Throttles;
--- a/crates/tc-caller/src/run/hold.rs
+++ b/crates/tc-caller/src/run/permit_guard.rs
@@ -8,10 +8,10 @@
 
 /// A granted permit whose call has been sent.
 ///
-/// Dropped without [`PermitHold::settle`], the call was cancelled: its permit is released as such, its time counts as
+/// Dropped without [`PermitGuard::settle`], the call was cancelled: its permit is released as such, its time counts as
 /// wasted, and the request may have run. Without that, a caller that leaves would free neither the upstream's slot nor
 /// show in the cost.
-pub(crate) struct PermitHold {
+pub(crate) struct PermitGuard {
     cx: Arc<RequestContext>,
     stage: StageName,
     attempt: Attempt,
@@ -29,7 +29,7 @@
     pub(crate) wasted: bool,
 }
 
-impl PermitHold {
+impl PermitGuard {
     pub(crate) fn new(
         cx: Arc<RequestContext>,
         stage: StageName,
@@ -46,7 +46,7 @@
         }
     }
 
-    pub(crate) fn first_byte_after(&mut self, took: Duration) {
+    pub(crate) fn record_first_byte(&mut self, took: Duration) {
         self.first_byte.get_or_insert(took);
     }
 
@@ -71,11 +71,11 @@
             return;
         };
         let took = self.elapsed();
-        self.cx.note_run_state(end.run_state);
+        self.cx.record_run_state(end.run_state);
         if end.run_state != RunState::NotRun {
-            self.cx.spend(&self.stage, &end.cost, end.wasted);
+            self.cx.add_cost(&self.stage, &end.cost, end.wasted);
         }
-        self.cx.note(Decision::Ended {
+        self.cx.record(Decision::Ended {
             stage: self.stage.clone(),
             attempt: self.attempt,
             outcome: end.outcome,
@@ -88,7 +88,7 @@
     }
 }
 
-impl Drop for PermitHold {
+impl Drop for PermitGuard {
     fn drop(&mut self) {
         let cost = self.time_cost();
         self.release(&CallEnd {
--- a/crates/tc-caller/src/run/pipeline.rs
+++ b/crates/tc-caller/src/run/pipeline.rs
@@ -9,17 +9,17 @@
 use crate::{
     http::Failure,
     run::{
-        admission::{admit, start_share},
+        admission::{admit, start_request},
         context::RequestContext,
         generation::run_generation,
         plan::StagePlan,
-        stage::{StageDone, run_stage},
+        stage::{StageOutput, run_stage},
     },
     streams::StreamLog,
 };
 
 /// What a caller wants of a pipeline.
-pub(crate) struct PipelineWork {
+pub(crate) struct PipelineCall {
     pub(crate) pipeline: Pipeline,
     pub(crate) input: Arc<str>,
     pub(crate) max_tokens: Option<u32>,
@@ -35,14 +35,14 @@
 
 /// The whole answer.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct PipelineAnswer {
+pub(crate) struct PipelineResponse {
     pub(crate) request_id: RequestId,
     pub(crate) output: String,
     pub(crate) stages: Vec<StageSummary>,
     pub(crate) cost: Cost,
 }
 
-impl PipelineWork {
+impl PipelineCall {
     /// Whether no stage may be repeated without doubling an effect.
     pub(crate) fn is_idempotent(&self, config: &FleetConfig) -> bool {
         self.pipeline.stages.iter().all(|stage| {
@@ -55,27 +55,27 @@
 /// Runs all stages within the deadline; with `stream`, the last one's text goes there as it comes.
 pub(crate) async fn run_pipeline(
     cx: &Arc<RequestContext>,
-    work: &PipelineWork,
+    call: &PipelineCall,
     stream: Option<&StreamLog>,
-) -> Result<PipelineAnswer, Failure> {
-    let plans = plans(cx, work)?;
-    start_share(cx)?;
+) -> Result<PipelineResponse, Failure> {
+    let plans = plan_stages(cx, call)?;
+    start_request(cx)?;
     admit(cx, &plans)?;
-    let run = tokio::time::timeout(cx.remaining(), run_stages(cx, work, &plans, stream)).await;
+    let run = tokio::time::timeout(cx.remaining(), run_stages(cx, call, &plans, stream)).await;
     // The attempts that were under way are dropped by now and have noted what is known of them.
-    let result = run.unwrap_or_else(|_| Err(cx.past_deadline()));
-    cx.shared.throttles.note(cx, &result);
+    let result = run.unwrap_or_else(|_| Err(cx.deadline_exceeded()));
+    cx.shared.throttles.record(cx, &result);
     result
 }
 
 async fn run_stages(
     cx: &Arc<RequestContext>,
-    work: &PipelineWork,
+    call: &PipelineCall,
     plans: &[StagePlan],
     stream: Option<&StreamLog>,
-) -> Result<PipelineAnswer, Failure> {
+) -> Result<PipelineResponse, Failure> {
     let rest: Vec<StageEstimate> = plans.iter().map(|p| p.timing).collect();
-    let mut input = work.input.clone();
+    let mut input = call.input.clone();
     let mut stages = Vec::with_capacity(plans.len());
     for (i, plan) in plans.iter().enumerate() {
         let is_last = i + 1 == plans.len();
@@ -83,10 +83,10 @@
             Some(log) => run_generation(cx, plan, &input, &rest[i..], log).await?,
             None => run_stage(cx, plan, &input, &rest[i..]).await?,
         };
-        stages.push(summary(plan, &done));
+        stages.push(stage_summary(plan, &done));
         input = done.output.into();
     }
-    Ok(PipelineAnswer {
+    Ok(PipelineResponse {
         request_id: cx.id.clone(),
         output: input.as_ref().to_owned(),
         stages,
@@ -94,7 +94,7 @@
     })
 }
 
-fn summary(plan: &StagePlan, done: &StageDone) -> StageSummary {
+fn stage_summary(plan: &StagePlan, done: &StageOutput) -> StageSummary {
     StageSummary {
         name: plan.stage.clone(),
         ms: done.took.as_secs_f64() * 1e3,
@@ -102,23 +102,23 @@
     }
 }
 
-fn plans(cx: &RequestContext, work: &PipelineWork) -> Result<Vec<StagePlan>, Failure> {
+fn plan_stages(cx: &RequestContext, call: &PipelineCall) -> Result<Vec<StagePlan>, Failure> {
     let config = &cx.view.config;
     let plan = |stage: &tc_protocol::Stage| {
         let service = config.services.get(&stage.service).ok_or_else(|| {
             let detail = format!("service {} is not configured", stage.service);
             cx.failure(ProblemKind::Internal, detail)
         })?;
-        let max_tokens = work
+        let max_tokens = call
             .max_tokens
             .map_or(stage.max_tokens, |wanted| wanted.min(stage.max_tokens));
         Ok(StagePlan::new(
             &cx.shared.policies,
             config,
             (&stage.name, &stage.service, service),
-            work.input.len(),
+            call.input.len(),
             max_tokens,
         ))
     };
-    work.pipeline.stages.iter().map(plan).collect()
+    call.pipeline.stages.iter().map(plan).collect()
 }
--- a/crates/tc-caller/src/run/plain.rs
+++ b/crates/tc-caller/src/run/plain.rs
@@ -12,12 +12,12 @@
 use crate::{
     http::Failure,
     run::{
-        admission::{admit, start_share},
-        attempt::{CallTarget, Won, fail},
+        admission::{admit, start_request},
+        attempt::{AttemptSuccess, CallTarget, settle_failed},
         context::RequestContext,
-        dispatch::{Dispatch, Tries},
-        hold::{CallEnd, PermitHold},
-        plan::{InputFacts, StagePlan},
+        dispatch::{Attempts, Dispatch},
+        permit_guard::{CallEnd, PermitGuard},
+        plan::{InputProperties, StagePlan},
     },
     trace,
 };
@@ -34,24 +34,24 @@
 }
 
 /// An answer whose body is still to come.
-pub(crate) struct PlainAnswer {
+pub(crate) struct PlainServiceResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: PlainServiceBody,
 }
 
 /// The body of a plain service's answer, settling its permit when it ends.
-pub(crate) struct AnswerBody {
+pub(crate) struct PlainServiceBody {
     cx: Arc<RequestContext>,
-    facts: InputFacts,
+    input_properties: InputProperties,
     body: PlainBody,
-    hold: Option<PermitHold>,
+    permit_guard: Option<PermitGuard>,
     outcome: Outcome,
     /// Bytes still to come, where the answer told its length.
-    left: Option<u64>,
+    remaining_bytes: Option<u64>,
 }
 
-impl AnswerBody {
+impl PlainServiceBody {
     /// The next chunk; `None` after the last.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Failure>> {
         loop {
@@ -59,13 +59,13 @@
                 Some(Ok(frame)) => {
                     // Trailers are not passed on.
                     if let Ok(data) = frame.into_data() {
-                        self.arrived(data.len() as u64).await;
+                        self.record_received(data.len() as u64).await;
                         return Some(Ok(data));
                     }
                 }
-                Some(Err(error)) => return Some(Err(self.break_off(&error).await)),
+                Some(Err(error)) => return Some(Err(self.fail(&error).await)),
                 None => {
-                    self.end();
+                    self.complete();
                     return None;
                 }
             }
@@ -76,31 +76,35 @@
     ///
     /// The sender of such an answer stops asking once it has all of it. Left for the next call, the end would never be
     /// seen, and an answered request would count as left by its caller.
-    async fn arrived(&mut self, bytes: u64) {
-        self.left = self.left.map(|left| left.saturating_sub(bytes));
-        if self.left == Some(0) && self.body.frame().await.is_none() {
-            self.end();
+    async fn record_received(&mut self, bytes: u64) {
+        self.remaining_bytes = self
+            .remaining_bytes
+            .map(|remaining| remaining.saturating_sub(bytes));
+        if self.remaining_bytes == Some(0) && self.body.frame().await.is_none() {
+            self.complete();
         }
     }
 
-    fn end(&mut self) {
-        let Some(hold) = self.hold.take() else { return };
-        let cost = hold.time_cost();
-        hold.settle(&CallEnd {
+    fn complete(&mut self) {
+        let Some(permit_guard) = self.permit_guard.take() else {
+            return;
+        };
+        let cost = permit_guard.time_cost();
+        permit_guard.settle(&CallEnd {
             outcome: self.outcome,
             run_state: RunState::Ran,
             cost,
             wasted: false,
         });
-        (self.cx.shared.ports.report_completed)(self.facts.fingerprint);
+        (self.cx.shared.ports.report_completed)(self.input_properties.fingerprint);
         self.cx.finish(None);
     }
 
-    async fn break_off(&mut self, error: &CallError) -> Failure {
-        if let Some(hold) = self.hold.take() {
-            fail(&self.cx, &self.facts, hold, error).await;
+    async fn fail(&mut self, error: &CallError) -> Failure {
+        if let Some(permit_guard) = self.permit_guard.take() {
+            settle_failed(&self.cx, &self.input_properties, permit_guard, error).await;
         }
-        self.cx.note_run_state(RunState::Ran);
+        self.cx.record_run_state(RunState::Ran);
         let detail = format!("the answer broke off: {error}");
         let failure = self.cx.failure(ProblemKind::UpstreamFailed, detail);
         self.cx.finish(Some(&failure));
@@ -113,18 +117,18 @@
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
     service: &Service,
-) -> Result<PlainAnswer, Failure> {
+) -> Result<PlainServiceResponse, Failure> {
     let span = tracing::info_span!("stage", stage = %request.service, service = %request.service);
     let run = dispatch(cx, request, service).instrument(span);
     let run = tokio::time::timeout(cx.remaining(), run).await;
-    run.unwrap_or_else(|_| Err(cx.past_deadline()))
+    run.unwrap_or_else(|_| Err(cx.deadline_exceeded()))
 }
 
 async fn dispatch(
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
     service: &Service,
-) -> Result<PlainAnswer, Failure> {
+) -> Result<PlainServiceResponse, Failure> {
     let stage = request.service.as_str().into();
     let mut plan = StagePlan::new(
         &cx.shared.policies,
@@ -134,53 +138,53 @@
         0,
     );
     plan.idempotent = request.idempotent;
-    start_share(cx)?;
+    start_request(cx)?;
     admit(cx, std::slice::from_ref(&plan))?;
-    let facts = InputFacts::of(cx, &plan, &fingerprinted(request));
+    let input_properties = InputProperties::of(cx, &plan, &fingerprint_input(request));
     let rest = [plan.timing];
     let dispatch = Dispatch {
         cx,
         plan: &plan,
-        facts: &facts,
+        input_properties: &input_properties,
         rest: &rest,
         until_result: &plan.timing,
     };
     let started = std::time::Instant::now();
-    let won = dispatch
-        .run(&mut Tries::default(), |target| {
+    let success = dispatch
+        .run(&mut Attempts::default(), |target| {
             let call = plain_call(cx, request, &plan, target);
             cx.shared.upstream.forward(call)
         })
         .await?;
     plan.policy.record(plan.class, started.elapsed());
-    Ok(passed_on(cx, request, facts, won).await)
+    Ok(start_response(cx, request, input_properties, success).await)
 }
 
-/// The answer that `won` began; its permit is held until the body has ended.
-async fn passed_on(
+/// The answer that `success` began; its permit is held until the body has ended.
+async fn start_response(
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
-    facts: InputFacts,
-    mut won: Won<PlainResponse>,
-) -> PlainAnswer {
+    input_properties: InputProperties,
+    mut success: AttemptSuccess<PlainResponse>,
+) -> PlainServiceResponse {
     let PlainResponse {
         status,
         headers,
         body,
         outcome,
         first_byte,
-    } = won.value;
-    won.hold.first_byte_after(first_byte);
-    let mut body = AnswerBody {
+    } = success.value;
+    success.permit_guard.record_first_byte(first_byte);
+    let mut body = PlainServiceBody {
         cx: cx.clone(),
-        facts,
-        left: length(request, status, &headers),
+        input_properties,
+        remaining_bytes: body_length(request, status, &headers),
         body,
-        hold: Some(won.hold),
+        permit_guard: Some(success.permit_guard),
         outcome,
     };
-    body.arrived(0).await;
-    PlainAnswer {
+    body.record_received(0).await;
+    PlainServiceResponse {
         status,
         headers,
         body,
@@ -188,7 +192,7 @@
 }
 
 /// Bytes of an answer's body, where that is known before it comes.
-fn length(request: &PlainRequest, status: StatusCode, headers: &HeaderMap) -> Option<u64> {
+fn body_length(request: &PlainRequest, status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&status);
     if bodiless || request.method == Method::HEAD {
         return Some(0);
@@ -197,7 +201,7 @@
 }
 
 /// Bytes that tell calls apart which would do different things to an upstream.
-fn fingerprinted(request: &PlainRequest) -> Vec<u8> {
+fn fingerprint_input(request: &PlainRequest) -> Vec<u8> {
     let parts = [request.method.as_str(), " ", request.path.as_str(), "\n"];
     let mut bytes = parts.concat().into_bytes();
     bytes.extend_from_slice(&request.body);
@@ -227,6 +231,6 @@
         } else {
             cx.key.clone()
         },
-        traceparent: Some(trace::onward(&cx.received_trace)),
+        traceparent: Some(trace::outgoing(&cx.caller_trace)),
     }
 }
--- a/crates/tc-caller/src/run/plan.rs
+++ b/crates/tc-caller/src/run/plan.rs
@@ -36,7 +36,7 @@
         input_bytes: usize,
         max_tokens: u32,
     ) -> Self {
-        let policy = policies.of(name, &config.policy);
+        let policy = policies.get(name, &config.policy);
         let max_tokens = match service.kind {
             ServiceKind::Engine => max_tokens,
             ServiceKind::Pool | ServiceKind::Plain => 0,
@@ -58,20 +58,20 @@
 
 /// What depends on a stage's input.
 #[derive(Clone, Copy)]
-pub(crate) struct InputFacts {
+pub(crate) struct InputProperties {
     pub(crate) fingerprint: Fingerprint,
     pub(crate) prefix: Option<u64>,
     pub(crate) estimate: Cost,
 }
 
-impl InputFacts {
+impl InputProperties {
     pub(crate) fn of(cx: &RequestContext, plan: &StagePlan, input: &[u8]) -> Self {
         let is_engine = plan.kind == ServiceKind::Engine;
         Self {
             fingerprint: Fingerprint::of(&cx.workspace, &plan.service, input),
-            prefix: is_engine.then(|| prefix_of(&cx.workspace, input)),
+            prefix: is_engine.then(|| prefix_hash(&cx.workspace, input)),
             estimate: Cost {
-                tokens_in: if is_engine { tokens_of(input) } else { 0 },
+                tokens_in: if is_engine { estimate_tokens(input) } else { 0 },
                 tokens_out: plan.max_tokens,
                 busy_ms: plan.timing.median.as_secs_f64() * 1e3,
             },
@@ -79,11 +79,11 @@
     }
 }
 
-fn tokens_of(input: &[u8]) -> u32 {
+fn estimate_tokens(input: &[u8]) -> u32 {
     u32::try_from(input.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
 
-fn prefix_of(workspace: &WorkspaceName, input: &[u8]) -> u64 {
+fn prefix_hash(workspace: &WorkspaceName, input: &[u8]) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(workspace.as_str().as_bytes());
     xxh3_64_with_seed(&input[..input.len().min(PREFIX_BYTES)], seed)
 }
--- a/crates/tc-caller/src/run/stage.rs
+++ b/crates/tc-caller/src/run/stage.rs
@@ -15,15 +15,15 @@
     run::{
         attempt::CallTarget,
         context::RequestContext,
-        dispatch::{Dispatch, Tries},
-        hold::CallEnd,
-        plan::{InputFacts, StagePlan},
+        dispatch::{Attempts, Dispatch},
+        permit_guard::CallEnd,
+        plan::{InputProperties, StagePlan},
     },
     trace,
 };
 
 /// A stage that was answered whole.
-pub(crate) struct StageDone {
+pub(crate) struct StageOutput {
     pub(crate) output: String,
     pub(crate) took: Duration,
     pub(crate) attempts: u32,
@@ -35,22 +35,24 @@
     plan: &StagePlan,
     input: &Arc<str>,
     rest: &[StageEstimate],
-) -> Result<StageDone, Failure> {
+) -> Result<StageOutput, Failure> {
     let span = tracing::info_span!("stage", stage = %plan.stage, service = %plan.service);
-    run_whole(cx, plan, input, rest).instrument(span).await
+    run_complete_stage(cx, plan, input, rest)
+        .instrument(span)
+        .await
 }
 
-async fn run_whole(
+async fn run_complete_stage(
     cx: &Arc<RequestContext>,
     plan: &StagePlan,
     input: &Arc<str>,
     rest: &[StageEstimate],
-) -> Result<StageDone, Failure> {
+) -> Result<StageOutput, Failure> {
     let run = StageRun::start(cx, plan, input);
-    let mut tries = Tries::default();
-    let mut won = run
+    let mut attempts = Attempts::default();
+    let mut success = run
         .dispatch(rest, &plan.timing)
-        .run(&mut tries, |target| {
+        .run(&mut attempts, |target| {
             cx.shared
                 .upstream
                 .run_stage(stage_call(cx, plan, input, &target))
@@ -61,22 +63,22 @@
         cost,
         first_byte,
         ..
-    } = won.value;
-    won.hold.first_byte_after(first_byte);
-    won.hold.settle(&CallEnd {
+    } = success.value;
+    success.permit_guard.record_first_byte(first_byte);
+    success.permit_guard.settle(&CallEnd {
         outcome: Outcome::Answered,
         run_state: RunState::Ran,
         cost,
         wasted: false,
     });
-    Ok(run.done(output, &tries))
+    Ok(run.done(output, &attempts))
 }
 
 /// A stage under way, however its result comes.
 pub(crate) struct StageRun<'a> {
     cx: &'a Arc<RequestContext>,
     plan: &'a StagePlan,
-    pub(crate) facts: InputFacts,
+    pub(crate) input_properties: InputProperties,
     started: Instant,
 }
 
@@ -85,7 +87,7 @@
         Self {
             cx,
             plan,
-            facts: InputFacts::of(cx, plan, input.as_bytes()),
+            input_properties: InputProperties::of(cx, plan, input.as_bytes()),
             started: Instant::now(),
         }
     }
@@ -99,7 +101,7 @@
         Dispatch {
             cx: self.cx,
             plan: self.plan,
-            facts: &self.facts,
+            input_properties: &self.input_properties,
             rest,
             until_result,
         }
@@ -110,14 +112,14 @@
     }
 
     /// Records the time of a whole answer and clears its input of suspicion.
-    pub(crate) fn done(&self, output: String, tries: &Tries) -> StageDone {
-        (self.cx.shared.ports.report_completed)(self.facts.fingerprint);
+    pub(crate) fn done(&self, output: String, attempts: &Attempts) -> StageOutput {
+        (self.cx.shared.ports.report_completed)(self.input_properties.fingerprint);
         let took = self.elapsed();
         self.plan.policy.record(self.plan.class, took);
-        StageDone {
+        StageOutput {
             output,
             took,
-            attempts: tries.count,
+            attempts: attempts.count,
         }
     }
 }
@@ -145,6 +147,6 @@
         } else {
             cx.key.clone()
         },
-        traceparent: Some(trace::onward(&cx.received_trace)),
+        traceparent: Some(trace::outgoing(&cx.caller_trace)),
     }
 }
--- a/crates/tc-caller/src/run/throttle.rs
+++ b/crates/tc-caller/src/run/throttle.rs
@@ -11,27 +11,27 @@
 
 use crate::{
     http::Failure,
-    run::{context::RequestContext, pipeline::PipelineAnswer},
+    run::{context::RequestContext, pipeline::PipelineResponse},
 };
 
 /// When room may have been found: the time over which outcomes count.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Kinds kept; there are as many as workspaces use pipelines, so only a change of configuration leaves old ones.
-const MOST_KINDS: usize = 10_000;
+const MAX_THROTTLES: usize = 10_000;
 
-type Kind = (WorkspaceName, PipelineName);
+type ThrottleKey = (WorkspaceName, PipelineName);
 
 /// Throttles of all kinds of requests of this instance.
 #[derive(Default)]
 pub(crate) struct Throttles {
-    by_kind: Mutex<HashMap<Kind, Throttle>>,
+    by_key: Mutex<HashMap<ThrottleKey, Throttle>>,
 }
 
 impl Throttles {
     /// Lets the request in, or refuses it before anything of it has run.
     pub(crate) fn admit(&self, cx: &RequestContext) -> Result<(), Failure> {
         let now = MonoTime::now();
-        if self.with(cx, |throttle| throttle.admit(now, rand::random())) {
+        if self.with_throttle(cx, |throttle| throttle.admit(now, rand::random())) {
             return Ok(());
         }
         metrics::counter!("tc_throttled_total").increment(1);
@@ -42,10 +42,10 @@
     }
 
     /// Notes whether a request that was let in found room.
-    pub(crate) fn note(&self, cx: &RequestContext, result: &Result<PipelineAnswer, Failure>) {
+    pub(crate) fn record(&self, cx: &RequestContext, result: &Result<PipelineResponse, Failure>) {
         let now = MonoTime::now();
         let missed = result.as_ref().is_err_and(|failure| is_miss(failure.kind));
-        self.with(cx, |throttle| {
+        self.with_throttle(cx, |throttle| {
             if missed {
                 throttle.record_missed(now);
             } else {
@@ -54,15 +54,15 @@
         });
     }
 
-    fn with<T>(&self, cx: &RequestContext, act: impl FnOnce(&mut Throttle) -> T) -> T {
+    fn with_throttle<T>(&self, cx: &RequestContext, f: impl FnOnce(&mut Throttle) -> T) -> T {
         let Some(pipeline) = cx.pipeline.clone() else {
-            return act(&mut Throttle::default());
+            return f(&mut Throttle::default());
         };
-        let mut by_kind = self.by_kind.lock().unwrap_or_else(PoisonError::into_inner);
-        if by_kind.len() >= MOST_KINDS {
-            by_kind.clear();
+        let mut by_key = self.by_key.lock().unwrap_or_else(PoisonError::into_inner);
+        if by_key.len() >= MAX_THROTTLES {
+            by_key.clear();
         }
-        act(by_kind.entry((cx.workspace.clone(), pipeline)).or_default())
+        f(by_key.entry((cx.workspace.clone(), pipeline)).or_default())
     }
 }
 
--- a/crates/tc-caller/src/server.rs
+++ b/crates/tc-caller/src/server.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    connection::{Signals, connection},
+    connection::{Signals, serve_connection},
     ports::{CallerSettings, CallerTimeouts, Ports},
     record::WorkspaceStats,
     shared::Shared,
@@ -63,7 +63,9 @@
                         closing: self.closing.clone(),
                         stop: stop.clone(),
                     };
-                    self.shared.tasks.spawn(connection(shared, socket, signals));
+                    self.shared
+                        .tasks
+                        .spawn(serve_connection(shared, socket, signals));
                 }
                 Err(error) => {
                     log::warn!(error = error.to_string().as_str(); "accepting a caller failed");
--- a/crates/tc-caller/src/shared.rs
+++ b/crates/tc-caller/src/shared.rs
@@ -74,7 +74,7 @@
     }
 
     /// Counts one request as in flight until the guard is dropped.
-    pub(crate) fn enter(&self) -> InFlight {
+    pub(crate) fn track_request(&self) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(self.in_flight.clone())
     }
--- a/crates/tc-caller/src/streams/event.rs
+++ b/crates/tc-caller/src/streams/event.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use tc_protocol::Problem;
 
-use crate::run::PipelineAnswer;
+use crate::run::PipelineResponse;
 
 #[derive(Serialize)]
 struct TextData<'a> {
@@ -26,7 +26,7 @@
 }
 
 /// The end of a whole answer.
-pub(crate) fn done_event(answer: &PipelineAnswer) -> Bytes {
+pub(crate) fn done_event(answer: &PipelineResponse) -> Bytes {
     let data = json(&DoneData {
         request_id: &answer.request_id,
         stages: &answer.stages,
--- a/crates/tc-caller/src/streams/log.rs
+++ b/crates/tc-caller/src/streams/log.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     http::Failure,
-    limits::{MAX_UNREAD_BYTES, RESUME_WINDOW, RETAINED_BYTES, RETAINED_EVENTS},
+    limits::{MAX_RETAINED_BYTES, MAX_RETAINED_EVENTS, MAX_UNREAD_BYTES, RESUME_WINDOW},
     streams::event::text_event,
 };
 
@@ -228,7 +228,9 @@
     /// Forgets the oldest events beyond the bounds; unread ones only while nobody is there to read them.
     fn forget_old(&mut self) {
         let unread = if self.attached { self.unread_bytes } else { 0 };
-        while self.kept_bytes > RETAINED_BYTES + unread || self.events.len() > RETAINED_EVENTS {
+        while self.kept_bytes > MAX_RETAINED_BYTES + unread
+            || self.events.len() > MAX_RETAINED_EVENTS
+        {
             let oldest_unread = self.events.front().is_some_and(|e| e.id > self.read);
             if self.attached && oldest_unread {
                 return;
--- a/crates/tc-caller/src/streams/registry.rs
+++ b/crates/tc-caller/src/streams/registry.rs
@@ -8,7 +8,7 @@
 use tc_protocol::{RequestId, WorkspaceName};
 
 use crate::{
-    limits::{STREAM_BYTES_PER_WORKSPACE, STREAMS_PER_WORKSPACE},
+    limits::{MAX_STREAM_BYTES_PER_WORKSPACE, MAX_STREAMS_PER_WORKSPACE},
     streams::StreamLog,
 };
 
@@ -88,7 +88,7 @@
         return false;
     }
     let bytes: usize = kept.iter().map(|k| k.log.kept_bytes()).sum();
-    kept.len() >= STREAMS_PER_WORKSPACE || bytes >= STREAM_BYTES_PER_WORKSPACE
+    kept.len() >= MAX_STREAMS_PER_WORKSPACE || bytes >= MAX_STREAM_BYTES_PER_WORKSPACE
 }
 
 /// Keeps a stream resumable.
--- a/crates/tc-caller/src/streams/start.rs
+++ b/crates/tc-caller/src/streams/start.rs
@@ -14,7 +14,7 @@
 use crate::{
     http::{CallerBody, CallerResponse, Failure},
     limits::RESUME_WINDOW,
-    run::{PipelineAnswer, PipelineWork, RequestContext, run_pipeline},
+    run::{PipelineCall, PipelineResponse, RequestContext, run_pipeline},
     streams::{
         End, Opening, StreamLog,
         event::{done_event, problem_event},
@@ -36,19 +36,19 @@
 /// Runs a pipeline that may be cancelled, streaming its last stage.
 pub(crate) async fn start(
     cx: Arc<RequestContext>,
-    work: PipelineWork,
+    call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let log = Arc::new(StreamLog::new());
     let id = cx.id.clone();
     let response = stream_response(&log, 0, &id);
     let shared = cx.shared.clone();
-    let in_flight = shared.enter();
+    let in_flight = shared.track_request();
     let run = {
         let log = log.clone();
         async move {
             let _in_flight = in_flight;
             tokio::select! {
-                _ = run_into(&cx, &work, &log) => {}
+                _ = run_into(&cx, &call, &log) => {}
                 // Dropping the run cancels its call at the upstream.
                 () = log.abandoned() => log.end(End::Event(Bytes::new())),
             }
@@ -64,12 +64,12 @@
 /// Runs a pipeline into a stream that can be resumed while it runs and a while after.
 pub(crate) async fn run_into(
     cx: &Arc<RequestContext>,
-    work: &PipelineWork,
+    call: &PipelineCall,
     log: &Arc<StreamLog>,
-) -> Result<PipelineAnswer, Failure> {
+) -> Result<PipelineResponse, Failure> {
     let registry = &cx.shared.streams;
     let registration = registry.keep(cx.workspace.clone(), cx.id.clone(), log.clone());
-    let result = run_pipeline(cx, work, Some(log)).await;
+    let result = run_pipeline(cx, call, Some(log)).await;
     cx.finish(result.as_ref().err());
     log.end(match &result {
         Ok(answer) => End::Event(done_event(answer)),
