--- a/crates/tc-caller/src/connection.rs
+++ b/crates/tc-caller/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller, and whether it still takes what is sent.
+//! Serves a caller's connection, and closes it if the caller stops reading.
 
 use std::{
     convert::Infallible,
@@ -32,19 +32,19 @@
     shared::Shared,
 };
 
-/// Room beyond the allowed header bytes, so that a request somewhat too large gets a problem that says so; one larger
-/// still gets the library's bare 431.
+/// Factor between the maximum header size and hyper's limit. Requests whose headers are only somewhat too large get a
+/// problem response with an explanation; even larger ones get hyper's 431 without a body.
 const HEADER_LIMIT_FACTOR: usize = 4;
 
-/// What a connection is told from outside.
+/// Shutdown signals to a connection.
 pub(crate) struct Signals {
-    /// First step of a planned stop.
+    /// Announces the planned stop to the caller: the first step of a planned stop.
     pub(crate) closing: CancellationToken,
-    /// Finish what is under way and end.
+    /// Ends the connection once its running requests are finished.
     pub(crate) stop: CancellationToken,
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub(crate) async fn serve_connection(shared: Arc<Shared>, socket: TcpStream, signals: Signals) {
     let _ = socket.set_nodelay(true);
     let timeouts = shared.timeouts;
@@ -78,16 +78,16 @@
                 progress.record_activity();
                 served.as_mut().graceful_shutdown();
             }
-            // HTTP/1.1 callers are told by a header on their next answer: closing an idle connection here could meet a
-            // request on its way, which its caller would see fail.
+            // HTTP/1.1 callers are told by a header of their next response. Closing an idle connection here could race
+            // with a request in transit, which would then fail.
             () = &mut closing, if !closing_sent => {
                 closing_sent = true;
                 if progress.is_http2() {
                     served.as_mut().graceful_shutdown();
                 }
             }
-            // Without this a caller that connects and sends nothing, or part of the first bytes, would hold a
-            // connection for ever, seen as file descriptors running out.
+            // Without this timeout, callers that connect and send nothing or an incomplete request would hold their
+            // connections forever, until no file descriptors are left.
             () = &mut first_request_timeout, if awaiting_request => {
                 awaiting_request = false;
                 if !progress.request_received() {
@@ -104,17 +104,17 @@
     }
 }
 
-/// What a connection has brought so far, and what of its answers its caller has taken.
+/// Tracks the requests received on a connection and how far the caller has read their responses.
 ///
-/// A caller that stops reading for good would hold its answer's memory, and a planned stop would wait for it for ever,
-/// seen as an instance that does not exit. Its connection is closed once it has taken nothing of what is ready for it
-/// for the time that the settings allow. An answer that is not ready yet is never counted against its caller.
+/// A caller that stops reading would hold its response's memory forever, and a planned stop would wait for it, so that
+/// the instance would not exit. Its connection is closed once it has read nothing of what is ready to send for
+/// [`CallerTimeouts::reader_stall`]. Time spent producing a response never counts as a stall.
 struct ConnectionProgress {
     request_received: AtomicBool,
     http2: AtomicBool,
-    /// Requests whose answer has not been sent whole.
+    /// Number of requests whose response has not been sent completely.
     open_responses: AtomicUsize,
-    /// Answers of which a part was handed over for sending and the next was not asked for.
+    /// Number of responses of which a part was handed over for sending and the next part has not been polled.
     awaiting_read: AtomicUsize,
     last_activity: AtomicU64,
 }
@@ -159,20 +159,20 @@
     fn is_stalled(&self, stopped: bool, timeouts: &CallerTimeouts) -> bool {
         let last_activity = MonoTime(self.last_activity.load(Ordering::Relaxed));
         let waiting_for_caller = self.awaiting_read.load(Ordering::Relaxed) > 0
-            // All was handed over, and the connection has not ended: its last_activity bytes are not taken.
+            // Everything was handed over, but the connection has not ended: its last bytes have not been read.
             || (stopped && self.open_responses.load(Ordering::Relaxed) == 0);
         waiting_for_caller && MonoTime::now().since(last_activity) > timeouts.reader_stall
     }
 }
 
-/// How far one answer has been taken.
+/// Tracks how far the caller has read one response.
 pub(crate) struct ResponseProgress {
     progress: Arc<ConnectionProgress>,
     awaiting_read: bool,
 }
 
 impl ResponseProgress {
-    /// The next part was asked for; `ready` when it was there.
+    /// Records that the next part was polled. `ready` is true if it was available.
     pub(crate) fn polled(&mut self, ready: bool) {
         self.progress.record_activity();
         self.set_awaiting_read(ready);
--- a/crates/tc-caller/src/http/addresses.rs
+++ b/crates/tc-caller/src/http/addresses.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/instances`: which addresses a workspace's callers should use.
+//! `GET /v1/instances`: the addresses that a workspace's callers should use.
 
 use http::{HeaderValue, header::CACHE_CONTROL};
 use tc_protocol::ProblemKind;
@@ -22,7 +22,7 @@
     }
     let answer = (shared.ports.addresses)(&caller.workspace);
     let mut response = json_response(&answer);
-    // The answer depends on the token, so that a shared cache must not keep it.
+    // The response depends on the token, so shared caches must not store it.
     let cache = format!("private, max-age={}", answer.max_age_s);
     if let Ok(value) = HeaderValue::from_str(&cache) {
         response.headers_mut().insert(CACHE_CONTROL, value);
--- a/crates/tc-caller/src/http/answer.rs
+++ b/crates/tc-caller/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use std::{
     pin::Pin,
@@ -20,12 +20,12 @@
     connection::ResponseProgress, http::Failure, idempotency::FinalAnswer, shared::InFlight,
 };
 
-/// Error that ends a body early.
+/// An error that ends a body prematurely.
 pub(crate) type BodyError = Box<dyn std::error::Error + Send + Sync>;
-/// An answer to a caller.
+/// A response to a caller.
 pub(crate) type CallerResponse = Response<CallerBody>;
 
-/// Body of an answer; keeps the request counted as in flight until it has been sent or dropped.
+/// The body of a response. The request counts as in flight until the body has been sent or dropped.
 pub(crate) struct CallerBody {
     content: Content,
     in_flight: Option<InFlight>,
@@ -95,7 +95,7 @@
     }
 }
 
-/// An answer of status 200 with a JSON body.
+/// Creates a response with status 200 and a JSON body.
 pub(crate) fn json_response(value: &impl Serialize) -> CallerResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(CallerBody::whole(body));
@@ -105,7 +105,7 @@
     response
 }
 
-/// The answer that tells a failure.
+/// Creates the problem details response for a failure.
 pub(crate) fn problem_response(failure: &Failure, id: &RequestId) -> FinalAnswer {
     let problem = failure.problem(id);
     let mut headers = HeaderMap::new();
@@ -137,7 +137,7 @@
     }
 }
 
-/// Seconds for `Retry-After`, rounded up so that the caller is not back too early.
+/// Converts to seconds for `Retry-After`, rounded up so that the caller does not retry too early.
 fn whole_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
--- a/crates/tc-caller/src/http/auth.rs
+++ b/crates/tc-caller/src/http/auth.rs
@@ -1,4 +1,4 @@
-//! Which workspace a bearer token belongs to.
+//! Authentication: finds the workspace of a bearer token.
 
 use std::{collections::HashMap, fmt::Write, sync::Arc};
 
@@ -10,7 +10,7 @@
 
 use crate::http::Failure;
 
-/// Workspaces by hash of their token, rebuilt when the configuration changes.
+/// Workspaces by the hash of their token. Rebuilt when the configuration changes.
 pub(crate) struct TokenIndex {
     current: ArcSwap<Index>,
 }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The workspace of the request's bearer token.
+    /// Returns the workspace of the request's bearer token.
     pub(crate) fn workspace_of(
         &self,
         config: &Arc<FleetConfig>,
--- a/crates/tc-caller/src/http/body.rs
+++ b/crates/tc-caller/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reading request bodies within bounds.
+//! Reads request bodies with limits on size and time.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
     limits::{DRAIN_TIMEOUT, MAX_DRAIN_BYTES},
 };
 
-/// Reads a body whole, up to `max` bytes and within `timeout`.
+/// Reads a complete body of up to `max` bytes within `timeout`.
 ///
-/// Without the time limit a caller that sends one byte a minute would hold memory and a request slot for hours, seen as
-/// requests in flight that never end.
+/// Without the timeout, a caller that sends one byte per minute would hold memory and a request slot for hours, and its
+/// requests would remain in flight.
 pub(crate) async fn read_body<B>(body: B, max: usize, timeout: Duration) -> Result<Bytes, Failure>
 where
     B: Body,
@@ -33,11 +33,11 @@
     }
 }
 
-/// Takes in what is left of a request body that nobody wants, within bounds.
+/// Reads and discards the rest of an unused request body, up to [`MAX_DRAIN_BYTES`] within [`DRAIN_TIMEOUT`].
 ///
-/// An HTTP/1.1 connection whose request was not read whole is closed after the answer. Closed with bytes still coming
-/// in, it can take the answer with it, and the next request that the caller has already sent on it: seen as a caller
-/// that gets broken connections in place of clear refusals.
+/// An HTTP/1.1 connection whose request was not read completely is closed after the response. If it is closed while
+/// bytes still arrive, the response may be lost, and so may the next request that the caller has already sent on it.
+/// Callers would then get connection errors instead of refusals.
 pub(crate) async fn drain(mut body: Incoming) {
     let all = async {
         let mut left = MAX_DRAIN_BYTES;
@@ -49,7 +49,7 @@
             }
         }
     };
-    // Too late is as good as too much: the connection is closed.
+    // After a timeout the connection is closed, as it is when the body is too large.
     let _ = tokio::time::timeout(DRAIN_TIMEOUT, all).await;
 }
 
--- a/crates/tc-caller/src/http/caller.rs
+++ b/crates/tc-caller/src/http/caller.rs
@@ -1,4 +1,4 @@
-//! One request whose caller is known.
+//! A request whose caller has been authenticated.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,14 +15,14 @@
     trace,
 };
 
-/// A request as it arrived.
+/// The identifier and arrival time of a request.
 pub(crate) struct Arrival {
     pub(crate) id: RequestId,
     pub(crate) counter: u64,
     pub(crate) at: MonoTime,
 }
 
-/// A request with its workspace and the headers that decide how it runs.
+/// An authenticated request: its workspace and the headers that control its execution.
 pub(crate) struct Caller {
     pub(crate) arrival: Arrival,
     pub(crate) parts: Parts,
@@ -57,13 +57,13 @@
         })
     }
 
-    /// The deadline: the caller's, unless `max` is less.
+    /// Returns the deadline that the caller requested, limited to `max` from its arrival.
     pub(crate) fn deadline(&self, max: Duration) -> Deadline {
         let requested = self.headers.timeout.unwrap_or(MAX_TIMEOUT);
         Deadline::from_budget(self.arrival.at, requested.min(max))
     }
 
-    /// The priority: the caller's or else `default`, never more urgent than its workspace may ask for.
+    /// Returns the priority that the caller requested, or `default`, limited to the highest priority of its workspace.
     pub(crate) fn priority(&self, default: u8) -> u8 {
         let workspace: Option<&Workspace> = self.view.config.workspaces.get(&self.workspace);
         let highest = workspace.map_or(0, |w| w.highest_priority);
--- a/crates/tc-caller/src/http/failure.rs
+++ b/crates/tc-caller/src/http/failure.rs
@@ -1,11 +1,11 @@
-//! What ends a request without its answer: the error type of this layer.
+//! The error type of the HTTP layer.
 
 use std::time::Duration;
 
 use tc_protocol::{Problem, ProblemKind, RequestId, RunState};
 use thiserror::Error;
 
-/// Why a request got no answer, and what is known of whether it ran.
+/// Why a request failed, and whether it may have run.
 #[derive(Clone, Debug, Error)]
 #[error("{detail}")]
 pub(crate) struct Failure {
@@ -13,7 +13,7 @@
     pub(crate) run_state: RunState,
     pub(crate) detail: String,
     pub(crate) retry_after: Option<Duration>,
-    /// Methods that would fit, for `405`.
+    /// The allowed methods, for status 405.
     pub(crate) allow: Option<&'static str>,
 }
 
@@ -28,12 +28,12 @@
         }
     }
 
-    /// A failure before any byte was sent to an upstream.
+    /// Creates a failure of a request of which nothing was sent to an upstream.
     pub(crate) fn not_run(kind: ProblemKind, detail: impl Into<String>) -> Self {
         Self::new(kind, RunState::NotRun, detail)
     }
 
-    /// A malformed request.
+    /// Creates the failure for a malformed request.
     pub(crate) fn bad(detail: impl Into<String>) -> Self {
         Self::not_run(ProblemKind::BadRequest, detail)
     }
--- a/crates/tc-caller/src/http/handle.rs
+++ b/crates/tc-caller/src/http/handle.rs
@@ -1,4 +1,4 @@
-//! From a request to its answer.
+//! The request handler.
 
 use std::sync::Arc;
 
@@ -58,7 +58,7 @@
 }
 
 fn finish_headers(headers: &mut HeaderMap, shared: &Shared, id: &RequestId, version: Version) {
-    // An answer passed through from another instance has its own.
+    // Responses forwarded from another instance already have these headers.
     insert_if_absent(headers, wire::REQUEST_ID, id.as_str());
     insert_if_absent(headers, wire::INSTANCE, shared.settings.me.as_str());
     if shared.is_closing() && version <= Version::HTTP_11 {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Sets a header that is not there yet.
+/// Inserts a header unless it is already present.
 fn insert_if_absent(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Entry::Vacant(vacant) = headers.entry(name)
         && let Ok(value) = HeaderValue::from_str(value)
--- a/crates/tc-caller/src/http/headers.rs
+++ b/crates/tc-caller/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Request headers that decide how a request runs.
+//! Request headers that control the execution of a request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,21 +10,21 @@
     limits::{LOWEST_PRIORITY, MAX_KEY_BYTES, MAX_TIMEOUT},
 };
 
-/// The instance and life of its process to which an idempotency key is bound.
+/// The instance, and the incarnation of its process, to which an idempotency key is bound.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Binding {
     pub(crate) instance: InstanceId,
     pub(crate) incarnation: Incarnation,
 }
 
-/// A caller's wish to resume a stream.
+/// The stream that a caller wants to resume, and the last event that it received.
 #[derive(Clone, Debug)]
 pub(crate) struct ResumeFrom {
     pub(crate) request: RequestId,
     pub(crate) last_event_id: u64,
 }
 
-/// All headers of a request that decide how it runs.
+/// All headers that control the execution of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallHeaders {
     pub(crate) timeout: Option<Duration>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Refuses headers that together are larger than `max` bytes.
+/// Refuses headers with a total size of more than `max` bytes.
 pub(crate) fn check_size(headers: &HeaderMap, max: usize) -> Result<(), Failure> {
     let size: usize = headers
         .iter()
--- a/crates/tc-caller/src/http/keyed.rs
+++ b/crates/tc-caller/src/http/keyed.rs
@@ -1,4 +1,4 @@
-//! What pipelines and plain services share of non-idempotent requests.
+//! Handling of non-idempotent requests, shared by pipelines and plain services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,21 +13,21 @@
     shared::Shared,
 };
 
-/// One delivery of a non-idempotent request.
+/// One delivery of a non-idempotent request. The caller may deliver it again with the same key.
 pub(crate) struct Delivery {
-    /// What the key is used on.
+    /// The pipeline, or the service and path, that the key applies to.
     pub(crate) target: String,
     pub(crate) body: Bytes,
     pub(crate) deadline: Deadline,
 }
 
-/// Where a delivery is handled.
+/// Where a delivery is handled: on this instance, or by another one that has already responded.
 pub(crate) enum Routed {
     Local(Keyed),
     Forwarded(CallerResponse),
 }
 
-/// Checks the key, and passes the delivery on when its key is bound to another instance.
+/// Checks the key, and forwards the delivery if its key is bound to another instance.
 pub(crate) async fn route_delivery(
     shared: &Arc<Shared>,
     caller: &Caller,
@@ -47,10 +47,10 @@
             let forwarded = shared
                 .forwarder
                 .forward(&shared.settings.me, address, onward);
-            // Whatever the connection's error proves of this delivery, an earlier one may have arrived there.
+            // Even if the error proves that this delivery did not arrive, an earlier one may have.
             return forwarded.await.map(Routed::Forwarded).map_err(|error| {
                 let instance = binding.instance.as_str();
-                log::warn!(instance = instance, error = error.to_string().as_str(); "key not forwarded");
+                log::warn!(instance = instance, error = error.to_string().as_str(); "failed to forward a keyed request");
                 unknown(&binding.instance)
             });
         }
@@ -66,7 +66,7 @@
     }))
 }
 
-/// The request as it is passed on to another instance.
+/// Creates the request to forward to another instance.
 pub(crate) fn forwarded_request(caller: &Caller, body: Bytes, remaining: Duration) -> Onward {
     Onward {
         method: caller.parts.method.clone(),
@@ -77,14 +77,14 @@
     }
 }
 
-/// The answer of a delivery, wherever its run was started.
+/// Returns the response of a delivery, whichever delivery started the run.
 pub(crate) async fn respond(
     cx: &RequestContext,
     begun: Result<Once, Failure>,
 ) -> Result<CallerResponse, Failure> {
     let answer = match begun {
         Ok(Once::First(answer)) => {
-            // The run itself notes how it ended.
+            // The run itself records how it ended.
             return wait_for(cx, answer).await.map(|a| a.to_response(&cx.id));
         }
         Ok(Once::Joined(answer)) => wait_for(cx, answer).await,
--- a/crates/tc-caller/src/http/mod.rs
+++ b/crates/tc-caller/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP itself: routes, headers, bodies, answers and problem details.
+//! The HTTP layer: routes, headers, bodies, responses and problem details.
 
 mod addresses;
 mod answer;
--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/pipelines/{pipeline}`.
+//! `POST /v1/pipelines/{pipeline}`: runs a pipeline.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,7 +24,7 @@
     streams::{self, Opening, StreamLog},
 };
 
-/// A request body.
+/// The body of a pipeline request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PipelineRequest {
@@ -94,7 +94,7 @@
     Ok(request)
 }
 
-/// Sends the rest of a stream, from here or through the instance that keeps it.
+/// Sends the rest of a stream, from this instance or forwarded from the instance that retains it.
 async fn resume(
     shared: &Arc<Shared>,
     caller: &Caller,
@@ -123,12 +123,12 @@
         .forward(&shared.settings.me, address, onward)
         .await;
     forwarded.map_err(|error| {
-        log::warn!(instance = entry.as_str(), error = error.to_string().as_str(); "resume not forwarded");
+        log::warn!(instance = entry.as_str(), error = error.to_string().as_str(); "failed to forward a stream resume");
         streams::gone()
     })
 }
 
-/// Runs a pipeline with a stage that may not be repeated.
+/// Runs a pipeline that has a non-idempotent stage.
 async fn call_with_key(
     shared: &Arc<Shared>,
     caller: &Caller,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Streams the run to the delivery that started it; others get its answer whole.
+/// Streams the run to the delivery that started it. Other deliveries get the complete response.
 async fn stream_with_key(
     cx: Arc<RequestContext>,
     keyed: crate::idempotency::Keyed,
@@ -184,7 +184,7 @@
                 Opening::Stream => Ok(response),
                 Opening::Failure(failure) => Err(failure),
             },
-            // The claim was refused, so that the stream never began.
+            // The claim was refused, so the stream never started.
             answer = wait_for(&cx, answer) => Ok(answer?.to_response(&cx.id)),
         },
         begun => keyed::respond(&cx, begun).await,
@@ -202,7 +202,7 @@
     }
 }
 
-/// The whole stream of an answer, its text in one event.
+/// Returns the complete stream of a response, with its text in one event.
 fn to_events(answer: &PipelineResponse) -> Bytes {
     let parts = [
         streams::text_event(1, &answer.output),
--- a/crates/tc-caller/src/http/route.rs
+++ b/crates/tc-caller/src/http/route.rs
@@ -1,11 +1,11 @@
-//! Paths and methods.
+//! Routes requests by path and method.
 
 use http::{Method, Uri};
 use tc_protocol::{PipelineName, ProblemKind, ServiceName};
 
 use crate::http::Failure;
 
-/// What a request is for.
+/// The target of a request.
 #[derive(Debug)]
 pub(crate) enum Route {
     /// `GET /v1/instances`
@@ -15,7 +15,7 @@
     /// `/v1/services/{service}/{path}`, any method
     Service {
         service: ServiceName,
-        /// Path and query as the upstream gets it, with its leading slash.
+        /// Path and query for the upstream, with a leading slash.
         path: String,
     },
 }
--- a/crates/tc-caller/src/http/services.rs
+++ b/crates/tc-caller/src/http/services.rs
@@ -1,4 +1,4 @@
-//! `/v1/services/{service}/{path}`: plain services.
+//! `/v1/services/{service}/{path}`: calls a plain service.
 
 use std::sync::Arc;
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Longest time a call may take; a caller may ask for more than the default.
+/// Returns the maximum duration of a call. Callers may request more than the default.
 fn max_duration(caller: &Caller) -> std::time::Duration {
     caller.headers.timeout.unwrap_or(DEFAULT_PLAIN_TIMEOUT)
 }
@@ -96,13 +96,13 @@
     })
 }
 
-/// Passes the answer on as it comes.
+/// Streams the response to the caller as it is received.
 fn stream_response(answer: PlainServiceResponse) -> CallerResponse {
     let chunks = stream::unfold(Some(answer.body), |body| async move {
         let mut body = body?;
         match body.next().await? {
             Ok(chunk) => Some((Ok(chunk), Some(body))),
-            // The connection is broken off, so that the caller can't take the part for the bytes.
+            // Aborts the connection, so that the caller does not mistake a partial response for a complete one.
             Err(failure) => Some((Err(failure.into()), None)),
         }
     });
@@ -112,7 +112,7 @@
     response
 }
 
-/// The answer as a bytes, so that other deliveries of the key get the same.
+/// Returns the complete response, so that other deliveries of the key get the same one.
 async fn complete_answer(
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
--- a/crates/tc-caller/src/limits.rs
+++ b/crates/tc-caller/src/limits.rs
@@ -1,68 +1,69 @@
-//! Bounds that are the same in every installation.
+//! Limits that are the same in every installation.
 
 use std::time::Duration;
 
-/// How often an idle HTTP/2 connection is probed, and how long an answer may take.
+/// Interval of keep-alive pings on idle HTTP/2 connections, and the timeout for their acknowledgement.
 pub(crate) const HTTP2_KEEP_ALIVE: Duration = Duration::from_secs(20);
-/// How often a connection looks whether its caller still takes what is sent.
+/// Interval at which a connection checks whether its caller has stopped reading.
 pub(crate) const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Streams one HTTP/2 connection may have open.
+/// Maximum number of concurrent streams of an HTTP/2 connection.
 pub(crate) const HTTP2_MAX_STREAMS: u32 = 1_000;
-/// Smallest read buffer hyper takes for HTTP/1.1.
+/// Minimum size of the read buffer that hyper accepts for HTTP/1.1.
 pub(crate) const HTTP1_MIN_BUF_BYTES: usize = 8_192;
-/// Most headers in one HTTP/1.1 request.
+/// Maximum number of headers in an HTTP/1.1 request.
 pub(crate) const HTTP1_MAX_HEADERS: usize = 256;
 
-/// Bytes of an unwanted request body that are taken in before its connection is closed.
+/// Maximum number of bytes of an unused request body that are read before its connection is closed.
 pub(crate) const MAX_DRAIN_BYTES: usize = 1_024 * 1_024;
-/// Longest time for that.
+/// Maximum time for reading an unused request body.
 pub(crate) const DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest time any request may take, whatever its headers ask for.
+/// Maximum duration of any request, whatever its headers request.
 pub(crate) const MAX_TIMEOUT: Duration = Duration::from_hours(1);
-/// Deadline of a call to a plain service that names none.
+/// Timeout of calls to plain services that do not specify one.
 pub(crate) const DEFAULT_PLAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// Priority of a call to a plain service that names none, the default of RFC 9218.
+/// Priority of calls to plain services that do not specify one; the default of RFC 9218.
 pub(crate) const DEFAULT_PLAIN_PRIORITY: u8 = 3;
-/// Least urgent priority of RFC 9218.
+/// The least urgent priority of RFC 9218.
 pub(crate) const LOWEST_PRIORITY: u8 = 7;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub(crate) const MAX_KEY_BYTES: usize = 256;
-/// Hint when to ask again where nothing better is known.
+/// Default for `Retry-After` if no better estimate is available.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Input bytes of a cached prompt prefix that decide affinity.
+/// Number of input bytes that form the prompt prefix for cache affinity.
 pub(crate) const PREFIX_BYTES: usize = 256;
-/// Input bytes that make about one token.
+/// Approximate number of input bytes per token.
 pub(crate) const BYTES_PER_TOKEN: usize = 4;
-/// Hedges and retries a service may have before its first calls earned any.
+/// Number of hedges, and of retries, that a service may use before its first calls have added to the budgets.
 pub(crate) const BUDGET_BURST: f64 = 3.0;
-/// Times in a row a broken generation stream is resumed at its engine without a new event.
+/// Maximum number of consecutive resumes of a broken generation stream that return no new event.
 pub(crate) const MAX_RESUMES_WITHOUT_EVENT: u32 = 3;
 
-/// How long a stream without a reader runs on, and a finished one is kept, for its caller to resume.
+/// Time for which a stream without a reader continues, and a finished stream is retained, so that its caller can resume
+/// it.
 pub(crate) const RESUME_WINDOW: Duration = Duration::from_secs(5);
-/// Bytes of one stream that may wait for its reader before the engine is held back.
+/// Maximum number of unread bytes of a stream before backpressure is applied to the engine.
 pub(crate) const MAX_UNREAD_BYTES: usize = 64 * 1_024;
-/// Bytes of one stream kept for resuming after they were read.
+/// Maximum number of bytes of a stream that are retained after they were read, for resuming.
 pub(crate) const MAX_RETAINED_BYTES: usize = 64 * 1_024;
-/// Events of one stream kept for resuming after they were read.
+/// Maximum number of events of a stream that are retained after they were read, for resuming.
 pub(crate) const MAX_RETAINED_EVENTS: usize = 1_024;
-/// Streams of one workspace that can be resumed.
+/// Maximum number of resumable streams per workspace.
 pub(crate) const MAX_STREAMS_PER_WORKSPACE: usize = 256;
-/// Bytes held by the streams of one workspace that can be resumed.
+/// Maximum number of bytes held by a workspace's resumable streams.
 pub(crate) const MAX_STREAM_BYTES_PER_WORKSPACE: usize = 8 * 1_024 * 1_024;
 
-/// Requests whose decisions are kept.
+/// Maximum number of requests whose decisions are retained.
 pub(crate) const MAX_EXPLANATIONS: usize = 4_096;
-/// Decisions kept of one request.
+/// Maximum number of decisions retained per request.
 pub(crate) const MAX_STEPS_PER_REQUEST: usize = 128;
-/// Workspaces that get their own label in metrics; the others share `other`.
+/// Maximum number of workspaces with their own label in metrics. The others share `other`.
 pub(crate) const MAX_LABELLED_WORKSPACES: usize = 1_000;
 
-/// Largest answer of a non-idempotent call that is passed on.
+/// Maximum size of a response to a non-idempotent call, in bytes. Such responses are buffered.
 pub(crate) const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 * 1_024 * 1_024;
-/// Largest answer that is recorded in the platform's store.
+/// Maximum size of a response that is recorded in the platform's store, in bytes.
 pub(crate) const MAX_RECORDED_BYTES: usize = 16 * 1_024;
-/// Longest time recording an outcome in the platform's store may take.
+/// Timeout for recording an outcome in the platform's store.
 pub(crate) const RECORD_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/tc-caller/src/policy_state.rs
+++ b/crates/tc-caller/src/policy_state.rs
@@ -1,4 +1,4 @@
-//! Estimates and budgets of each service as seen from this instance.
+//! This instance's estimates and budgets for each service.
 
 use std::{
     collections::HashMap,
@@ -12,19 +12,19 @@
 
 use crate::limits::BUDGET_BURST;
 
-/// The quantile that is looked up where only the others matter.
+/// The quantile to look up where only the other fields of the estimate are used.
 const MEDIAN: f64 = 0.5;
 
-/// Services by name; readers don't lock.
+/// The state of services by name. Readers do not lock.
 pub(crate) struct Policies {
     services: ArcSwap<HashMap<ServiceName, Arc<ServicePolicy>>>,
 }
 
-/// Estimates and budgets of one service.
+/// The estimates and budgets of one service.
 pub(crate) struct ServicePolicy {
     name: ServiceName,
     estimators: Arc<Mutex<Estimators>>,
-    /// Times to a stream's first item.
+    /// Estimates of the time until a stream's first item.
     first_item_estimators: Arc<Mutex<Estimators>>,
     hedges: Mutex<ExtraCallBudget>,
     retries: Mutex<ExtraCallBudget>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The service's state; its budgets start afresh when the configuration changes their ratios.
+    /// Returns the state of a service. Its budgets are reset when their ratios change in the configuration.
     pub(crate) fn get(&self, service: &ServiceName, policy: &Policy) -> Arc<ServicePolicy> {
         if let Some(known) = self.services.load().get(service)
             && known.has_ratios_of(policy)
--- a/crates/tc-caller/src/run/admission.rs
+++ b/crates/tc-caller/src/run/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may start at all.
+//! Admission of requests: workspace limits, throttling and deadlines.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     run::{context::RequestContext, plan::StagePlan},
 };
 
-/// Counts the request against its workspace's limits.
+/// Starts the request within its workspace's limits, or refuses it if they are used up.
 pub(crate) fn start_request(cx: &RequestContext) -> Result<(), Failure> {
     match (cx.shared.ports.start_request)(&cx.workspace) {
         Ok(guard) => {
@@ -23,7 +23,8 @@
     }
 }
 
-/// Refuses a request whose stages are not expected to fit into its time: it would cost others and be of use to nobody.
+/// Refuses a request whose stages are not expected to finish before its deadline: it would take capacity from others
+/// without producing a usable result.
 pub(crate) fn admit(cx: &RequestContext, plans: &[StagePlan]) -> Result<(), Failure> {
     let remaining = cx.remaining();
     let estimates: Vec<StageEstimate> = plans.iter().map(|p| p.timing).collect();
--- a/crates/tc-caller/src/run/attempt.rs
+++ b/crates/tc-caller/src/run/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a stage: ask for a permit, call, settle.
+//! One attempt of a stage: requests a permit, calls the upstream and settles the permit.
 
 use std::{future::Future, net::SocketAddr, sync::Arc, sync::OnceLock, time::Duration};
 
@@ -14,10 +14,9 @@
     plan::{InputProperties, StagePlan},
 };
 
-/// The attempt that every stage begins with.
 const FIRST_ATTEMPT: Attempt = Attempt(0);
 
-/// Where a record_grant attempt goes.
+/// The upstream that an attempt was granted, and the time remaining for the call.
 #[derive(Clone)]
 pub(crate) struct CallTarget {
     pub(crate) upstream: UpstreamId,
@@ -26,14 +25,14 @@
     pub(crate) remaining: Duration,
 }
 
-/// An attempt that brought a result; its permit is still held.
+/// An attempt that returned a result. Its permit is still held.
 pub(crate) struct AttemptSuccess<T> {
     pub(crate) value: T,
     pub(crate) permit_guard: PermitGuard,
     pub(crate) target: CallTarget,
 }
 
-/// An attempt that brought none.
+/// An attempt without a result: its permit was refused or its call failed.
 pub(crate) enum AttemptFailure {
     Refused(PermitRefusal),
     Call(CallError),
@@ -48,13 +47,13 @@
     }
 }
 
-/// One try of a stage, and what the others of the same stage need to know of it.
+/// One attempt of a stage, and the upstream it was sent to, which later attempts exclude.
 pub(crate) struct AttemptState {
     pub(crate) attempt: Attempt,
     pub(crate) excluded: Vec<UpstreamId>,
-    /// Longest wait for a permit.
+    /// Maximum wait for a permit.
     pub(crate) slack: Duration,
-    /// Set once a permit was record_grant and the call is about to be sent.
+    /// Set once the permit is granted and the call is about to be sent.
     pub(crate) sent_to: OnceLock<UpstreamId>,
 }
 
@@ -75,14 +74,14 @@
             .map_err(|refusal| record_refusal(cx, plan, state, refusal))?;
     let target = record_grant(cx, plan, state, &permit);
     if target.remaining.is_zero() {
-        // The grant came after the deadline: dropping the permit gives it back as unused.
+        // The permit was granted after the deadline. Dropping it returns it as unused.
         return Err(AttemptFailure::Refused(PermitRefusal {
             reason: RefusalReason::TooLate,
             retry_after: Duration::ZERO,
         }));
     }
     if state.attempt == FIRST_ATTEMPT {
-        // Extra calls earn no further ones.
+        // Only first attempts add to the budget for hedges and retries.
         plan.policy.record_call();
     }
     let permit_guard = PermitGuard::new(cx.clone(), plan.stage.clone(), state.attempt, permit);
@@ -159,9 +158,9 @@
 
 /// Settles a failed call, and waits until a suspected crash has been reported.
 ///
-/// An input that crashes upstreams is quarantined from these reports. Were the caller answered first, its resend could
-/// overtake the report and take down one upstream more, seen as a service that loses upstreams one after the other. A
-/// call that was provably not sent can't have been the cause and is not reported.
+/// Inputs that crash upstreams are quarantined based on these reports. If the caller got its response first, its resend
+/// could overtake the report and crash one more upstream, so that a service would lose its upstreams one after the
+/// other. A call that was provably not sent cannot have caused a crash and is not reported.
 pub(crate) async fn settle_failed(
     cx: &RequestContext,
     input_properties: &InputProperties,
--- a/crates/tc-caller/src/run/context.rs
+++ b/crates/tc-caller/src/run/context.rs
@@ -1,4 +1,4 @@
-//! One request: who asked, until when, and what is known of it so far.
+//! The context of one request: its workspace, deadline, run state and cost.
 
 use std::{
     ops::Deref,
@@ -21,7 +21,7 @@
     shared::Shared,
 };
 
-/// What is known of a request when it is accepted.
+/// The properties of a request that are known when it is accepted.
 pub(crate) struct AcceptedRequest {
     pub(crate) id: RequestId,
     pub(crate) counter: u64,
@@ -35,9 +35,9 @@
     pub(crate) view: Arc<FleetView>,
 }
 
-/// One request while it runs; derefs to what was known when it was accepted.
+/// The context of a running request. Dereferences to the [`AcceptedRequest`].
 ///
-/// Dropped before [`RequestContext::finish`], it counts as left by its caller.
+/// If it is dropped before [`RequestContext::finish`], the caller is considered to have disconnected.
 pub(crate) struct RequestContext {
     pub(crate) shared: Arc<Shared>,
     accepted: AcceptedRequest,
@@ -86,12 +86,12 @@
         self.trace.add(decision);
     }
 
-    /// Takes into account what is known of one dispatched attempt.
+    /// Merges the run state of one dispatched attempt into that of the request.
     pub(crate) fn record_run_state(&self, state: RunState) {
         self.run_state.fetch_max(state as u8, Ordering::Relaxed);
     }
 
-    /// What is known of the whole request.
+    /// Returns the run state of the whole request, the highest of its attempts.
     pub(crate) fn run_state(&self) -> RunState {
         let highest = self.run_state.load(Ordering::Relaxed);
         [RunState::Ran, RunState::Unknown]
@@ -100,7 +100,7 @@
             .unwrap_or(RunState::NotRun)
     }
 
-    /// A failure with the run state of the whole request.
+    /// Creates a failure with the run state of the whole request.
     pub(crate) fn failure(&self, kind: ProblemKind, detail: impl Into<String>) -> Failure {
         Failure::new(kind, self.run_state(), detail)
     }
@@ -116,7 +116,7 @@
         *lock(&self.limit_guard) = Some(guard);
     }
 
-    /// Adds the cost of one call of `stage`; `wasted` when its result was not used.
+    /// Adds the cost of one call of `stage`. `wasted` is true if its result was not used.
     pub(crate) fn add_cost(&self, stage: &StageName, cost: &Cost, wasted: bool) {
         let key = (self.pipeline.clone(), stage.clone());
         self.workspace_record.spent(&key, cost, wasted);
@@ -130,7 +130,7 @@
         *lock(&self.cost)
     }
 
-    /// Notes how the request ended; only the first time counts.
+    /// Records how the request ended. Later calls have no effect.
     pub(crate) fn finish(&self, failure: Option<&Failure>) {
         let ending = match failure {
             None if self.deadline.is_past(MonoTime::now()) => Ending::Late,
--- a/crates/tc-caller/src/run/dispatch.rs
+++ b/crates/tc-caller/src/run/dispatch.rs
@@ -1,4 +1,4 @@
-//! A stage's attempts: the first, at most one hedge beside it, and retries after them.
+//! Dispatch of a stage: a first attempt, at most one hedge in parallel, and retries.
 
 use std::{
     future::Future,
@@ -24,18 +24,18 @@
     },
 };
 
-/// A stage and what follows it, as far as dispatching it is concerned.
+/// A stage to dispatch, with the estimates that hedging and retries depend on.
 pub(crate) struct Dispatch<'a> {
     pub(crate) cx: &'a Arc<RequestContext>,
     pub(crate) plan: &'a StagePlan,
     pub(crate) input_properties: &'a InputProperties,
-    /// Estimates of this stage and those after it.
+    /// Estimates of this stage and all later ones.
     pub(crate) rest: &'a [StageEstimate],
-    /// Time until a call brings what is waited for here: the whole result or a stream's first item.
+    /// Estimated time until a call returns its complete result or, for a stream, its first item.
     pub(crate) until_result: &'a StageEstimate,
 }
 
-/// What the stage's attempts came to so far.
+/// Number of a stage's attempts so far, and the upstreams that they were sent to.
 #[derive(Default)]
 pub(crate) struct Attempts {
     pub(crate) count: u32,
@@ -43,7 +43,7 @@
 }
 
 impl Dispatch<'_> {
-    /// Runs `call` on one upstream after the other until one brings a result, within the service's budgets.
+    /// Runs `call` on one upstream after another until one succeeds, within the service's hedge and retry budgets.
     pub(crate) async fn run<T, F, Fut>(
         &self,
         attempts: &mut Attempts,
@@ -60,7 +60,7 @@
                 Err(failure) => failure,
             };
             let Some(delay) = self.retry_delay(&failure, attempts) else {
-                // A refusal for want of another upstream is no news beside the call that failed_call before it.
+                // If a retry was refused for lack of another upstream, the earlier failed call is the cause to report.
                 return Err(self.to_failure(failed_call.as_ref().unwrap_or(&failure)));
             };
             metrics::counter!("tc_retries_total", "service" => self.service()).increment(1);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// One attempt, and a hedge beside it once it is slow.
+    /// Runs one attempt, and a hedge in parallel if the attempt is slow.
     async fn attempt_with_hedge<T, F, Fut>(
         &self,
         attempts: &mut Attempts,
@@ -116,7 +116,7 @@
         result
     }
 
-    /// Waits for the first attempt; `None` once a hedge should start beside it.
+    /// Waits for the first attempt. Returns `None` if a hedge should start in parallel.
     async fn wait_until_hedge<T, P>(
         &self,
         primary: &mut P,
@@ -132,7 +132,7 @@
                 result = &mut *primary => return Some(result),
                 () = tokio::time::sleep(delay) => {}
             }
-            // Still waiting for a permit: a second ask would only wait in another queue.
+            // The first attempt still waits for a permit. A second request would only wait in another queue.
             if first.sent_to.get().is_none() {
                 continue;
             }
@@ -172,7 +172,7 @@
         hedge
     }
 
-    /// Longest wait for a permit; the comparison policy waits until the deadline.
+    /// Returns the maximum wait for a permit. The comparison policy waits until the deadline.
     fn slack(&self) -> Duration {
         let remaining = self.cx.remaining();
         if self.cx.shared.settings.baseline {
@@ -181,9 +181,9 @@
         slack_for(remaining, self.rest)
     }
 
-    /// When to try again, or `None` when the stage must not or cannot be tried again.
+    /// Returns the delay before the next retry, or `None` if the stage must not or cannot be retried.
     ///
-    /// A call that is not idempotent is dispatched again only if the one before was provably not sent.
+    /// A non-idempotent call is retried only if the previous attempt was provably not sent.
     fn retry_delay(&self, failure: &AttemptFailure, attempts: &Attempts) -> Option<Duration> {
         let may_repeat = self.plan.idempotent || failure.run_state() == RunState::NotRun;
         if !may_repeat || !is_retryable(failure) {
@@ -243,7 +243,7 @@
     }
 }
 
-/// The first whole result of two attempts; the other is cancelled by dropping it.
+/// Returns the first successful result of two attempts, and cancels the other one by dropping it.
 async fn first_success<T, A, B>(primary: A, hedge: B) -> Result<AttemptSuccess<T>, AttemptFailure>
 where
     A: Future<Output = Result<AttemptSuccess<T>, AttemptFailure>> + Unpin,
@@ -267,15 +267,15 @@
     }
 }
 
-/// Drops the losing attempt; one that had its result ready as well is counted.
+/// Drops the losing attempt, and counts it as a late result if it had completed as well.
 fn drop_loser<T>(loser: impl Future<Output = Result<AttemptSuccess<T>, AttemptFailure>>) {
     if let Some(Ok(_late)) = loser.now_or_never() {
         metrics::counter!("tc_late_results_total").increment(1);
     }
 }
 
-/// Whether another try could end better. Refusals are final, so that the caller hears of them at once; only a home
-/// that could not be reached may have been replaced a moment later.
+/// Returns true if a retry may succeed. Refusals are final, so that the caller learns of them immediately. The exception
+/// is an unreachable home, which may be replaced a moment later.
 fn is_retryable(failure: &AttemptFailure) -> bool {
     match failure {
         AttemptFailure::Refused(refusal) => refusal.reason == RefusalReason::HomeUnreachable,
@@ -286,7 +286,7 @@
     }
 }
 
-/// Of two failures the one that says more: a call that may have run goes before one that did not.
+/// Returns the more informative of two failures: a call that may have run takes precedence over one that did not.
 fn more_informative(first: AttemptFailure, second: AttemptFailure) -> AttemptFailure {
     match (&first, &second) {
         (AttemptFailure::Refused(_), AttemptFailure::Call(_)) => second,
--- a/crates/tc-caller/src/run/generation.rs
+++ b/crates/tc-caller/src/run/generation.rs
@@ -1,4 +1,4 @@
-//! The last stage of a streamed pipeline: text goes to the caller as it comes.
+//! The last stage of a streamed pipeline, whose text is sent to the caller as it is generated.
 
 use std::sync::Arc;
 
@@ -21,13 +21,14 @@
     streams::StreamLog,
 };
 
-/// A stream whose first item has come. Until then it may be hedged and retried, since the caller has seen nothing.
+/// A stream whose first item has arrived. Until then it may be hedged and retried, since nothing has been sent to the
+/// caller.
 struct OpenedStream {
     stream: EngineStream,
     first: StreamItem,
 }
 
-/// Runs the last stage into `log`.
+/// Runs the last stage and writes its text to `log`.
 pub(crate) async fn run_generation(
     cx: &Arc<RequestContext>,
     plan: &StagePlan,
@@ -107,7 +108,7 @@
     }
 }
 
-/// A generation that the caller already sees part of.
+/// A generation of which the caller has already received a part.
 struct Generation<'a> {
     cx: &'a Arc<RequestContext>,
     plan: &'a StagePlan,
@@ -117,15 +118,15 @@
     target: CallTarget,
     output: String,
     last_event_id: u64,
-    /// Resumes since the last event arrived.
+    /// Number of resumes since the last event arrived.
     resumes_without_event: u32,
 }
 
 impl Generation<'_> {
-    /// Passes items on until the stream is whole; a failure one is resumed at the same engine.
+    /// Forwards items until the stream is complete. A broken stream is resumed at the same engine.
     ///
-    /// It is never begun again elsewhere: another engine may generate other text, and the caller would get a mix of
-    /// two answers without any sign of it.
+    /// It is never restarted on another engine, which may generate different text: the caller would get a mix of two
+    /// responses without noticing.
     async fn forward(
         mut self,
         opened: OpenedStream,
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Opens the stream again after the last event that arrived; gives `error` back when that is of no use.
+    /// Reopens the stream after the last event that arrived. Returns `error` if the stream cannot be resumed.
     async fn resume(&mut self, error: CallError) -> Result<EngineStream, CallError> {
         if error.kind != CallErrorKind::Broken
             || self.resumes_without_event == MAX_RESUMES_WITHOUT_EVENT
@@ -191,7 +192,7 @@
             .upstream
             .open_stream(call, self.last_event_id)
             .await;
-        // The first error is the one that says how the call under way ended.
+        // The original error describes how the running call ended.
         resumed.map_err(|_| error)
     }
 
@@ -209,7 +210,7 @@
     }
 
     fn failure(&self, error: &CallError) -> Failure {
-        // Text of it has arrived, so it ran, whatever the last error proves.
+        // Some of its text has arrived, so it ran, whatever run state the last error implies.
         self.cx.record_run_state(RunState::Ran);
         if error.kind == CallErrorKind::TimedOut {
             return self.cx.deadline_exceeded();
--- a/crates/tc-caller/src/run/mod.rs
+++ b/crates/tc-caller/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! The run of a request through its stages.
+//! Runs requests through their stages.
 
 mod admission;
 mod attempt;
--- a/crates/tc-caller/src/run/permit_guard.rs
+++ b/crates/tc-caller/src/run/permit_guard.rs
@@ -1,4 +1,4 @@
-//! A permit in use: settles itself truthfully when its call is given up.
+//! A guard that settles a permit as cancelled when its call is abandoned.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,9 +8,9 @@
 
 /// A granted permit whose call has been sent.
 ///
-/// Dropped without [`PermitGuard::settle`], the call was cancelled: its permit is released as such, its time counts as
-/// wasted, and the request may have run. Without that, a caller that leaves would free neither the upstream's slot nor
-/// show in the cost.
+/// If it is dropped without [`PermitGuard::settle`], the call was cancelled: the permit is released as cancelled, its
+/// time counts as wasted, and the run state is unknown. Otherwise, when a caller disconnects, the upstream's slot would
+/// stay occupied and the call's cost would not be recorded.
 pub(crate) struct PermitGuard {
     cx: Arc<RequestContext>,
     stage: StageName,
@@ -25,7 +25,7 @@
     pub(crate) outcome: Outcome,
     pub(crate) run_state: RunState,
     pub(crate) cost: Cost,
-    /// Whether its result was not used.
+    /// Whether the result was not used.
     pub(crate) wasted: bool,
 }
 
@@ -54,7 +54,7 @@
         MonoTime::now().since(self.sent_at)
     }
 
-    /// Cost of a call of which only its time is known.
+    /// Returns the cost of a call for which only the elapsed time is known.
     pub(crate) fn time_cost(&self) -> Cost {
         Cost {
             busy_ms: self.elapsed().as_secs_f64() * 1e3,
--- a/crates/tc-caller/src/run/pipeline.rs
+++ b/crates/tc-caller/src/run/pipeline.rs
@@ -1,4 +1,4 @@
-//! The run of a pipeline: admission, then stage after stage.
+//! Runs a pipeline: admission, then one stage after another.
 
 use std::sync::Arc;
 
@@ -18,14 +18,14 @@
     streams::StreamLog,
 };
 
-/// What a caller wants of a pipeline.
+/// A caller's request to run a pipeline.
 pub(crate) struct PipelineCall {
     pub(crate) pipeline: Pipeline,
     pub(crate) input: Arc<str>,
     pub(crate) max_tokens: Option<u32>,
 }
 
-/// What one stage took, as told to the caller.
+/// Duration and number of attempts of one stage, as reported to the caller.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct StageSummary {
     pub(crate) name: StageName,
@@ -33,7 +33,7 @@
     pub(crate) attempts: u32,
 }
 
-/// The whole answer.
+/// The complete response of a pipeline.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct PipelineResponse {
     pub(crate) request_id: RequestId,
@@ -43,7 +43,7 @@
 }
 
 impl PipelineCall {
-    /// Whether no stage may be repeated without doubling an effect.
+    /// Returns true if the services of all stages are idempotent, so that every stage may be repeated.
     pub(crate) fn is_idempotent(&self, config: &FleetConfig) -> bool {
         self.pipeline.stages.iter().all(|stage| {
             let service = config.services.get(&stage.service);
@@ -52,7 +52,7 @@
     }
 }
 
-/// Runs all stages within the deadline; with `stream`, the last one's text goes there as it comes.
+/// Runs all stages within the deadline. With `stream`, the text of the last stage is written to it as it is generated.
 pub(crate) async fn run_pipeline(
     cx: &Arc<RequestContext>,
     call: &PipelineCall,
@@ -62,7 +62,7 @@
     start_request(cx)?;
     admit(cx, &plans)?;
     let run = tokio::time::timeout(cx.remaining(), run_stages(cx, call, &plans, stream)).await;
-    // The attempts that were under way are dropped by now and have noted what is known of them.
+    // By now the attempts that were running have been dropped and have recorded their run state.
     let result = run.unwrap_or_else(|_| Err(cx.deadline_exceeded()));
     cx.shared.throttles.record(cx, &result);
     result
--- a/crates/tc-caller/src/run/plain.rs
+++ b/crates/tc-caller/src/run/plain.rs
@@ -1,4 +1,4 @@
-//! A call to a plain service.
+//! Calls to plain services.
 
 use std::sync::Arc;
 
@@ -22,42 +22,42 @@
     trace,
 };
 
-/// What a caller wants of a plain service.
+/// A caller's request to a plain service.
 pub(crate) struct PlainRequest {
     pub(crate) service: ServiceName,
     pub(crate) method: Method,
     pub(crate) path: PathAndQuery,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Whether this call may be repeated without doubling an effect.
+    /// Whether this call may be repeated without duplicating its effect.
     pub(crate) idempotent: bool,
 }
 
-/// An answer whose body is still to come.
+/// A response whose body is still being received.
 pub(crate) struct PlainServiceResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: PlainServiceBody,
 }
 
-/// The body of a plain service's answer, settling its permit when it ends.
+/// The body of a plain service's response. Settles the permit when the body ends.
 pub(crate) struct PlainServiceBody {
     cx: Arc<RequestContext>,
     input_properties: InputProperties,
     body: PlainBody,
     permit_guard: Option<PermitGuard>,
     outcome: Outcome,
-    /// Bytes still to come, where the answer told its length.
+    /// Number of bytes still to be received, if the response declared its length.
     remaining_bytes: Option<u64>,
 }
 
 impl PlainServiceBody {
-    /// The next chunk; `None` after the last.
+    /// Returns the next chunk, or `None` at the end of the body.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Failure>> {
         loop {
             match self.body.frame().await {
                 Some(Ok(frame)) => {
-                    // Trailers are not passed on.
+                    // Trailers are not forwarded.
                     if let Ok(data) = frame.into_data() {
                         self.record_received(data.len() as u64).await;
                         return Some(Ok(data));
@@ -72,10 +72,10 @@
         }
     }
 
-    /// Counts what arrived, and takes the end of an answer of known length together with its last byte.
+    /// Counts received bytes, and polls for the end of a body of known length together with its last byte.
     ///
-    /// The sender of such an answer stops asking once it has all of it. Left for the next call, the end would never be
-    /// seen, and an answered request would count as left by its caller.
+    /// The HTTP server stops polling such a body once it has all bytes. If the end were left to the next poll, it would never be
+    /// reached, and a completed request would be recorded as abandoned by its caller.
     async fn record_received(&mut self, bytes: u64) {
         self.remaining_bytes = self
             .remaining_bytes
@@ -112,7 +112,7 @@
     }
 }
 
-/// Calls a plain service; done once the answer's headers are there.
+/// Calls a plain service. Returns once the response headers have been received.
 pub(crate) async fn run_plain(
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
@@ -160,7 +160,7 @@
     Ok(start_response(cx, request, input_properties, success).await)
 }
 
-/// The answer that `success` began; its permit is held until the body has ended.
+/// Converts the upstream's response to one that holds the permit until the body has ended.
 async fn start_response(
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
@@ -191,7 +191,7 @@
     }
 }
 
-/// Bytes of an answer's body, where that is known before it comes.
+/// Returns the length of a response body, if it is known in advance.
 fn body_length(request: &PlainRequest, status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED].contains(&status);
     if bodiless || request.method == Method::HEAD {
@@ -200,7 +200,8 @@
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Bytes that tell calls apart which would do different things to an upstream.
+/// Returns the input for the fingerprint: method, path and body, which distinguish calls with different effects on an
+/// upstream.
 fn fingerprint_input(request: &PlainRequest) -> Vec<u8> {
     let parts = [request.method.as_str(), " ", request.path.as_str(), "\n"];
     let mut bytes = parts.concat().into_bytes();
--- a/crates/tc-caller/src/run/plan.rs
+++ b/crates/tc-caller/src/run/plan.rs
@@ -1,4 +1,4 @@
-//! What a stage needs to know before it asks for a permit.
+//! The plan of a stage, computed before its permit is requested.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     run::context::RequestContext,
 };
 
-/// One stage as this request will run it.
+/// The configuration and estimates with which a request runs one stage.
 #[derive(Clone)]
 pub(crate) struct StagePlan {
     pub(crate) stage: StageName,
@@ -56,7 +56,7 @@
     }
 }
 
-/// What depends on a stage's input.
+/// The properties that are derived from a stage's input.
 #[derive(Clone, Copy)]
 pub(crate) struct InputProperties {
     pub(crate) fingerprint: Fingerprint,
--- a/crates/tc-caller/src/run/stage.rs
+++ b/crates/tc-caller/src/run/stage.rs
@@ -1,4 +1,4 @@
-//! One stage of a pipeline.
+//! Runs one stage of a pipeline.
 
 use std::{
     sync::Arc,
@@ -22,14 +22,14 @@
     trace,
 };
 
-/// A stage that was answered whole.
+/// The output of a completed stage.
 pub(crate) struct StageOutput {
     pub(crate) output: String,
     pub(crate) took: Duration,
     pub(crate) attempts: u32,
 }
 
-/// Runs a stage whose result comes as a whole.
+/// Runs a stage whose result is not streamed.
 pub(crate) async fn run_stage(
     cx: &Arc<RequestContext>,
     plan: &StagePlan,
@@ -74,7 +74,7 @@
     Ok(run.done(output, &attempts))
 }
 
-/// A stage under way, however its result comes.
+/// A running stage, streamed or not.
 pub(crate) struct StageRun<'a> {
     cx: &'a Arc<RequestContext>,
     plan: &'a StagePlan,
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Its attempts; `until_result` is the time until a call brings what is waited for.
+    /// Creates the dispatch of the stage. `until_result` is the estimated time until a call returns its complete result or,
+    /// for a stream, its first item.
     pub(crate) fn dispatch<'b>(
         &'b self,
         rest: &'b [StageEstimate],
@@ -111,7 +112,7 @@
         self.started.elapsed()
     }
 
-    /// Records the time of a whole answer and clears its input of suspicion.
+    /// Records the duration of the completed stage, and reports that its input did not crash the upstream.
     pub(crate) fn done(&self, output: String, attempts: &Attempts) -> StageOutput {
         (self.cx.shared.ports.report_completed)(self.input_properties.fingerprint);
         let took = self.elapsed();
--- a/crates/tc-caller/src/run/throttle.rs
+++ b/crates/tc-caller/src/run/throttle.rs
@@ -1,4 +1,4 @@
-//! Admission by the outcomes of a workspace's earlier requests of the same pipeline.
+//! Adaptive throttling, based on the outcomes of a workspace's recent requests to the same pipeline.
 
 use std::{
     collections::HashMap,
@@ -14,21 +14,22 @@
     run::{context::RequestContext, pipeline::PipelineResponse},
 };
 
-/// When room may have been found: the time over which outcomes count.
+/// Suggested delay before a retry: the time window over which outcomes count.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Kinds kept; there are as many as workspaces use pipelines, so only a change of configuration leaves old ones.
+/// Maximum number of throttles. There is one for each combination of workspace and pipeline in use, so only
+/// configuration changes leave unused ones behind.
 const MAX_THROTTLES: usize = 10_000;
 
 type ThrottleKey = (WorkspaceName, PipelineName);
 
-/// Throttles of all kinds of requests of this instance.
+/// This instance's throttles by workspace and pipeline.
 #[derive(Default)]
 pub(crate) struct Throttles {
     by_key: Mutex<HashMap<ThrottleKey, Throttle>>,
 }
 
 impl Throttles {
-    /// Lets the request in, or refuses it before anything of it has run.
+    /// Admits the request, or refuses it before any of its stages has run.
     pub(crate) fn admit(&self, cx: &RequestContext) -> Result<(), Failure> {
         let now = MonoTime::now();
         if self.with_throttle(cx, |throttle| throttle.admit(now, rand::random())) {
@@ -41,7 +42,7 @@
             .with_retry_after(RETRY_AFTER))
     }
 
-    /// Notes whether a request that was let in found room.
+    /// Records whether an admitted request failed for lack of capacity.
     pub(crate) fn record(&self, cx: &RequestContext, result: &Result<PipelineResponse, Failure>) {
         let now = MonoTime::now();
         let missed = result.as_ref().is_err_and(|failure| is_miss(failure.kind));
@@ -66,7 +67,8 @@
     }
 }
 
-/// Whether a request failed for want of room. An upstream's own failure is none: refusing others would not help.
+/// Returns true if a request failed for lack of capacity. A failure of the upstream itself does not count, since refusing
+/// other requests would not help.
 const fn is_miss(kind: ProblemKind) -> bool {
     matches!(
         kind,
--- a/crates/tc-caller/src/server.rs
+++ b/crates/tc-caller/src/server.rs
@@ -1,4 +1,4 @@
-//! The server towards callers: connections, and stopping without cutting one off.
+//! The server for callers: accepts connections, and stops without interrupting requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,10 +14,10 @@
     shared::Shared,
 };
 
-/// Pause after an accept failed, for instance because no file descriptor was free.
+/// Delay after a failed accept, for example when no file descriptor is available.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// HTTP towards callers.
+/// The HTTP server for callers.
 pub struct CallerServer {
     shared: Arc<Shared>,
     /// Cancelled by the first step of a planned stop.
@@ -25,13 +25,13 @@
 }
 
 impl CallerServer {
-    /// A server that is not listening yet.
+    /// Creates a server with the default timeouts. It does not listen until [`CallerServer::serve`] is called.
     #[must_use]
     pub fn new(settings: CallerSettings, ports: Ports, upstream: UpstreamClient) -> Arc<Self> {
         Self::with_timeouts(settings, ports, upstream, CallerTimeouts::default())
     }
 
-    /// A server with other bounds on how long callers may keep it waiting.
+    /// Creates a server with the given timeouts for callers.
     #[must_use]
     pub fn with_timeouts(
         settings: CallerSettings,
@@ -45,10 +45,10 @@
         })
     }
 
-    /// Serves callers until `stop` is cancelled, then finishes every request and returns when the last has ended.
+    /// Serves callers until `stop` is cancelled, then finishes all requests and returns when the last one has ended.
     ///
-    /// On `stop` no connection is accepted any more, HTTP/2 callers get GOAWAY and HTTP/1.1 connections are closed
-    /// after their answer.
+    /// After `stop`, no connections are accepted, HTTP/2 callers get GOAWAY, and HTTP/1.1 connections are closed after
+    /// their response.
     pub async fn serve(self: Arc<Self>, listener: TcpListener, stop: CancellationToken) {
         loop {
             let accepted = tokio::select! {
@@ -68,7 +68,7 @@
                         .spawn(serve_connection(shared, socket, signals));
                 }
                 Err(error) => {
-                    log::warn!(error = error.to_string().as_str(); "accepting a caller failed");
+                    log::warn!(error = error.to_string().as_str(); "failed to accept a caller connection");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -78,26 +78,27 @@
         self.shared.tasks.wait().await;
     }
 
-    /// First step of a planned stop: answers carry `Connection: close` and HTTP/2 callers get GOAWAY, so that they
-    /// ask for addresses again; new connections are still served.
+    /// Performs the first step of a planned stop: responses carry `Connection: close` and HTTP/2 callers get GOAWAY, so
+    /// that callers request the addresses again. New connections are still served.
     pub fn close_connections(&self) {
         self.shared.start_closing();
         self.closing.cancel();
     }
 
-    /// Requests accepted and not yet answered whole, runs that go on without their caller included.
+    /// Returns the number of accepted requests whose response is not complete, including runs that continue after their
+    /// caller has disconnected.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.shared.in_flight()
     }
 
-    /// Decisions of a recent request of this instance.
+    /// Returns the decisions made for a recent request of this instance.
     #[must_use]
     pub fn explain(&self, id: &RequestId) -> Option<Explanation> {
         self.shared.explanations.explain(id)
     }
 
-    /// Requests, times and cost of every workspace that called, in order of name.
+    /// Returns requests, times and cost of every workspace that has sent requests, sorted by name.
     #[must_use]
     pub fn workspace_stats(&self) -> Vec<WorkspaceStats> {
         self.shared.stats.all()
--- a/crates/tc-caller/src/shared.rs
+++ b/crates/tc-caller/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of this instance share.
+//! State shared by all requests of this instance.
 
 use std::sync::{
     Arc, Mutex,
@@ -19,7 +19,7 @@
     streams::StreamRegistry,
 };
 
-/// State of the caller side of one instance.
+/// The state of the server for callers.
 pub(crate) struct Shared {
     pub(crate) settings: CallerSettings,
     pub(crate) timeouts: CallerTimeouts,
@@ -33,7 +33,7 @@
     pub(crate) streams: Arc<StreamRegistry>,
     pub(crate) keys: Mutex<KeyTable>,
     pub(crate) forwarder: Forwarder,
-    /// Connections, and runs that go on without their caller; a stop waits for all of them.
+    /// Connections, and runs that continue after their caller has disconnected. A stop waits for all of them.
     pub(crate) tasks: TaskTracker,
     in_flight: Arc<AtomicUsize>,
     closing: AtomicBool,
@@ -92,7 +92,7 @@
     }
 }
 
-/// One request in flight.
+/// Guard that counts one request as in flight.
 pub(crate) struct InFlight(Arc<AtomicUsize>);
 
 impl Drop for InFlight {
