--- a/crates/tc-caller/src/connection.rs
+++ b/crates/tc-caller/src/connection.rs
@@ -37,7 +37,7 @@
 const HEADER_LIMIT_FACTOR: usize = 4;
 
 /// Shutdown signals to a connection.
-pub(crate) struct Signals {
+pub(crate) struct ShutdownSignals {
     /// Announces the planned stop to the caller: the first step of a planned stop.
     pub(crate) closing: CancellationToken,
     /// Ends the connection once its running requests are finished.
@@ -45,7 +45,11 @@
 }
 
 /// Serves one connection until it is closed.
-pub(crate) async fn serve_connection(shared: Arc<Shared>, socket: TcpStream, signals: Signals) {
+pub(crate) async fn serve_connection(
+    shared: Arc<Shared>,
+    socket: TcpStream,
+    signals: ShutdownSignals,
+) {
     let _ = socket.set_nodelay(true);
     let timeouts = shared.timeouts;
     let progress = Arc::new(ConnectionProgress::new());
--- a/crates/tc-caller/src/http/addresses.rs
+++ b/crates/tc-caller/src/http/addresses.rs
@@ -11,9 +11,9 @@
 pub(crate) fn addresses(shared: &Shared, caller: &Caller) -> Result<CallerResponse, Failure> {
     let query = caller.parts.uri.query().unwrap_or_default();
     let mut pairs = form_urlencoded::parse(query.as_bytes());
-    let wanted = pairs
-        .find(|(name, _)| name == "workspace")
-        .ok_or_else(|| Failure::bad("the query must name the workspace: ?workspace=NAME"))?;
+    let wanted = pairs.find(|(name, _)| name == "workspace").ok_or_else(|| {
+        Failure::bad_request("the query must name the workspace: ?workspace=NAME")
+    })?;
     if wanted.1 != caller.workspace.as_str() {
         return Err(Failure::not_run(
             ProblemKind::Forbidden,
--- a/crates/tc-caller/src/http/body.rs
+++ b/crates/tc-caller/src/http/body.rs
@@ -28,8 +28,10 @@
     match tokio::time::timeout(timeout, Limited::new(body, max).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(too_large(max)),
-        Ok(Err(e)) => Err(Failure::bad(format!("the body did not arrive whole: {e}"))),
-        Err(_) => Err(Failure::bad("the body did not arrive in time")),
+        Ok(Err(e)) => Err(Failure::bad_request(format!(
+            "the body did not arrive whole: {e}"
+        ))),
+        Err(_) => Err(Failure::bad_request("the body did not arrive in time")),
     }
 }
 
--- a/crates/tc-caller/src/http/failure.rs
+++ b/crates/tc-caller/src/http/failure.rs
@@ -34,7 +34,7 @@
     }
 
     /// Creates the failure for a malformed request.
-    pub(crate) fn bad(detail: impl Into<String>) -> Self {
+    pub(crate) fn bad_request(detail: impl Into<String>) -> Self {
         Self::not_run(ProblemKind::BadRequest, detail)
     }
 
--- a/crates/tc-caller/src/http/handle.rs
+++ b/crates/tc-caller/src/http/handle.rs
@@ -53,7 +53,7 @@
         problem_response(&failure, &id).into_response()
     });
     finish_headers(response.headers_mut(), &shared, &id, version);
-    response.body_mut().hold(in_flight, progress);
+    response.body_mut().track(in_flight, progress);
     response
 }
 
--- a/crates/tc-caller/src/http/headers.rs
+++ b/crates/tc-caller/src/http/headers.rs
@@ -76,12 +76,13 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(Failure::bad(format!("header {name} was sent twice")));
+        return Err(Failure::bad_request(format!(
+            "header {name} was sent twice"
+        )));
     }
-    value
-        .to_str()
-        .map(|text| Some(text.trim()))
-        .map_err(|_| Failure::bad(format!("header {name} has characters that are not allowed")))
+    value.to_str().map(|text| Some(text.trim())).map_err(|_| {
+        Failure::bad_request(format!("header {name} has characters that are not allowed"))
+    })
 }
 
 fn timeout(headers: &HeaderMap) -> Result<Option<Duration>, Failure> {
@@ -90,7 +91,7 @@
     };
     match value.parse::<u64>() {
         Ok(millis) if millis > 0 => Ok(Some(Duration::from_millis(millis).min(MAX_TIMEOUT))),
-        _ => Err(Failure::bad(format!(
+        _ => Err(Failure::bad_request(format!(
             "header {} must be a whole number of milliseconds above zero",
             wire::TIMEOUT_MS
         ))),
@@ -102,7 +103,7 @@
         return Ok(None);
     };
     let bad = || {
-        Failure::bad(format!(
+        Failure::bad_request(format!(
             "header {} must be as in RFC 9218, u=0 to u=7",
             wire::PRIORITY
         ))
@@ -128,7 +129,7 @@
         return Ok(None);
     };
     if value.is_empty() || value.len() > MAX_KEY_BYTES {
-        return Err(Failure::bad(format!(
+        return Err(Failure::bad_request(format!(
             "header {} must have 1 to {MAX_KEY_BYTES} bytes",
             wire::IDEMPOTENCY_KEY
         )));
@@ -151,7 +152,7 @@
         })
         .map(Some)
         .ok_or_else(|| {
-            Failure::bad(format!(
+            Failure::bad_request(format!(
                 "header {} must be the binding from the address answer",
                 wire::INSTANCE_BINDING
             ))
@@ -163,13 +164,13 @@
         return Ok(None);
     };
     let last_event_id = last.parse().map_err(|_| {
-        Failure::bad(format!(
+        Failure::bad_request(format!(
             "header {} must be the id of an event",
             wire::LAST_EVENT_ID
         ))
     })?;
     let request = text(headers, wire::REQUEST_ID)?.ok_or_else(|| {
-        Failure::bad(format!(
+        Failure::bad_request(format!(
             "header {} needs {} of the answer that is resumed",
             wire::LAST_EVENT_ID,
             wire::REQUEST_ID
--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -87,9 +87,9 @@
 
 fn parse_request(body: &[u8]) -> Result<PipelineRequest, Failure> {
     let request: PipelineRequest = serde_json::from_slice(body)
-        .map_err(|e| Failure::bad(format!("the body is not a pipeline request: {e}")))?;
+        .map_err(|e| Failure::bad_request(format!("the body is not a pipeline request: {e}")))?;
     if request.max_tokens == Some(0) {
-        return Err(Failure::bad("max_tokens must be above zero"));
+        return Err(Failure::bad_request("max_tokens must be above zero"));
     }
     Ok(request)
 }
@@ -103,7 +103,7 @@
     remaining: Duration,
 ) -> Result<CallerResponse, Failure> {
     let entry = from.request.entry_instance().ok_or_else(|| {
-        Failure::bad(format!(
+        Failure::bad_request(format!(
             "header {} is not a request's identifier",
             wire::REQUEST_ID
         ))
--- a/crates/tc-caller/src/http/answer.rs
+++ b/crates/tc-caller/src/http/response.rs
@@ -17,7 +17,7 @@
 use tc_protocol::{ProblemKind, RequestId, wire};
 
 use crate::{
-    connection::ResponseProgress, http::Failure, idempotency::FinalAnswer, shared::InFlight,
+    connection::ResponseProgress, http::Failure, idempotency::FinalAnswer, shared::InFlightGuard,
 };
 
 /// An error that ends a body prematurely.
@@ -28,20 +28,20 @@
 /// The body of a response. The request counts as in flight until the body has been sent or dropped.
 pub(crate) struct CallerBody {
     content: Content,
-    in_flight: Option<InFlight>,
+    in_flight: Option<InFlightGuard>,
     progress: Option<ResponseProgress>,
 }
 
 enum Content {
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     Stream(BoxStream<'static, Result<Bytes, BodyError>>),
 }
 
 impl CallerBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub(crate) fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self {
-            content: Content::Whole((!bytes.is_empty()).then_some(bytes)),
+            content: Content::Full((!bytes.is_empty()).then_some(bytes)),
             in_flight: None,
             progress: None,
         }
@@ -55,7 +55,8 @@
         }
     }
 
-    pub(crate) fn hold(&mut self, in_flight: InFlight, progress: ResponseProgress) {
+    /// Keeps the request counted as in flight, and tracks how far the caller has read the body.
+    pub(crate) fn track(&mut self, in_flight: InFlightGuard, progress: ResponseProgress) {
         self.in_flight = Some(in_flight);
         self.progress = Some(progress);
     }
@@ -70,7 +71,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = match &mut self.content {
-            Content::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Content::Full(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Content::Stream(stream) => stream
                 .poll_next_unpin(cx)
                 .map(|next| next.map(|chunk| chunk.map(Frame::data))),
@@ -82,12 +83,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.content, Content::Whole(None))
+        matches!(self.content, Content::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Whole(bytes) => {
+            Content::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
             Content::Stream(_) => SizeHint::default(),
@@ -98,7 +99,7 @@
 /// Creates a response with status 200 and a JSON body.
 pub(crate) fn json_response(value: &impl Serialize) -> CallerResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(CallerBody::whole(body));
+    let mut response = Response::new(CallerBody::full(body));
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/tc-caller/src/http/services.rs
+++ b/crates/tc-caller/src/http/services.rs
@@ -85,7 +85,7 @@
 ) -> Result<PlainRequest, Failure> {
     let method = caller.parts.method.clone();
     let path = PathAndQuery::try_from(path)
-        .map_err(|e| Failure::bad(format!("the path cannot be passed on: {e}")))?;
+        .map_err(|e| Failure::bad_request(format!("the path cannot be passed on: {e}")))?;
     Ok(PlainRequest {
         idempotent: service.idempotent || method == Method::GET || method == Method::HEAD,
         service: name,
--- a/crates/tc-caller/src/idempotency/answer.rs
+++ b/crates/tc-caller/src/idempotency/answer.rs
@@ -100,7 +100,7 @@
             );
             return problem_response(&failure, id).into_response();
         };
-        let mut response = Response::new(CallerBody::whole(body.clone()));
+        let mut response = Response::new(CallerBody::full(body.clone()));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers.clone();
         if !self.status.is_success() && self.is_problem() {
@@ -114,7 +114,7 @@
 
     /// The response with its body, when it has one.
     pub(crate) fn into_response(self) -> CallerResponse {
-        let mut response = Response::new(CallerBody::whole(self.body.unwrap_or_default()));
+        let mut response = Response::new(CallerBody::full(self.body.unwrap_or_default()));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers;
         response
--- a/crates/tc-caller/src/run/generation.rs
+++ b/crates/tc-caller/src/run/generation.rs
@@ -78,7 +78,7 @@
     let output = generation
         .forward(success.value, success.permit_guard)
         .await?;
-    Ok(run.done(output, &attempts))
+    Ok(run.finish(output, &attempts))
 }
 
 async fn open_stream(
--- a/crates/tc-caller/src/run/plain.rs
+++ b/crates/tc-caller/src/run/plain.rs
@@ -74,8 +74,8 @@
 
     /// Counts received bytes, and polls for the end of a body of known length together with its last byte.
     ///
-    /// The HTTP server stops polling such a body once it has all bytes. If the end were left to the next poll, it would never be
-    /// reached, and a completed request would be recorded as abandoned by its caller.
+    /// The HTTP server stops polling such a body once it has all bytes. If the end were left to the next poll, it would
+    /// never be reached, and a completed request would be recorded as abandoned by its caller.
     async fn record_received(&mut self, bytes: u64) {
         self.remaining_bytes = self
             .remaining_bytes
--- a/crates/tc-caller/src/run/stage.rs
+++ b/crates/tc-caller/src/run/stage.rs
@@ -71,7 +71,7 @@
         cost,
         wasted: false,
     });
-    Ok(run.done(output, &attempts))
+    Ok(run.finish(output, &attempts))
 }
 
 /// A running stage, streamed or not.
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Creates the dispatch of the stage. `until_result` is the estimated time until a call returns its complete result or,
-    /// for a stream, its first item.
+    /// Creates the dispatch of the stage. `until_result` is the estimated time until a call returns its complete result
+    /// or, for a stream, its first item.
     pub(crate) fn dispatch<'b>(
         &'b self,
         rest: &'b [StageEstimate],
@@ -113,7 +113,7 @@
     }
 
     /// Records the duration of the completed stage, and reports that its input did not crash the upstream.
-    pub(crate) fn done(&self, output: String, attempts: &Attempts) -> StageOutput {
+    pub(crate) fn finish(&self, output: String, attempts: &Attempts) -> StageOutput {
         (self.cx.shared.ports.report_completed)(self.input_properties.fingerprint);
         let took = self.elapsed();
         self.plan.policy.record(self.plan.class, took);
--- a/crates/tc-caller/src/run/throttle.rs
+++ b/crates/tc-caller/src/run/throttle.rs
@@ -67,8 +67,8 @@
     }
 }
 
-/// Returns true if a request failed for lack of capacity. A failure of the upstream itself does not count, since refusing
-/// other requests would not help.
+/// Returns true if a request failed for lack of capacity. A failure of the upstream itself does not count, since
+/// refusing other requests would not help.
 const fn is_miss(kind: ProblemKind) -> bool {
     matches!(
         kind,
--- a/crates/tc-caller/src/server.rs
+++ b/crates/tc-caller/src/server.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    connection::{Signals, serve_connection},
+    connection::{ShutdownSignals, serve_connection},
     ports::{CallerSettings, CallerTimeouts, Ports},
     record::WorkspaceStats,
     shared::Shared,
@@ -59,7 +59,7 @@
             match accepted {
                 Ok((socket, _)) => {
                     let shared = self.shared.clone();
-                    let signals = Signals {
+                    let signals = ShutdownSignals {
                         closing: self.closing.clone(),
                         stop: stop.clone(),
                     };
--- a/crates/tc-caller/src/shared.rs
+++ b/crates/tc-caller/src/shared.rs
@@ -74,9 +74,9 @@
     }
 
     /// Counts one request as in flight until the guard is dropped.
-    pub(crate) fn track_request(&self) -> InFlight {
+    pub(crate) fn track_request(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        InFlight(self.in_flight.clone())
+        InFlightGuard(self.in_flight.clone())
     }
 
     pub(crate) fn in_flight(&self) -> usize {
@@ -93,9 +93,9 @@
 }
 
 /// Guard that counts one request as in flight.
-pub(crate) struct InFlight(Arc<AtomicUsize>);
+pub(crate) struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/tc-caller/tests/support/ports.rs
+++ b/crates/tc-caller/tests/support/ports.rs
@@ -110,7 +110,7 @@
                 async {}.boxed()
             }),
             report_completed: Arc::new(move |fingerprint| {
-                ran.ran_whole.lock().unwrap().push(fingerprint)
+                ran.ran_whole.lock().unwrap().push(fingerprint);
             }),
             addresses: Arc::new(|_| addresses()),
         }
