--- a/crates/tc-caller/src/connection.rs
+++ b/crates/tc-caller/src/connection.rs
@@ -38,9 +38,9 @@
 
 /// Shutdown signals to a connection.
 pub(crate) struct ShutdownSignals {
-    /// Announces the planned stop to the caller: the first step of a planned stop.
+    /// Cancelled at the first step of a planned stop, which is announced to the caller.
     pub(crate) closing: CancellationToken,
-    /// Ends the connection once its running requests are finished.
+    /// Cancelled when the connection should end after its running requests.
     pub(crate) stop: CancellationToken,
 }
 
--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -66,7 +66,7 @@
     }
     let result = run_pipeline(&cx, &call, None).await;
     cx.finish(result.as_ref().err());
-    result.map(|answer| json_response(&answer))
+    result.map(|response| json_response(&response))
 }
 
 fn find_pipeline(caller: &Caller, name: &PipelineName) -> Result<Pipeline, Failure> {
@@ -157,8 +157,8 @@
     let result = run_pipeline(cx, call, None).await;
     cx.finish(result.as_ref().err());
     match result {
-        Ok(answer) => {
-            let body = serde_json::to_vec(&answer).unwrap_or_default();
+        Ok(response) => {
+            let body = serde_json::to_vec(&response).unwrap_or_default();
             final_answer(cx, "application/json", body.into())
         }
         Err(failure) => problem_response(&failure, &cx.id),
@@ -197,16 +197,16 @@
     log: &Arc<StreamLog>,
 ) -> FinalAnswer {
     match streams::run_into(cx, call, log).await {
-        Ok(answer) => final_answer(cx, "text/event-stream", to_events(&answer)),
+        Ok(response) => final_answer(cx, "text/event-stream", to_events(&response)),
         Err(failure) => problem_response(&failure, &cx.id),
     }
 }
 
 /// Returns the complete stream of a response, with its text in one event.
-fn to_events(answer: &PipelineResponse) -> Bytes {
+fn to_events(response: &PipelineResponse) -> Bytes {
     let parts = [
-        streams::text_event(1, &answer.output),
-        streams::done_event(answer),
+        streams::text_event(1, &response.output),
+        streams::done_event(response),
     ];
     parts.concat().into()
 }
--- a/crates/tc-caller/src/http/services.rs
+++ b/crates/tc-caller/src/http/services.rs
@@ -55,7 +55,7 @@
     }
     let cx = caller.context(shared, None, deadline, DEFAULT_PLAIN_PRIORITY);
     match run_plain(&cx, &request, &service).await {
-        Ok(answer) => Ok(stream_response(answer)),
+        Ok(response) => Ok(stream_response(response)),
         Err(failure) => {
             cx.finish(Some(&failure));
             Err(failure)
@@ -97,8 +97,8 @@
 }
 
 /// Streams the response to the caller as it is received.
-fn stream_response(answer: PlainServiceResponse) -> CallerResponse {
-    let chunks = stream::unfold(Some(answer.body), |body| async move {
+fn stream_response(received: PlainServiceResponse) -> CallerResponse {
+    let chunks = stream::unfold(Some(received.body), |body| async move {
         let mut body = body?;
         match body.next().await? {
             Ok(chunk) => Some((Ok(chunk), Some(body))),
@@ -107,8 +107,8 @@
         }
     });
     let mut response = Response::new(CallerBody::stream(chunks.boxed()));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers;
+    *response.status_mut() = received.status;
+    *response.headers_mut() = received.headers;
     response
 }
 
@@ -119,7 +119,7 @@
     service: &Service,
 ) -> FinalAnswer {
     let collected = match run_plain(cx, request, service).await {
-        Ok(answer) => collect(cx, answer).await,
+        Ok(response) => collect(cx, response).await,
         Err(failure) => Err(failure),
     };
     cx.finish(collected.as_ref().err());
@@ -128,12 +128,12 @@
 
 async fn collect(
     cx: &RequestContext,
-    answer: PlainServiceResponse,
+    response: PlainServiceResponse,
 ) -> Result<FinalAnswer, Failure> {
-    let body = collect_body(cx, answer.body).await?;
+    let body = collect_body(cx, response.body).await?;
     Ok(FinalAnswer {
-        status: answer.status,
-        headers: answer.headers,
+        status: response.status,
+        headers: response.headers,
         body: Some(body),
         run_state: RunState::Ran,
     })
--- a/crates/tc-caller/src/run/generation.rs
+++ b/crates/tc-caller/src/run/generation.rs
@@ -16,7 +16,7 @@
         dispatch::Attempts,
         permit_guard::{CallEnd, PermitGuard},
         plan::{InputProperties, StagePlan},
-        stage::{StageOutput, StageRun, run_stage, stage_call},
+        stage::{CompletedStage, StageRun, run_stage, stage_call},
     },
     streams::StreamLog,
 };
@@ -35,11 +35,11 @@
     input: &Arc<str>,
     rest: &[StageEstimate],
     log: &StreamLog,
-) -> Result<StageOutput, Failure> {
+) -> Result<CompletedStage, Failure> {
     if plan.kind != ServiceKind::Engine {
-        let done = run_stage(cx, plan, input, rest).await?;
-        log.push_text(&done.output).await;
-        return Ok(done);
+        let completed = run_stage(cx, plan, input, rest).await?;
+        log.push_text(&completed.output).await;
+        return Ok(completed);
     }
     let span = tracing::info_span!("stage", stage = %plan.stage, service = %plan.service);
     stream_stage(cx, plan, input, rest, log)
@@ -53,7 +53,7 @@
     input: &Arc<str>,
     rest: &[StageEstimate],
     log: &StreamLog,
-) -> Result<StageOutput, Failure> {
+) -> Result<CompletedStage, Failure> {
     let run = StageRun::start(cx, plan, input);
     let first_item = plan.policy.estimate_first_item(plan.class);
     let mut attempts = Attempts::default();
--- a/crates/tc-caller/src/run/pipeline.rs
+++ b/crates/tc-caller/src/run/pipeline.rs
@@ -13,7 +13,7 @@
         context::RequestContext,
         generation::run_generation,
         plan::StagePlan,
-        stage::{StageOutput, run_stage},
+        stage::{CompletedStage, run_stage},
     },
     streams::StreamLog,
 };
@@ -79,12 +79,12 @@
     let mut stages = Vec::with_capacity(plans.len());
     for (i, plan) in plans.iter().enumerate() {
         let is_last = i + 1 == plans.len();
-        let done = match stream.filter(|_| is_last) {
+        let completed = match stream.filter(|_| is_last) {
             Some(log) => run_generation(cx, plan, &input, &rest[i..], log).await?,
             None => run_stage(cx, plan, &input, &rest[i..]).await?,
         };
-        stages.push(stage_summary(plan, &done));
-        input = done.output.into();
+        stages.push(stage_summary(plan, &completed));
+        input = completed.output.into();
     }
     Ok(PipelineResponse {
         request_id: cx.id.clone(),
@@ -94,11 +94,11 @@
     })
 }
 
-fn stage_summary(plan: &StagePlan, done: &StageOutput) -> StageSummary {
+fn stage_summary(plan: &StagePlan, completed: &CompletedStage) -> StageSummary {
     StageSummary {
         name: plan.stage.clone(),
-        ms: done.took.as_secs_f64() * 1e3,
-        attempts: done.attempts,
+        ms: completed.took.as_secs_f64() * 1e3,
+        attempts: completed.attempts,
     }
 }
 
--- a/crates/tc-caller/src/run/stage.rs
+++ b/crates/tc-caller/src/run/stage.rs
@@ -22,8 +22,8 @@
     trace,
 };
 
-/// The output of a completed stage.
-pub(crate) struct StageOutput {
+/// A completed stage and its output.
+pub(crate) struct CompletedStage {
     pub(crate) output: String,
     pub(crate) took: Duration,
     pub(crate) attempts: u32,
@@ -35,7 +35,7 @@
     plan: &StagePlan,
     input: &Arc<str>,
     rest: &[StageEstimate],
-) -> Result<StageOutput, Failure> {
+) -> Result<CompletedStage, Failure> {
     let span = tracing::info_span!("stage", stage = %plan.stage, service = %plan.service);
     run_complete_stage(cx, plan, input, rest)
         .instrument(span)
@@ -47,7 +47,7 @@
     plan: &StagePlan,
     input: &Arc<str>,
     rest: &[StageEstimate],
-) -> Result<StageOutput, Failure> {
+) -> Result<CompletedStage, Failure> {
     let run = StageRun::start(cx, plan, input);
     let mut attempts = Attempts::default();
     let mut success = run
@@ -113,11 +113,11 @@
     }
 
     /// Records the duration of the completed stage, and reports that its input did not crash the upstream.
-    pub(crate) fn finish(&self, output: String, attempts: &Attempts) -> StageOutput {
+    pub(crate) fn finish(&self, output: String, attempts: &Attempts) -> CompletedStage {
         (self.cx.shared.ports.report_completed)(self.input_properties.fingerprint);
         let took = self.elapsed();
         self.plan.policy.record(self.plan.class, took);
-        StageOutput {
+        CompletedStage {
             output,
             took,
             attempts: attempts.count,
