--- a/crates/tc-caller/src/idempotency/answer.rs
+++ b/crates/tc-caller/src/idempotency/answer.rs
@@ -5,7 +5,7 @@
 use tc_protocol::{ProblemKind, RecordedOutcome, RequestId, RunState};
 
 use crate::{
-    http::{CallerBody, CallerResponse, Failure, problem_answer},
+    http::{CallerBody, CallerResponse, Failure, problem_response},
     limits::MAX_RECORDED_BYTES,
 };
 
@@ -98,9 +98,9 @@
                     self.status
                 ),
             );
-            return problem_answer(&failure, id).into_response();
+            return problem_response(&failure, id).into_response();
         };
-        let mut response = Response::new(CallerBody::whole(body.clone()));
+        let mut response = Response::new(CallerBody::full(body.clone()));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers.clone();
         if !self.status.is_success() && self.is_problem() {
@@ -114,7 +114,7 @@
 
     /// The response with its body, when it has one.
     pub(crate) fn into_response(self) -> CallerResponse {
-        let mut response = Response::new(CallerBody::whole(self.body.unwrap_or_default()));
+        let mut response = Response::new(CallerBody::full(self.body.unwrap_or_default()));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers;
         response
--- a/crates/tc-caller/src/run/context.rs
+++ b/crates/tc-caller/src/run/context.rs
@@ -1,4 +1,4 @@
-//! One request: who asked, until when, and what is known of it so far.
+//! The context of one request: its workspace, deadline, run state and cost.
 
 use std::{
     ops::Deref,
@@ -21,7 +21,7 @@
     shared::Shared,
 };
 
-/// What is known of a request when it is accepted.
+/// The properties of a request that are known when it is accepted.
 pub(crate) struct AcceptedRequest {
     pub(crate) id: RequestId,
     pub(crate) counter: u64,
@@ -31,21 +31,21 @@
     pub(crate) deadline: Deadline,
     pub(crate) priority: u8,
     pub(crate) key: Option<Arc<str>>,
-    pub(crate) received_trace: TraceContext,
+    pub(crate) caller_trace: TraceContext,
     pub(crate) view: Arc<FleetView>,
 }
 
-/// One request while it runs; derefs to what was known when it was accepted.
+/// The context of a running request. Dereferences to the [`AcceptedRequest`].
 ///
-/// Dropped before [`RequestContext::finish`], it counts as left by its caller.
+/// If it is dropped before [`RequestContext::finish`], the caller is considered to have disconnected.
 pub(crate) struct RequestContext {
     pub(crate) shared: Arc<Shared>,
     accepted: AcceptedRequest,
-    steps: Arc<RequestTrace>,
-    record: Arc<WorkspaceRecord>,
+    trace: Arc<RequestTrace>,
+    workspace_record: Arc<WorkspaceRecord>,
     run_state: AtomicU8,
     cost: Mutex<Cost>,
-    share: Mutex<Option<WorkspaceLimitGuard>>,
+    limit_guard: Mutex<Option<WorkspaceLimitGuard>>,
     finished: AtomicBool,
 }
 
@@ -59,21 +59,21 @@
 
 impl RequestContext {
     pub(crate) fn new(shared: Arc<Shared>, accepted: AcceptedRequest) -> Arc<Self> {
-        let steps = Arc::new(RequestTrace::new(
+        let trace = Arc::new(RequestTrace::new(
             accepted.id.clone(),
             accepted.workspace.clone(),
             accepted.pipeline.clone(),
             accepted.arrived,
         ));
-        shared.explanations.keep(accepted.counter, steps.clone());
+        shared.explanations.keep(accepted.counter, trace.clone());
         Arc::new(Self {
-            record: shared.stats.of(&accepted.workspace),
+            workspace_record: shared.stats.of(&accepted.workspace),
             shared,
             accepted,
-            steps,
+            trace,
             run_state: AtomicU8::new(RunState::NotRun as u8),
             cost: Mutex::new(Cost::default()),
-            share: Mutex::new(None),
+            limit_guard: Mutex::new(None),
             finished: AtomicBool::new(false),
         })
     }
@@ -82,55 +82,55 @@
         self.deadline.remaining(MonoTime::now())
     }
 
-    pub(crate) fn note(&self, decision: Decision) {
-        self.steps.add(decision);
+    pub(crate) fn record(&self, decision: Decision) {
+        self.trace.add(decision);
     }
 
-    /// Takes into account what is known of one dispatched attempt.
-    pub(crate) fn note_run_state(&self, state: RunState) {
+    /// Merges the run state of one dispatched attempt into that of the request.
+    pub(crate) fn record_run_state(&self, state: RunState) {
         self.run_state.fetch_max(state as u8, Ordering::Relaxed);
     }
 
-    /// What is known of the whole request.
+    /// Returns the run state of the whole request, the highest of its attempts.
     pub(crate) fn run_state(&self) -> RunState {
-        let seen = self.run_state.load(Ordering::Relaxed);
+        let highest = self.run_state.load(Ordering::Relaxed);
         [RunState::Ran, RunState::Unknown]
             .into_iter()
-            .find(|state| *state as u8 == seen)
+            .find(|state| *state as u8 == highest)
             .unwrap_or(RunState::NotRun)
     }
 
-    /// A failure with the run state of the whole request.
+    /// Creates a failure with the run state of the whole request.
     pub(crate) fn failure(&self, kind: ProblemKind, detail: impl Into<String>) -> Failure {
         Failure::new(kind, self.run_state(), detail)
     }
 
-    pub(crate) fn past_deadline(&self) -> Failure {
+    pub(crate) fn deadline_exceeded(&self) -> Failure {
         self.failure(
             ProblemKind::DeadlineExceeded,
             "the deadline passed before the request was answered",
         )
     }
 
-    pub(crate) fn hold_share(&self, guard: WorkspaceLimitGuard) {
-        *lock(&self.share) = Some(guard);
+    pub(crate) fn set_limit_guard(&self, guard: WorkspaceLimitGuard) {
+        *lock(&self.limit_guard) = Some(guard);
     }
 
-    /// Adds the cost of one call of `stage`; `wasted` when its result was not used.
-    pub(crate) fn spend(&self, stage: &StageName, cost: &Cost, wasted: bool) {
+    /// Adds the cost of one call of `stage`. `wasted` is true if its result was not used.
+    pub(crate) fn add_cost(&self, stage: &StageName, cost: &Cost, wasted: bool) {
         let key = (self.pipeline.clone(), stage.clone());
-        self.record.spent(&key, cost, wasted);
-        let mut sum = lock(&self.cost);
-        sum.tokens_in = sum.tokens_in.saturating_add(cost.tokens_in);
-        sum.tokens_out = sum.tokens_out.saturating_add(cost.tokens_out);
-        sum.busy_ms += cost.busy_ms;
+        self.workspace_record.spent(&key, cost, wasted);
+        let mut total = lock(&self.cost);
+        total.tokens_in = total.tokens_in.saturating_add(cost.tokens_in);
+        total.tokens_out = total.tokens_out.saturating_add(cost.tokens_out);
+        total.busy_ms += cost.busy_ms;
     }
 
     pub(crate) fn cost(&self) -> Cost {
         *lock(&self.cost)
     }
 
-    /// Notes how the request ended; only the first time counts.
+    /// Records how the request ended. Later calls have no effect.
     pub(crate) fn finish(&self, failure: Option<&Failure>) {
         let ending = match failure {
             None if self.deadline.is_past(MonoTime::now()) => Ending::Late,
@@ -155,8 +155,8 @@
         if self.finished.swap(true, Ordering::Relaxed) {
             return;
         }
-        self.note(decision);
-        self.record
+        self.record(decision);
+        self.workspace_record
             .ended(ending, MonoTime::now().since(self.arrived));
     }
 }
@@ -165,8 +165,8 @@
     fn drop(&mut self) {
         self.end(Ending::CallerLeft, Decision::CallerLeft);
         let units = self.cost().units();
-        if let Some(mut share) = lock(&self.share).take() {
-            share.charge(units);
+        if let Some(mut guard) = lock(&self.limit_guard).take() {
+            guard.charge(units);
         }
     }
 }
--- a/crates/tc-caller/src/shared.rs
+++ b/crates/tc-caller/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of this instance share.
+//! State shared by all requests of this instance.
 
 use std::sync::{
     Arc, Mutex,
@@ -19,7 +19,7 @@
     streams::StreamRegistry,
 };
 
-/// State of the caller side of one instance.
+/// The state of the server for callers.
 pub(crate) struct Shared {
     pub(crate) settings: CallerSettings,
     pub(crate) timeouts: CallerTimeouts,
@@ -33,7 +33,7 @@
     pub(crate) streams: Arc<StreamRegistry>,
     pub(crate) keys: Mutex<KeyTable>,
     pub(crate) forwarder: Forwarder,
-    /// Connections, and runs that go on without their caller; a stop waits for all of them.
+    /// Connections, and runs that continue after their caller has disconnected. A stop waits for all of them.
     pub(crate) tasks: TaskTracker,
     in_flight: Arc<AtomicUsize>,
     closing: AtomicBool,
@@ -74,9 +74,9 @@
     }
 
     /// Counts one request as in flight until the guard is dropped.
-    pub(crate) fn enter(&self) -> InFlight {
+    pub(crate) fn track_request(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        InFlight(self.in_flight.clone())
+        InFlightGuard(self.in_flight.clone())
     }
 
     pub(crate) fn in_flight(&self) -> usize {
@@ -92,10 +92,10 @@
     }
 }
 
-/// One request in flight.
-pub(crate) struct InFlight(Arc<AtomicUsize>);
+/// Guard that counts one request as in flight.
+pub(crate) struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
