--- a/crates/tc-caller/src/http/answer.rs
+++ b/crates/tc-caller/src/http/answer.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use tc_protocol::{ProblemKind, RequestId, wire};
 
-use crate::{connection::Taken, http::Failure, idempotency::FinalAnswer, shared::InFlight};
+use crate::{connection::Taken, http::Failure, idempotency::FinalResponse, shared::InFlight};
 
 /// Error that ends a body early.
 pub(crate) type BodyError = Box<dyn std::error::Error + Send + Sync>;
@@ -104,7 +104,7 @@
 }
 
 /// The answer that tells a failure.
-pub(crate) fn problem_answer(failure: &Failure, id: &RequestId) -> FinalAnswer {
+pub(crate) fn problem_answer(failure: &Failure, id: &RequestId) -> FinalResponse {
     let problem = failure.problem(id);
     let mut headers = HeaderMap::new();
     headers.insert(
@@ -127,7 +127,7 @@
     if let Ok(value) = HeaderValue::from_str(id.as_str()) {
         headers.insert(wire::REQUEST_ID, value);
     }
-    FinalAnswer {
+    FinalResponse {
         status: StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
         headers,
         body: Some(serde_json::to_vec(&problem).unwrap_or_default().into()),
--- a/crates/tc-caller/src/http/keyed.rs
+++ b/crates/tc-caller/src/http/keyed.rs
@@ -8,7 +8,10 @@
 
 use crate::{
     http::{CallerResponse, Failure, caller::Caller},
-    idempotency::{FinalAnswer, Keyed, Once, Onward, Place, place_of, unknown, wait_for},
+    idempotency::{
+        FinalResponse, ForwardedRequest, KeyOwner, KeyedRequest, ResponseSource, key_owner,
+        owner_unreachable, wait_for_response,
+    },
     run::RequestContext,
     shared::Shared,
 };
@@ -23,7 +26,7 @@
 
 /// Where a delivery is handled.
 pub(crate) enum Placed {
-    Here(Keyed),
+    Here(KeyedRequest),
     Answered(CallerResponse),
 }
 
@@ -40,8 +43,8 @@
         )
     })?;
     if let Some(binding) = &caller.headers.binding {
-        let place = place_of(&caller.view, binding, caller.headers.forwarded)?;
-        if let Place::At(address) = place {
+        let owner = key_owner(&caller.view, binding, caller.headers.forwarded)?;
+        if let KeyOwner::Remote(address) = owner {
             let remaining = delivery.deadline.remaining(MonoTime::now());
             let onward = onward(caller, delivery.body, remaining);
             let forwarded = shared
@@ -51,11 +54,11 @@
             return forwarded.await.map(Placed::Answered).map_err(|error| {
                 let instance = binding.instance.as_str();
                 log::warn!(instance = instance, error = error.to_string().as_str(); "key not forwarded");
-                unknown(&binding.instance)
+                owner_unreachable(&binding.instance)
             });
         }
     }
-    Ok(Placed::Here(Keyed {
+    Ok(Placed::Here(KeyedRequest {
         body_hash: body_hash(caller, &delivery.body),
         key: ClaimKey {
             workspace: caller.workspace.clone(),
@@ -67,8 +70,8 @@
 }
 
 /// The request as it is passed on to another instance.
-pub(crate) fn onward(caller: &Caller, body: Bytes, remaining: Duration) -> Onward {
-    Onward {
+pub(crate) fn onward(caller: &Caller, body: Bytes, remaining: Duration) -> ForwardedRequest {
+    ForwardedRequest {
         method: caller.parts.method.clone(),
         uri: caller.parts.uri.clone(),
         headers: caller.parts.headers.clone(),
@@ -80,15 +83,17 @@
 /// The answer of a delivery, wherever its run was started.
 pub(crate) async fn answer(
     cx: &RequestContext,
-    begun: Result<Once, Failure>,
+    begun: Result<ResponseSource, Failure>,
 ) -> Result<CallerResponse, Failure> {
     let answer = match begun {
-        Ok(Once::First(answer)) => {
+        Ok(ResponseSource::Started(answer)) => {
             // The run itself notes how it ended.
-            return wait_for(cx, answer).await.map(|a| a.to_response(&cx.id));
+            return wait_for_response(cx, answer)
+                .await
+                .map(|a| a.to_response(&cx.id));
         }
-        Ok(Once::Joined(answer)) => wait_for(cx, answer).await,
-        Ok(Once::Done(answer)) => Ok(answer),
+        Ok(ResponseSource::Joined(answer)) => wait_for_response(cx, answer).await,
+        Ok(ResponseSource::Completed(answer)) => Ok(answer),
         Err(failure) => Err(failure),
     };
     let failure = match &answer {
@@ -99,7 +104,7 @@
     answer.map(|answer| answer.to_response(&cx.id))
 }
 
-fn failure_of(answer: &FinalAnswer) -> Option<Failure> {
+fn failure_of(answer: &FinalResponse) -> Option<Failure> {
     let failed = answer.status.is_server_error() || answer.status.is_client_error();
     failed.then(|| {
         Failure::new(
--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -18,10 +18,10 @@
         keyed::{self, Delivery},
         problem_answer,
     },
-    idempotency::{FinalAnswer, Once, once, wait_for},
+    idempotency::{FinalResponse, ResponseSource, run_once, wait_for_response},
     run::{PipelineAnswer, PipelineWork, RequestContext, run_pipeline},
     shared::Shared,
-    streams::{self, Opening, StreamLog},
+    streams::{self, StreamLog, StreamStart},
 };
 
 /// A request body.
@@ -62,7 +62,7 @@
     }
     let cx = caller.context(shared, Some(name), deadline, work.pipeline.priority);
     if caller.headers.wants_stream {
-        return streams::start(cx, work).await;
+        return streams::start_stream(cx, work).await;
     }
     let result = run_pipeline(&cx, &work, None).await;
     cx.finish(result.as_ref().err());
@@ -116,7 +116,7 @@
         .member(&entry)
         .filter(|_| !caller.headers.forwarded)
         .map(|member| member.caller_address)
-        .ok_or_else(streams::gone)?;
+        .ok_or_else(streams::not_resumable)?;
     let onward = keyed::onward(caller, body, remaining);
     let forwarded = shared
         .forwarder
@@ -124,7 +124,7 @@
         .await;
     forwarded.map_err(|error| {
         log::warn!(instance = entry.as_str(), error = error.to_string().as_str(); "resume not forwarded");
-        streams::gone()
+        streams::not_resumable()
     })
 }
 
@@ -149,11 +149,11 @@
         let cx = cx.clone();
         move || async move { whole_answer(&cx, &work).await }.boxed()
     };
-    let begun = once(&cx, keyed, run);
+    let begun = run_once(&cx, keyed, run);
     keyed::answer(&cx, begun).await
 }
 
-async fn whole_answer(cx: &Arc<RequestContext>, work: &PipelineWork) -> FinalAnswer {
+async fn whole_answer(cx: &Arc<RequestContext>, work: &PipelineWork) -> FinalResponse {
     let result = run_pipeline(cx, work, None).await;
     cx.finish(result.as_ref().err());
     match result {
@@ -168,7 +168,7 @@
 /// Streams the run to the delivery that started it; others get its answer whole.
 async fn stream_once(
     cx: Arc<RequestContext>,
-    keyed: crate::idempotency::Keyed,
+    keyed: crate::idempotency::KeyedRequest,
     work: PipelineWork,
 ) -> Result<CallerResponse, Failure> {
     let log = Arc::new(StreamLog::new());
@@ -177,15 +177,15 @@
         let (cx, log) = (cx.clone(), log.clone());
         move || async move { streamed_answer(&cx, &work, &log).await }.boxed()
     };
-    match once(&cx, keyed, run) {
-        Ok(Once::First(answer)) => tokio::select! {
+    match run_once(&cx, keyed, run) {
+        Ok(ResponseSource::Started(answer)) => tokio::select! {
             biased;
-            opening = log.opened() => match opening {
-                Opening::Stream => Ok(response),
-                Opening::Failure(failure) => Err(failure),
+            opening = log.wait_for_start() => match opening {
+                StreamStart::Streaming => Ok(response),
+                StreamStart::Failure(failure) => Err(failure),
             },
             // The claim was refused, so that the stream never began.
-            answer = wait_for(&cx, answer) => Ok(answer?.to_response(&cx.id)),
+            answer = wait_for_response(&cx, answer) => Ok(answer?.to_response(&cx.id)),
         },
         begun => keyed::answer(&cx, begun).await,
     }
@@ -195,8 +195,8 @@
     cx: &Arc<RequestContext>,
     work: &PipelineWork,
     log: &Arc<StreamLog>,
-) -> FinalAnswer {
-    match streams::run_into(cx, work, log).await {
+) -> FinalResponse {
+    match streams::run_into_stream(cx, work, log).await {
         Ok(answer) => final_answer(cx, "text/event-stream", events_of(&answer)),
         Err(failure) => problem_answer(&failure, &cx.id),
     }
@@ -211,13 +211,13 @@
     parts.concat().into()
 }
 
-fn final_answer(cx: &RequestContext, content_type: &'static str, body: Bytes) -> FinalAnswer {
+fn final_answer(cx: &RequestContext, content_type: &'static str, body: Bytes) -> FinalResponse {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     if let Ok(value) = HeaderValue::from_str(cx.id.as_str()) {
         headers.insert(wire::REQUEST_ID, value);
     }
-    FinalAnswer {
+    FinalResponse {
         status: StatusCode::OK,
         headers,
         body: Some(body),
--- a/crates/tc-caller/src/http/services.rs
+++ b/crates/tc-caller/src/http/services.rs
@@ -16,7 +16,7 @@
         keyed::{self, Delivery},
         problem_answer,
     },
-    idempotency::{FinalAnswer, once},
+    idempotency::{FinalResponse, run_once},
     limits::{MAX_KEPT_ANSWER_BYTES, PLAIN_PRIORITY, PLAIN_TIMEOUT},
     run::{AnswerBody, PlainAnswer, PlainRequest, RequestContext, run_plain},
     shared::Shared,
@@ -50,7 +50,7 @@
             let cx = cx.clone();
             move || async move { whole_answer(&cx, &request, &service).await }.boxed()
         };
-        let begun = once(&cx, keyed, run);
+        let begun = run_once(&cx, keyed, run);
         return keyed::answer(&cx, begun).await;
     }
     let cx = caller.context(shared, None, deadline, PLAIN_PRIORITY);
@@ -117,7 +117,7 @@
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
     service: &Service,
-) -> FinalAnswer {
+) -> FinalResponse {
     let collected = match run_plain(cx, request, service).await {
         Ok(answer) => collect(cx, answer).await,
         Err(failure) => Err(failure),
@@ -126,9 +126,9 @@
     collected.unwrap_or_else(|failure| problem_answer(&failure, &cx.id))
 }
 
-async fn collect(cx: &RequestContext, answer: PlainAnswer) -> Result<FinalAnswer, Failure> {
+async fn collect(cx: &RequestContext, answer: PlainAnswer) -> Result<FinalResponse, Failure> {
     let body = collect_body(cx, answer.body).await?;
-    Ok(FinalAnswer {
+    Ok(FinalResponse {
         status: answer.status,
         headers: answer.headers,
         body: Some(body),
--- a/crates/tc-caller/src/idempotency/answer.rs
+++ b/crates/tc-caller/src/idempotency/final_response.rs
@@ -11,7 +11,7 @@
 
 /// What a caller was told, whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FinalAnswer {
+pub struct FinalResponse {
     /// HTTP status code.
     pub status: StatusCode,
     /// Headers of the answer itself.
@@ -22,12 +22,12 @@
     pub run_state: RunState,
 }
 
-impl FinalAnswer {
+impl FinalResponse {
     /// Approximate memory it takes, in bytes.
     ///
     /// ```
-    /// use tc_caller::FinalAnswer;
-    /// let answer = FinalAnswer {
+    /// use tc_caller::FinalResponse;
+    /// let answer = FinalResponse {
     ///     status: http::StatusCode::OK,
     ///     headers: http::HeaderMap::new(),
     ///     body: Some("done".into()),
--- a/crates/tc-caller/src/idempotency/forward.rs
+++ b/crates/tc-caller/src/idempotency/forward.rs
@@ -35,7 +35,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A request to pass on.
-pub(crate) struct Onward {
+pub(crate) struct ForwardedRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
@@ -67,7 +67,7 @@
         &self,
         me: &InstanceId,
         address: SocketAddr,
-        onward: Onward,
+        onward: ForwardedRequest,
     ) -> Result<CallerResponse, ForwardError> {
         let remaining = onward.remaining;
         let request = request(me, address, onward)?;
@@ -81,7 +81,7 @@
 fn request(
     me: &InstanceId,
     address: SocketAddr,
-    onward: Onward,
+    onward: ForwardedRequest,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
     let path = onward.uri.path_and_query().map_or("/", |p| p.as_str());
     let uri = Uri::builder()
--- a/crates/tc-caller/src/idempotency/mod.rs
+++ b/crates/tc-caller/src/idempotency/mod.rs
@@ -1,13 +1,13 @@
 //! Non-idempotent requests: at most one run for each key.
 
-mod answer;
 mod binding;
+mod final_response;
 mod forward;
-mod once;
+mod run_once;
 mod table;
 
-pub use answer::FinalAnswer;
-pub(crate) use binding::{Place, place_of, unknown};
-pub(crate) use forward::{Forwarder, Onward};
-pub(crate) use once::{Keyed, Once, once, wait_for};
-pub use table::{Begin, KeyTable, KeyTableLimits};
+pub(crate) use binding::{KeyOwner, key_owner, owner_unreachable};
+pub use final_response::FinalResponse;
+pub(crate) use forward::{ForwardedRequest, Forwarder};
+pub(crate) use run_once::{KeyedRequest, ResponseSource, run_once, wait_for_response};
+pub use table::{KeyTable, KeyTableLimits, KeyVerdict};
--- a/crates/tc-caller/src/idempotency/once.rs
+++ b/crates/tc-caller/src/idempotency/run_once.rs
@@ -9,14 +9,14 @@
 
 use crate::{
     http::{Failure, problem_answer},
-    idempotency::{Begin, FinalAnswer},
+    idempotency::{FinalResponse, KeyVerdict},
     limits::{RECORD_TIMEOUT, RETRY_AFTER},
     run::RequestContext,
     shared::Shared,
 };
 
 /// One delivery of a non-idempotent request.
-pub(crate) struct Keyed {
+pub(crate) struct KeyedRequest {
     pub(crate) key: ClaimKey,
     pub(crate) body_hash: u64,
     /// Whether the key is bound to this instance; otherwise it is claimed in the platform's store.
@@ -24,48 +24,57 @@
 }
 
 /// Where the answer of a delivery comes from.
-pub(crate) enum Once {
+pub(crate) enum ResponseSource {
     /// From the run that this delivery started.
-    First(watch::Receiver<Option<Arc<FinalAnswer>>>),
+    Started(watch::Receiver<Option<Arc<FinalResponse>>>),
     /// From a run that another delivery started.
-    Joined(watch::Receiver<Option<Arc<FinalAnswer>>>),
+    Joined(watch::Receiver<Option<Arc<FinalResponse>>>),
     /// It is there already.
-    Done(Arc<FinalAnswer>),
+    Completed(Arc<FinalResponse>),
 }
 
 /// Starts the run of a key unless it was started before.
 ///
 /// The run goes on to its end when its caller leaves: given up half way, its outcome would be unknown for ever.
-pub(crate) fn once<R>(cx: &Arc<RequestContext>, keyed: Keyed, run: R) -> Result<Once, Failure>
+pub(crate) fn run_once<R>(
+    cx: &Arc<RequestContext>,
+    keyed: KeyedRequest,
+    run: R,
+) -> Result<ResponseSource, Failure>
 where
-    R: FnOnce() -> BoxFuture<'static, FinalAnswer> + Send + 'static,
+    R: FnOnce() -> BoxFuture<'static, FinalResponse> + Send + 'static,
 {
     let begun = lock(&cx.shared).begin(MonoTime::now(), &keyed.key, keyed.body_hash);
     let how = match begun {
-        Begin::Run(answer) => {
+        KeyVerdict::New(answer) => {
             spawn(cx.clone(), keyed, run);
-            return Ok(Once::First(answer));
+            return Ok(ResponseSource::Started(answer));
         }
-        Begin::Join(answer) => Ok((Once::Joined(answer), "joined a run of this key")),
-        Begin::Done(answer) => Ok((Once::Done(answer), "found the outcome of this key")),
-        Begin::OtherBody => Err(key_reused()),
-        Begin::Full => Err(Failure::not_run(
+        KeyVerdict::Running(answer) => {
+            Ok((ResponseSource::Joined(answer), "joined a run of this key"))
+        }
+        KeyVerdict::Completed(answer) => Ok((
+            ResponseSource::Completed(answer),
+            "found the outcome of this key",
+        )),
+        KeyVerdict::BodyMismatch => Err(key_reused()),
+        KeyVerdict::TableFull => Err(Failure::not_run(
             ProblemKind::Overloaded,
             "this instance holds as many idempotency keys as it may; this delivery was not run",
         )
         .with_retry_after(RETRY_AFTER)),
     };
-    how.map(|(once, how)| {
+    how.map(|(source, how)| {
         cx.note(Decision::Claimed { how: how.into() });
-        once
+        source
     })
 }
 
 /// Waits for the answer of a run.
-pub(crate) async fn wait_for(
+pub(crate) async fn wait_for_response(
     cx: &RequestContext,
-    mut answer: watch::Receiver<Option<Arc<FinalAnswer>>>,
-) -> Result<Arc<FinalAnswer>, Failure> {
+    mut answer: watch::Receiver<Option<Arc<FinalResponse>>>,
+) -> Result<Arc<FinalResponse>, Failure> {
     let arrived = answer.wait_for(Option::is_some);
     match tokio::time::timeout(cx.remaining() + RETRY_AFTER, arrived).await {
         Ok(Ok(answer)) => answer.clone().ok_or_else(outcome_unknown),
@@ -73,9 +82,9 @@
     }
 }
 
-fn spawn<R>(cx: Arc<RequestContext>, keyed: Keyed, run: R)
+fn spawn<R>(cx: Arc<RequestContext>, keyed: KeyedRequest, run: R)
 where
-    R: FnOnce() -> BoxFuture<'static, FinalAnswer> + Send + 'static,
+    R: FnOnce() -> BoxFuture<'static, FinalResponse> + Send + 'static,
 {
     let shared = cx.shared.clone();
     let in_flight = shared.enter();
@@ -89,7 +98,7 @@
         let claim_id = match claim(&cx, &keyed).await {
             Claimed::Ours(claim_id) => claim_id,
             Claimed::Recorded(answer) => return running.finish(answer),
-            Claimed::Refused(failure) => return running.give_up(&failure),
+            Claimed::Refused(failure) => return running.abandon(&failure),
         };
         let answer = run().await;
         let recorded = answer.to_recorded();
@@ -104,12 +113,12 @@
     /// This delivery runs.
     Ours(String),
     /// An earlier one ran, with this answer.
-    Recorded(FinalAnswer),
+    Recorded(FinalResponse),
     /// This one must not run.
     Refused(Failure),
 }
 
-async fn claim(cx: &RequestContext, keyed: &Keyed) -> Claimed {
+async fn claim(cx: &RequestContext, keyed: &KeyedRequest) -> Claimed {
     let verdict = ask_store(cx, keyed).await;
     cx.note(Decision::Claimed {
         how: words(&verdict).into(),
@@ -119,7 +128,7 @@
         ClaimVerdict::Acquired { claim_id } => return Claimed::Ours(claim_id),
         ClaimVerdict::Recorded(recorded) => {
             cx.finish(None);
-            return Claimed::Recorded(FinalAnswer::from_recorded(&recorded));
+            return Claimed::Recorded(FinalResponse::from_recorded(&recorded));
         }
         ClaimVerdict::Held => outcome_unknown(),
         ClaimVerdict::BodyMismatch => key_reused(),
@@ -130,7 +139,7 @@
 }
 
 /// Claims the key, and waits for the outcome of a claim that another run holds.
-async fn ask_store(cx: &RequestContext, keyed: &Keyed) -> ClaimVerdict {
+async fn ask_store(cx: &RequestContext, keyed: &KeyedRequest) -> ClaimVerdict {
     let ports = &cx.shared.ports;
     let asked = (ports.claim)(keyed.key.clone(), keyed.body_hash, cx.remaining());
     // A claim that comes after the deadline is of no use: nothing is run under it.
@@ -186,19 +195,19 @@
         }
     }
 
-    fn finish(mut self, answer: FinalAnswer) {
+    fn finish(mut self, answer: FinalResponse) {
         self.end(answer);
     }
 
     /// Ends a delivery that was refused without a run here. Its key is not kept, so that the next delivery asks the
     /// store again: the run that holds the claim may have ended by then.
-    fn give_up(mut self, failure: &Failure) {
+    fn abandon(mut self, failure: &Failure) {
         self.ended = true;
         let answer = Arc::new(problem_answer(failure, &self.id));
-        lock(&self.shared).give_up(&self.key, &answer);
+        lock(&self.shared).abandon(&self.key, &answer);
     }
 
-    fn end(&mut self, answer: FinalAnswer) {
+    fn end(&mut self, answer: FinalResponse) {
         self.ended = true;
         let answer = Arc::new(answer);
         lock(&self.shared).finish(MonoTime::now(), &self.key, &answer, self.retention);
--- a/crates/tc-caller/src/idempotency/table.rs
+++ b/crates/tc-caller/src/idempotency/table.rs
@@ -9,7 +9,7 @@
 use tc_protocol::{ClaimKey, MonoTime, RunState, WorkspaceName};
 use tokio::sync::watch;
 
-use crate::idempotency::FinalAnswer;
+use crate::idempotency::FinalResponse;
 
 /// Bounds of a [`KeyTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Keys in all.
     pub keys: usize,
     /// Bytes of kept answers of one workspace.
-    pub answer_bytes_per_workspace: usize,
+    pub response_bytes_per_workspace: usize,
 }
 
 impl Default for KeyTableLimits {
@@ -27,24 +27,24 @@
         Self {
             keys_per_workspace: 16_384,
             keys: 131_072,
-            answer_bytes_per_workspace: 16 << 20,
+            response_bytes_per_workspace: 16 << 20,
         }
     }
 }
 
 /// What [`KeyTable::begin`] found.
 #[derive(Debug)]
-pub enum Begin {
+pub enum KeyVerdict {
     /// The key is new: the caller of `begin` must run the request and call [`KeyTable::finish`].
-    Run(watch::Receiver<Option<Arc<FinalAnswer>>>),
+    New(watch::Receiver<Option<Arc<FinalResponse>>>),
     /// The key is running: its answer will come here.
-    Join(watch::Receiver<Option<Arc<FinalAnswer>>>),
+    Running(watch::Receiver<Option<Arc<FinalResponse>>>),
     /// The key was answered.
-    Done(Arc<FinalAnswer>),
+    Completed(Arc<FinalResponse>),
     /// The key was used with another body.
-    OtherBody,
+    BodyMismatch,
     /// There is no room for another key, and none that may be forgotten.
-    Full,
+    TableFull,
 }
 
 /// Keys seen by this instance, each running or done.
@@ -54,23 +54,23 @@
 ///
 /// ```
 /// use std::{sync::Arc, time::Duration};
-/// use tc_caller::{Begin, FinalAnswer, KeyTable, KeyTableLimits};
+/// use tc_caller::{KeyVerdict, FinalResponse, KeyTable, KeyTableLimits};
 /// use tc_protocol::{ClaimKey, MonoTime, RunState};
 ///
 /// let mut table = KeyTable::new(KeyTableLimits::default());
 /// let key = ClaimKey { workspace: "lintas".into(), target: "pipeline/draft".into(), key: "k-1".into() };
 /// let now = MonoTime::from_millis(1);
-/// assert!(matches!(table.begin(now, &key, 7), Begin::Run(_)));
-/// assert!(matches!(table.begin(now, &key, 7), Begin::Join(_)));
-/// assert!(matches!(table.begin(now, &key, 8), Begin::OtherBody));
-/// let answer = Arc::new(FinalAnswer {
+/// assert!(matches!(table.begin(now, &key, 7), KeyVerdict::New(_)));
+/// assert!(matches!(table.begin(now, &key, 7), KeyVerdict::Running(_)));
+/// assert!(matches!(table.begin(now, &key, 8), KeyVerdict::BodyMismatch));
+/// let answer = Arc::new(FinalResponse {
 ///     status: http::StatusCode::OK,
 ///     headers: http::HeaderMap::new(),
 ///     body: Some("done".into()),
 ///     run_state: RunState::Ran,
 /// });
 /// table.finish(now, &key, &answer, Duration::from_secs(600));
-/// assert!(matches!(table.begin(now, &key, 7), Begin::Done(kept) if kept == answer));
+/// assert!(matches!(table.begin(now, &key, 7), KeyVerdict::Completed(kept) if kept == answer));
 /// ```
 pub struct KeyTable {
     limits: KeyTableLimits,
@@ -86,8 +86,8 @@
 }
 
 enum State {
-    Running(watch::Sender<Option<Arc<FinalAnswer>>>),
-    Done(Arc<FinalAnswer>),
+    Running(watch::Sender<Option<Arc<FinalResponse>>>),
+    Done(Arc<FinalResponse>),
 }
 
 #[derive(Default)]
@@ -109,14 +109,14 @@
     }
 
     /// Takes in one delivery of a request with this key.
-    pub fn begin(&mut self, now: MonoTime, key: &ClaimKey, body_hash: u64) -> Begin {
+    pub fn begin(&mut self, now: MonoTime, key: &ClaimKey, body_hash: u64) -> KeyVerdict {
         self.expire(now);
         if let Some(entry) = self.keys.get(key) {
             return entry.duplicate(body_hash);
         }
         let used = self.workspaces.entry(key.workspace.clone()).or_default();
         if used.keys >= self.limits.keys_per_workspace || self.keys.len() >= self.limits.keys {
-            return Begin::Full;
+            return KeyVerdict::TableFull;
         }
         used.keys += 1;
         let (tx, rx) = watch::channel(None);
@@ -125,7 +125,7 @@
             state: State::Running(tx),
         };
         self.keys.insert(key.clone(), entry);
-        Begin::Run(rx)
+        KeyVerdict::New(rx)
     }
 
     /// Ends the run of a key and hands its answer to all who joined.
@@ -136,11 +136,11 @@
         &mut self,
         now: MonoTime,
         key: &ClaimKey,
-        answer: &Arc<FinalAnswer>,
+        answer: &Arc<FinalResponse>,
         retention: Duration,
     ) {
         if answer.run_state == RunState::NotRun {
-            self.give_up(key, answer);
+            self.abandon(key, answer);
             return;
         }
         let Some(entry) = self.keys.get_mut(key) else {
@@ -151,7 +151,7 @@
         };
         waiting.send_replace(Some(answer.clone()));
         let used = self.workspaces.entry(key.workspace.clone()).or_default();
-        let fits = used.bytes + answer.size() <= self.limits.answer_bytes_per_workspace;
+        let fits = used.bytes + answer.size() <= self.limits.response_bytes_per_workspace;
         let kept = if fits {
             answer.clone()
         } else {
@@ -163,7 +163,7 @@
     }
 
     /// Ends a key that was not run here: all who joined get the answer, and the key is forgotten.
-    pub fn give_up(&mut self, key: &ClaimKey, answer: &Arc<FinalAnswer>) {
+    pub fn abandon(&mut self, key: &ClaimKey, answer: &Arc<FinalResponse>) {
         let Some(entry) = self.keys.get(key) else {
             return;
         };
@@ -216,13 +216,13 @@
 }
 
 impl Entry {
-    fn duplicate(&self, body_hash: u64) -> Begin {
+    fn duplicate(&self, body_hash: u64) -> KeyVerdict {
         if self.body_hash != body_hash {
-            return Begin::OtherBody;
+            return KeyVerdict::BodyMismatch;
         }
         match &self.state {
-            State::Running(waiting) => Begin::Join(waiting.subscribe()),
-            State::Done(answer) => Begin::Done(answer.clone()),
+            State::Running(waiting) => KeyVerdict::Running(waiting.subscribe()),
+            State::Done(answer) => KeyVerdict::Completed(answer.clone()),
         }
     }
 }
--- a/crates/tc-caller/src/lib.rs
+++ b/crates/tc-caller/src/lib.rs
@@ -15,7 +15,7 @@
 mod streams;
 mod trace;
 
-pub use idempotency::{Begin, FinalAnswer, KeyTable, KeyTableLimits};
+pub use idempotency::{FinalResponse, KeyTable, KeyTableLimits, KeyVerdict};
 pub use ports::{
     AddressesPort, AskPort, CallerSettings, CallerTimeouts, ClaimPort, CrashedPort, JoinClaimPort,
     Ports, RanWholePort, RecordPort, SharePort, ViewPort,
--- a/crates/tc-caller/src/record/explain.rs
+++ b/crates/tc-caller/src/record/explain.rs
@@ -68,7 +68,7 @@
     }
 
     /// Keeps a request in place of the one that came a whole ring earlier.
-    pub(crate) fn keep(&self, counter: u64, trace: Arc<RequestTrace>) {
+    pub(crate) fn insert(&self, counter: u64, trace: Arc<RequestTrace>) {
         let slot = (counter % EXPLANATIONS as u64) as usize;
         self.slots[slot].store(Some(trace));
     }
--- a/crates/tc-caller/src/record/mod.rs
+++ b/crates/tc-caller/src/record/mod.rs
@@ -4,5 +4,5 @@
 mod stats;
 
 pub(crate) use explain::{ExplanationRing, RequestTrace};
-pub(crate) use stats::{Ending, Stats, WorkspaceRecord};
+pub(crate) use stats::{RequestOutcome, Stats, WorkspaceRecord};
 pub use stats::{StageCost, WorkspaceStats};
--- a/crates/tc-caller/src/record/stats.rs
+++ b/crates/tc-caller/src/record/stats.rs
@@ -58,14 +58,14 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ending {
+pub(crate) enum RequestOutcome {
     Answered,
     Late,
     Failed(&'static str),
     CallerLeft,
 }
 
-impl Ending {
+impl RequestOutcome {
     const fn label(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -114,21 +114,21 @@
         }
     }
 
-    pub(crate) fn ended(&self, ending: Ending, took: Duration) {
+    pub(crate) fn record_request(&self, ending: RequestOutcome, took: Duration) {
         metrics::counter!("tc_requests_total", "workspace" => self.label.clone(), "result" => ending.label())
             .increment(1);
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.requests += 1;
-        if ending == Ending::Answered {
+        if ending == RequestOutcome::Answered {
             counts.answered_in_deadline += 1;
         }
-        if matches!(ending, Ending::Answered | Ending::Late) {
+        if matches!(ending, RequestOutcome::Answered | RequestOutcome::Late) {
             counts.took_us.saturating_record(took.as_micros() as u64);
         }
     }
 
     /// Adds one call's cost; `wasted` when its result was not used.
-    pub(crate) fn spent(&self, key: &StageKey, cost: &Cost, wasted: bool) {
+    pub(crate) fn record_cost(&self, key: &StageKey, cost: &Cost, wasted: bool) {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         if !counts.stages.contains_key(key) {
             counts.stages.insert(key.clone(), Spent::default());
@@ -180,7 +180,7 @@
         }
     }
 
-    pub(crate) fn of(&self, workspace: &WorkspaceName) -> Arc<WorkspaceRecord> {
+    pub(crate) fn for_workspace(&self, workspace: &WorkspaceName) -> Arc<WorkspaceRecord> {
         if let Some(known) = self.workspaces.load().get(workspace) {
             return known.clone();
         }
--- a/crates/tc-caller/src/run/context.rs
+++ b/crates/tc-caller/src/run/context.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     http::Failure,
-    record::{Ending, RequestTrace, WorkspaceRecord},
+    record::{RequestOutcome, RequestTrace, WorkspaceRecord},
     shared::Shared,
 };
 
@@ -65,9 +65,9 @@
             accepted.pipeline.clone(),
             accepted.arrived,
         ));
-        shared.explanations.keep(accepted.counter, steps.clone());
+        shared.explanations.insert(accepted.counter, steps.clone());
         Arc::new(Self {
-            record: shared.stats.of(&accepted.workspace),
+            record: shared.stats.for_workspace(&accepted.workspace),
             shared,
             accepted,
             steps,
@@ -119,7 +119,7 @@
     /// Adds the cost of one call of `stage`; `wasted` when its result was not used.
     pub(crate) fn spend(&self, stage: &StageName, cost: &Cost, wasted: bool) {
         let key = (self.pipeline.clone(), stage.clone());
-        self.record.spent(&key, cost, wasted);
+        self.record.record_cost(&key, cost, wasted);
         let mut sum = lock(&self.cost);
         sum.tokens_in = sum.tokens_in.saturating_add(cost.tokens_in);
         sum.tokens_out = sum.tokens_out.saturating_add(cost.tokens_out);
@@ -132,10 +132,10 @@
 
     /// Notes how the request ended; only the first time counts.
     pub(crate) fn finish(&self, failure: Option<&Failure>) {
-        let ending = match failure {
-            None if self.deadline.is_past(MonoTime::now()) => Ending::Late,
-            None => Ending::Answered,
-            Some(failure) => Ending::Failed(failure.kind.as_str()),
+        let outcome = match failure {
+            None if self.deadline.is_past(MonoTime::now()) => RequestOutcome::Late,
+            None => RequestOutcome::Answered,
+            Some(failure) => RequestOutcome::Failed(failure.kind.as_str()),
         };
         let decision = match failure {
             None => Decision::Answered,
@@ -148,22 +148,22 @@
                 run_state: f.run_state,
             },
         };
-        self.end(ending, decision);
+        self.end(outcome, decision);
     }
 
-    fn end(&self, ending: Ending, decision: Decision) {
+    fn end(&self, outcome: RequestOutcome, decision: Decision) {
         if self.finished.swap(true, Ordering::Relaxed) {
             return;
         }
         self.note(decision);
         self.record
-            .ended(ending, MonoTime::now().since(self.arrived));
+            .record_request(outcome, MonoTime::now().since(self.arrived));
     }
 }
 
 impl Drop for RequestContext {
     fn drop(&mut self) {
-        self.end(Ending::CallerLeft, Decision::CallerLeft);
+        self.end(RequestOutcome::CallerLeft, Decision::CallerLeft);
         let units = self.cost().units();
         if let Some(mut share) = lock(&self.share).take() {
             share.charge(units);
--- a/crates/tc-caller/src/streams/log.rs
+++ b/crates/tc-caller/src/streams/log.rs
@@ -30,8 +30,8 @@
     /// Highest event handed to a reader.
     read: u64,
     unread_bytes: usize,
-    kept_bytes: usize,
-    end: Option<End>,
+    retained_bytes: usize,
+    end: Option<StreamEnd>,
     /// Counts readers; only the last one reads on.
     reader: u64,
     attached: bool,
@@ -45,7 +45,7 @@
 
 /// How a stream ended.
 #[derive(Clone)]
-pub(crate) enum End {
+pub(crate) enum StreamEnd {
     /// With this last event, `done` or `problem`.
     Event(Bytes),
     /// Before anything was sent: the caller gets an ordinary failure.
@@ -53,9 +53,9 @@
 }
 
 /// What a stream begins with.
-pub(crate) enum Opening {
+pub(crate) enum StreamStart {
     /// There is something to send.
-    Stream,
+    Streaming,
     /// It failed before that.
     Failure(Failure),
 }
@@ -68,7 +68,7 @@
                 next_id: 1,
                 read: 0,
                 unread_bytes: 0,
-                kept_bytes: 0,
+                retained_bytes: 0,
                 end: None,
                 reader: 0,
                 attached: false,
@@ -99,7 +99,7 @@
     }
 
     /// Ends the stream.
-    pub(crate) fn end(&self, end: End) {
+    pub(crate) fn end(&self, end: StreamEnd) {
         self.lock().end = Some(end);
         self.readable.notify_one();
     }
@@ -112,16 +112,16 @@
         self.lock().next_id > 1
     }
 
-    pub(crate) fn kept_bytes(&self) -> usize {
-        self.lock().kept_bytes
+    pub(crate) fn retained_bytes(&self) -> usize {
+        self.lock().retained_bytes
     }
 
     /// Makes the caller a reader after event `last`, replacing the reader before it; `None` when that event's
     /// successor is no longer kept or `last` never was sent.
     pub(crate) fn attach(&self, last: u64) -> Option<u64> {
         let mut state = self.lock();
-        let first_kept = state.events.front().map_or(state.next_id, |e| e.id);
-        if last + 1 < first_kept || last >= state.next_id {
+        let first_retained = state.events.front().map_or(state.next_id, |e| e.id);
+        if last + 1 < first_retained || last >= state.next_id {
             return None;
         }
         state.reader += 1;
@@ -147,15 +147,17 @@
     }
 
     /// Waits until there is something to send, or the stream failed before that.
-    pub(crate) async fn opened(&self) -> Opening {
+    pub(crate) async fn wait_for_start(&self) -> StreamStart {
         loop {
             let readable = self.readable.notified();
             {
                 let state = self.lock();
                 match &state.end {
-                    Some(End::Failure(failure)) => return Opening::Failure(failure.clone()),
-                    Some(End::Event(_)) => return Opening::Stream,
-                    None if !state.events.is_empty() => return Opening::Stream,
+                    Some(StreamEnd::Failure(failure)) => {
+                        return StreamStart::Failure(failure.clone());
+                    }
+                    Some(StreamEnd::Event(_)) => return StreamStart::Streaming,
+                    None if !state.events.is_empty() => return StreamStart::Streaming,
                     None => {}
                 }
             }
@@ -181,7 +183,7 @@
 
     /// Waits until nobody has read for the resume window. A stream of which the caller has seen nothing can't be
     /// resumed, so there the window is zero.
-    pub(crate) async fn abandoned(&self) {
+    pub(crate) async fn wait_until_abandoned(&self) {
         loop {
             let moved = self.reader_moved.notified();
             let wait = {
@@ -220,7 +222,7 @@
         let frame = text_event(id, text);
         self.next_id += 1;
         self.unread_bytes += frame.len();
-        self.kept_bytes += frame.len();
+        self.retained_bytes += frame.len();
         self.events.push_back(Event { id, frame });
         self.forget_old();
     }
@@ -228,7 +230,7 @@
     /// Forgets the oldest events beyond the bounds; unread ones only while nobody is there to read them.
     fn forget_old(&mut self) {
         let unread = if self.attached { self.unread_bytes } else { 0 };
-        while self.kept_bytes > RETAINED_BYTES + unread || self.events.len() > RETAINED_EVENTS {
+        while self.retained_bytes > RETAINED_BYTES + unread || self.events.len() > RETAINED_EVENTS {
             let oldest_unread = self.events.front().is_some_and(|e| e.id > self.read);
             if self.attached && oldest_unread {
                 return;
@@ -236,7 +238,7 @@
             let Some(event) = self.events.pop_front() else {
                 return;
             };
-            self.kept_bytes -= event.frame.len();
+            self.retained_bytes -= event.frame.len();
             if event.id > self.read {
                 self.unread_bytes -= event.frame.len();
             }
@@ -257,12 +259,12 @@
         }
         match &self.end {
             None => Taken::Nothing,
-            Some(End::Event(frame)) => {
+            Some(StreamEnd::Event(frame)) => {
                 // The last event has no id, so a caller that resumes gets it again.
                 self.reader += 1;
                 Taken::Frame(frame.clone())
             }
-            Some(End::Failure(_)) => Taken::Over,
+            Some(StreamEnd::Failure(_)) => Taken::Over,
         }
     }
 
--- a/crates/tc-caller/src/streams/mod.rs
+++ b/crates/tc-caller/src/streams/mod.rs
@@ -7,7 +7,7 @@
 mod start;
 
 pub(crate) use event::{done_event, text_event};
-pub(crate) use log::{End, Opening, StreamLog};
+pub(crate) use log::{StreamEnd, StreamLog, StreamStart};
 pub(crate) use registry::StreamRegistry;
-pub(crate) use resume::{gone, resume};
-pub(crate) use start::{run_into, start, stream_response};
+pub(crate) use resume::{not_resumable, resume};
+pub(crate) use start::{run_into_stream, start_stream, stream_response};
--- a/crates/tc-caller/src/streams/registry.rs
+++ b/crates/tc-caller/src/streams/registry.rs
@@ -14,10 +14,10 @@
 
 /// Streams by workspace, each workspace within its own bounds so that none can push out another's.
 pub(crate) struct StreamRegistry {
-    workspaces: Mutex<HashMap<WorkspaceName, VecDeque<Kept>>>,
+    workspaces: Mutex<HashMap<WorkspaceName, VecDeque<RetainedStream>>>,
 }
 
-struct Kept {
+struct RetainedStream {
     request: RequestId,
     log: Arc<StreamLog>,
 }
@@ -32,19 +32,19 @@
     /// Keeps a stream until the guard is dropped, or the workspace's bounds push it out: finished ones first.
     ///
     /// A stream that is pushed out runs on for the reader it has; it can only no longer be resumed.
-    pub(crate) fn keep(
+    pub(crate) fn register(
         self: &Arc<Self>,
         workspace: WorkspaceName,
         request: RequestId,
         log: Arc<StreamLog>,
     ) -> Registration {
         let mut workspaces = self.lock();
-        let kept = workspaces.entry(workspace.clone()).or_default();
-        while is_full(kept) {
-            let finished = kept.iter().position(|k| k.log.has_ended());
-            kept.remove(finished.unwrap_or(0));
+        let retained = workspaces.entry(workspace.clone()).or_default();
+        while is_full(retained) {
+            let finished = retained.iter().position(|stream| stream.log.has_ended());
+            retained.remove(finished.unwrap_or(0));
         }
-        kept.push_back(Kept {
+        retained.push_back(RetainedStream {
             request: request.clone(),
             log,
         });
@@ -61,34 +61,37 @@
         request: &RequestId,
     ) -> Option<Arc<StreamLog>> {
         let workspaces = self.lock();
-        let kept = workspaces.get(workspace)?;
-        let found = kept.iter().find(|k| k.request == *request)?;
+        let retained = workspaces.get(workspace)?;
+        let found = retained.iter().find(|stream| stream.request == *request)?;
         Some(found.log.clone())
     }
 
-    fn forget(&self, workspace: &WorkspaceName, request: &RequestId) {
+    fn remove(&self, workspace: &WorkspaceName, request: &RequestId) {
         let mut workspaces = self.lock();
-        if let Some(kept) = workspaces.get_mut(workspace) {
-            kept.retain(|k| k.request != *request);
-            if kept.is_empty() {
+        if let Some(retained) = workspaces.get_mut(workspace) {
+            retained.retain(|stream| stream.request != *request);
+            if retained.is_empty() {
                 workspaces.remove(workspace);
             }
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<WorkspaceName, VecDeque<Kept>>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<WorkspaceName, VecDeque<RetainedStream>>> {
         self.workspaces
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn is_full(kept: &VecDeque<Kept>) -> bool {
-    if kept.is_empty() {
+fn is_full(retained: &VecDeque<RetainedStream>) -> bool {
+    if retained.is_empty() {
         return false;
     }
-    let bytes: usize = kept.iter().map(|k| k.log.kept_bytes()).sum();
-    kept.len() >= STREAMS_PER_WORKSPACE || bytes >= STREAM_BYTES_PER_WORKSPACE
+    let bytes: usize = retained
+        .iter()
+        .map(|stream| stream.log.retained_bytes())
+        .sum();
+    retained.len() >= STREAMS_PER_WORKSPACE || bytes >= STREAM_BYTES_PER_WORKSPACE
 }
 
 /// Keeps a stream resumable.
@@ -100,6 +103,6 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.registry.forget(&self.workspace, &self.request);
+        self.registry.remove(&self.workspace, &self.request);
     }
 }
--- a/crates/tc-caller/src/streams/resume.rs
+++ b/crates/tc-caller/src/streams/resume.rs
@@ -19,13 +19,13 @@
     let log = shared
         .streams
         .find(workspace, &from.request)
-        .ok_or_else(gone)?;
+        .ok_or_else(not_resumable)?;
     metrics::counter!("tc_caller_resumes_total").increment(1);
     stream_response(&log, from.last_event_id, &from.request)
 }
 
 /// What a caller is told whose stream cannot be resumed: how it ended can't be known any more.
-pub(crate) fn gone() -> Failure {
+pub(crate) fn not_resumable() -> Failure {
     Failure::new(
         ProblemKind::OutcomeUnknown,
         RunState::Unknown,
--- a/crates/tc-caller/src/streams/start.rs
+++ b/crates/tc-caller/src/streams/start.rs
@@ -16,7 +16,7 @@
     limits::RESUME_WINDOW,
     run::{PipelineAnswer, PipelineWork, RequestContext, run_pipeline},
     streams::{
-        End, Opening, StreamLog,
+        StreamEnd, StreamLog, StreamStart,
         event::{done_event, problem_event},
     },
 };
@@ -34,7 +34,7 @@
 }
 
 /// Runs a pipeline that may be cancelled, streaming its last stage.
-pub(crate) async fn start(
+pub(crate) async fn start_stream(
     cx: Arc<RequestContext>,
     work: PipelineWork,
 ) -> Result<CallerResponse, Failure> {
@@ -48,33 +48,35 @@
         async move {
             let _in_flight = in_flight;
             tokio::select! {
-                _ = run_into(&cx, &work, &log) => {}
+                _ = run_into_stream(&cx, &work, &log) => {}
                 // Dropping the run cancels its call at the upstream.
-                () = log.abandoned() => log.end(End::Event(Bytes::new())),
+                () = log.wait_until_abandoned() => log.end(StreamEnd::Event(Bytes::new())),
             }
         }
     };
     shared.tasks.spawn(run.in_current_span());
-    match log.opened().await {
-        Opening::Failure(failure) => Err(failure),
-        Opening::Stream => response,
+    match log.wait_for_start().await {
+        StreamStart::Failure(failure) => Err(failure),
+        StreamStart::Streaming => response,
     }
 }
 
 /// Runs a pipeline into a stream that can be resumed while it runs and a while after.
-pub(crate) async fn run_into(
+pub(crate) async fn run_into_stream(
     cx: &Arc<RequestContext>,
     work: &PipelineWork,
     log: &Arc<StreamLog>,
 ) -> Result<PipelineAnswer, Failure> {
     let registry = &cx.shared.streams;
-    let registration = registry.keep(cx.workspace.clone(), cx.id.clone(), log.clone());
+    let registration = registry.register(cx.workspace.clone(), cx.id.clone(), log.clone());
     let result = run_pipeline(cx, work, Some(log)).await;
     cx.finish(result.as_ref().err());
     log.end(match &result {
-        Ok(answer) => End::Event(done_event(answer)),
-        Err(failure) if log.has_events() => End::Event(problem_event(&failure.problem(&cx.id))),
-        Err(failure) => End::Failure(failure.clone()),
+        Ok(answer) => StreamEnd::Event(done_event(answer)),
+        Err(failure) if log.has_events() => {
+            StreamEnd::Event(problem_event(&failure.problem(&cx.id)))
+        }
+        Err(failure) => StreamEnd::Failure(failure.clone()),
     });
     tokio::spawn(async move {
         tokio::time::sleep(RESUME_WINDOW).await;
@@ -89,7 +91,7 @@
     last: u64,
     id: &RequestId,
 ) -> Result<CallerResponse, Failure> {
-    let number = log.attach(last).ok_or_else(super::resume::gone)?;
+    let number = log.attach(last).ok_or_else(super::resume::not_resumable)?;
     let reader = Reader {
         log: log.clone(),
         number,
--- a/crates/tc-caller/tests/key_table.rs
+++ b/crates/tc-caller/tests/key_table.rs
@@ -4,7 +4,7 @@
 
 use bolero::{TypeGenerator, generator::produce};
 use http::{HeaderMap, StatusCode};
-use tc_caller::{Begin, FinalAnswer, KeyTable, KeyTableLimits};
+use tc_caller::{FinalResponse, KeyTable, KeyTableLimits, KeyVerdict};
 use tc_protocol::{ClaimKey, MonoTime, RunState};
 
 const ITERATIONS: usize = 2_000;
@@ -12,7 +12,7 @@
 const LIMITS: KeyTableLimits = KeyTableLimits {
     keys_per_workspace: 3,
     keys: 5,
-    answer_bytes_per_workspace: 64,
+    response_bytes_per_workspace: 64,
 };
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
@@ -35,8 +35,8 @@
 /// What the model knows of a key.
 struct Known {
     body: bool,
-    joined: Vec<tokio::sync::watch::Receiver<Option<Arc<FinalAnswer>>>>,
-    done: Option<(Arc<FinalAnswer>, MonoTime)>,
+    joined: Vec<tokio::sync::watch::Receiver<Option<Arc<FinalResponse>>>>,
+    done: Option<(Arc<FinalResponse>, MonoTime)>,
 }
 
 #[derive(Default)]
@@ -54,7 +54,7 @@
     }
 }
 
-fn answer(how: u8, serial: usize) -> Arc<FinalAnswer> {
+fn answer(how: u8, serial: usize) -> Arc<FinalResponse> {
     let (status, run_state) = match how % 4 {
         0 => (StatusCode::OK, RunState::Ran),
         1 => (StatusCode::BAD_GATEWAY, RunState::Unknown),
@@ -63,7 +63,7 @@
     };
     let mut body = format!("answer {serial}");
     body.push_str(&" ".repeat(usize::from(how)));
-    Arc::new(FinalAnswer {
+    Arc::new(FinalResponse {
         status,
         headers: HeaderMap::new(),
         body: Some(body.into()),
@@ -83,12 +83,12 @@
         });
     }
 
-    fn begin(&mut self, key: &ClaimKey, body: bool, begun: Begin) {
+    fn begin(&mut self, key: &ClaimKey, body: bool, verdict: KeyVerdict) {
         let mine = self.known.keys().filter(|k| k.workspace == key.workspace);
         let full = mine.count() >= LIMITS.keys_per_workspace || self.known.len() >= LIMITS.keys;
-        match (self.known.get_mut(key), begun) {
-            (None, Begin::Full) => assert!(full, "refused although there was room"),
-            (None, Begin::Run(rx)) => {
+        match (self.known.get_mut(key), verdict) {
+            (None, KeyVerdict::TableFull) => assert!(full, "refused although there was room"),
+            (None, KeyVerdict::New(rx)) => {
                 assert!(!full, "taken beyond the bound");
                 let known = Known {
                     body,
@@ -97,12 +97,12 @@
                 };
                 self.known.insert(key.clone(), known);
             }
-            (Some(known), Begin::OtherBody) => assert_ne!(known.body, body),
-            (Some(known), Begin::Join(rx)) => {
+            (Some(known), KeyVerdict::BodyMismatch) => assert_ne!(known.body, body),
+            (Some(known), KeyVerdict::Running(rx)) => {
                 assert!(known.body == body && known.done.is_none());
                 known.joined.push(rx);
             }
-            (Some(known), Begin::Done(found)) => {
+            (Some(known), KeyVerdict::Completed(found)) => {
                 assert_eq!(known.body, body);
                 let (told, _) = known.done.as_ref().expect("done before");
                 assert!(
@@ -110,11 +110,11 @@
                     "another answer"
                 );
             }
-            (known, begun) => panic!("known {}: {begun:?}", known.is_some()),
+            (known, verdict) => panic!("known {}: {verdict:?}", known.is_some()),
         }
     }
 
-    fn finish(&mut self, now: MonoTime, key: &ClaimKey, answer: &Arc<FinalAnswer>) {
+    fn finish(&mut self, now: MonoTime, key: &ClaimKey, answer: &Arc<FinalResponse>) {
         let Some(known) = self.known.get_mut(key).filter(|k| k.done.is_none()) else {
             return;
         };
@@ -157,8 +157,8 @@
                 } => {
                     let key = claim_key(workspace, key);
                     model.expire(now);
-                    let begun = table.begin(now, &key, u64::from(body));
-                    model.begin(&key, body, begun);
+                    let verdict = table.begin(now, &key, u64::from(body));
+                    model.begin(&key, body, verdict);
                     assert_eq!(table.len(), model.known.len());
                 }
                 Op::Finish {
