--- a/crates/tc-caller/src/idempotency/binding.rs
+++ b/crates/tc-caller/src/idempotency/binding.rs
@@ -1,4 +1,4 @@
-//! Which instance may run a key.
+//! Finds the instance that may run a request with an idempotency key.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,20 @@
 
 use crate::http::{Binding, Failure};
 
-/// Where a request must be handled.
+/// The instance that must handle a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum KeyOwner {
-    /// Here.
+    /// This instance.
     Local,
-    /// At another instance.
+    /// The instance at this caller address.
     Remote(SocketAddr),
 }
 
-/// Where a key bound to `binding` may run.
+/// Returns the instance that owns a key bound to `binding`.
 ///
-/// Only that life of that process knows whether it has run the key. When it is gone, nobody does, and running it here
-/// could double it; the caller is told so. Told `not run`, it would send it again, seen as a mechanic billed twice.
+/// Only the process with that incarnation knows whether it has run the key. If it has ended, running the key here could
+/// run it a second time, so the request fails with the run state `unknown`. With `not_run` the caller would resend the
+/// request, which has led to a mechanic being billed twice.
 pub(crate) fn key_owner(
     view: &FleetView,
     binding: &Binding,
@@ -28,16 +29,16 @@
         return Ok(KeyOwner::Local);
     }
     let member = view.member(&binding.instance);
-    let alive = member
+    let owner = member
         .filter(|m| m.incarnation == binding.incarnation && m.state != MemberState::Dead)
         .filter(|m| m.id != view.me.id);
-    match alive {
+    match owner {
         Some(member) if !forwarded => Ok(KeyOwner::Remote(member.caller_address)),
         _ => Err(owner_unreachable(&binding.instance)),
     }
 }
 
-/// What a caller is told whose key is bound to an instance that cannot be asked.
+/// Returns the failure for a key that is bound to an unreachable instance.
 pub(crate) fn owner_unreachable(instance: &InstanceId) -> Failure {
     Failure::new(
         ProblemKind::OutcomeUnknown,
--- a/crates/tc-caller/src/idempotency/final_response.rs
+++ b/crates/tc-caller/src/idempotency/final_response.rs
@@ -1,4 +1,4 @@
-//! A whole answer, kept so that a duplicate gets the same.
+//! A complete response, stored so that a resent request gets the same one.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header::CONTENT_TYPE};
@@ -9,32 +9,32 @@
     limits::MAX_RECORDED_BYTES,
 };
 
-/// What a caller was told, whole.
+/// The complete response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalResponse {
     /// HTTP status code.
     pub status: StatusCode,
-    /// Headers of the answer itself.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// The body, or `None` when it was too large to keep.
+    /// The body, or `None` if it was too large to store.
     pub body: Option<Bytes>,
-    /// Whether the request ran.
+    /// Whether an upstream ran the request.
     pub run_state: RunState,
 }
 
 impl FinalResponse {
-    /// Approximate memory it takes, in bytes.
+    /// Returns the approximate memory use, in bytes.
     ///
     /// ```
     /// use tc_caller::FinalResponse;
-    /// let answer = FinalResponse {
+    /// let response = FinalResponse {
     ///     status: http::StatusCode::OK,
     ///     headers: http::HeaderMap::new(),
     ///     body: Some("done".into()),
     ///     run_state: tc_protocol::RunState::Ran,
     /// };
-    /// assert_eq!(answer.size(), 4);
-    /// assert_eq!(answer.without_body().size(), 0);
+    /// assert_eq!(response.size(), 4);
+    /// assert_eq!(response.without_body().size(), 0);
     /// ```
     #[must_use]
     pub fn size(&self) -> usize {
@@ -46,7 +46,7 @@
         headers + self.body.as_ref().map_or(0, Bytes::len)
     }
 
-    /// The same answer without its body.
+    /// Returns a copy without the body.
     #[must_use]
     pub fn without_body(&self) -> Self {
         Self {
@@ -55,7 +55,8 @@
         }
     }
 
-    /// What the platform's store keeps of it.
+    /// Converts the response to the form in which the platform's store keeps it. A body that is too large or not UTF-8 is
+    /// left out.
     pub(crate) fn to_recorded(&self) -> RecordedOutcome {
         let text = |bytes: &Bytes| String::from_utf8(bytes.to_vec()).ok();
         let small = |bytes: &&Bytes| bytes.len() <= MAX_RECORDED_BYTES;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The answer that the platform's store kept.
+    /// Restores a response from the platform's store.
     pub(crate) fn from_recorded(recorded: &RecordedOutcome) -> Self {
         let mut headers = HeaderMap::new();
         if let Ok(value) = HeaderValue::from_str(&recorded.content_type) {
@@ -87,7 +88,8 @@
         }
     }
 
-    /// The response, which for an answer too large to keep is a problem that says so.
+    /// Returns the HTTP response to a delivery of the request. If the body was too large to store, this is a problem
+    /// that states so.
     pub(crate) fn to_response(&self, id: &RequestId) -> CallerResponse {
         let Some(body) = &self.body else {
             let failure = Failure::new(
@@ -112,7 +114,7 @@
         response
     }
 
-    /// The response with its body, when it has one.
+    /// Returns the HTTP response, with an empty body if none is stored.
     pub(crate) fn into_response(self) -> CallerResponse {
         let mut response = Response::new(CallerBody::whole(self.body.unwrap_or_default()));
         *response.status_mut() = self.status;
--- a/crates/tc-caller/src/idempotency/forward.rs
+++ b/crates/tc-caller/src/idempotency/forward.rs
@@ -1,4 +1,4 @@
-//! A request passed on once to the instance that must handle it.
+//! Forwards a request to the instance that must handle it. A request is forwarded at most once.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,31 +20,31 @@
 
 use crate::http::{CallerBody, CallerResponse};
 
-/// Why a request got no answer from the instance it was passed on to. It may have arrived there all the same.
+/// Why a forwarded request got no response. The other instance may still have received it.
 #[derive(Debug, Error)]
 pub(crate) enum ForwardError {
-    #[error("the request cannot be passed on: {0}")]
+    #[error("cannot build the forwarded request: {0}")]
     Build(#[from] http::Error),
-    #[error("the connection failed: {0}")]
+    #[error("connection to the instance failed: {0}")]
     Connection(#[from] hyper_util::client::legacy::Error),
-    #[error("no answer in time")]
+    #[error("timed out waiting for the response")]
     TimedOut,
 }
 
-/// Longest time to connect to another instance.
+/// Timeout for connecting to another instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request to pass on.
+/// A request to be forwarded.
 pub(crate) struct ForwardedRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Time left for it.
+    /// Time until the deadline of the request.
     pub(crate) remaining: Duration,
 }
 
-/// Client towards other instances' caller side.
+/// HTTP client for the caller addresses of other instances.
 pub(crate) struct Forwarder {
     client: Client<HttpConnector, Full<Bytes>>,
 }
@@ -56,56 +56,56 @@
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            // A request that the other side may have seen is never sent twice.
+            // The client must not resend a request that the other instance may have received.
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// Passes a request on to the instance at `address` and streams its answer through.
+    /// Sends a request to the instance at `address` and returns its response, with the body as a stream.
     pub(crate) async fn forward(
         &self,
         me: &InstanceId,
         address: SocketAddr,
-        onward: ForwardedRequest,
+        forwarded: ForwardedRequest,
     ) -> Result<CallerResponse, ForwardError> {
-        let remaining = onward.remaining;
-        let request = request(me, address, onward)?;
+        let remaining = forwarded.remaining;
+        let request = build_request(me, address, forwarded)?;
         metrics::counter!("tc_forwarded_total").increment(1);
-        let answer = tokio::time::timeout(remaining, self.client.request(request)).await;
-        let response = answer.map_err(|_| ForwardError::TimedOut)??;
-        Ok(passed_through(response))
+        let result = tokio::time::timeout(remaining, self.client.request(request)).await;
+        let response = result.map_err(|_| ForwardError::TimedOut)??;
+        Ok(into_caller_response(response))
     }
 }
 
-fn request(
+fn build_request(
     me: &InstanceId,
     address: SocketAddr,
-    onward: ForwardedRequest,
+    forwarded: ForwardedRequest,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
-    let path = onward.uri.path_and_query().map_or("/", |p| p.as_str());
+    let path = forwarded.uri.path_and_query().map_or("/", |p| p.as_str());
     let uri = Uri::builder()
         .scheme("http")
         .authority(address.to_string())
         .path_and_query(path)
         .build()?;
     let mut request = Request::builder()
-        .method(onward.method)
+        .method(forwarded.method)
         .uri(uri)
-        .body(Full::new(onward.body))?;
+        .body(Full::new(forwarded.body))?;
     let headers = request.headers_mut();
-    *headers = onward.headers;
+    *headers = forwarded.headers;
     remove_hop_by_hop(headers);
-    // The body goes on whole, with its own length, and to another host.
+    // The client sets both headers: the body is sent complete, and to another host.
     headers.remove(CONTENT_LENGTH);
     headers.remove(HOST);
     headers.insert(wire::FORWARDED, HeaderValue::from_str(me.as_str())?);
-    let millis = onward.remaining.as_millis().max(1) as u64;
+    let millis = forwarded.remaining.as_millis().max(1) as u64;
     headers.insert(wire::TIMEOUT_MS, HeaderValue::from(millis));
     Ok(request)
 }
 
-fn passed_through(response: Response<hyper::body::Incoming>) -> CallerResponse {
+fn into_caller_response(response: Response<hyper::body::Incoming>) -> CallerResponse {
     let (mut parts, body) = response.into_parts();
     remove_hop_by_hop(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
--- a/crates/tc-caller/src/idempotency/mod.rs
+++ b/crates/tc-caller/src/idempotency/mod.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent requests: at most one run for each key.
+//! Non-idempotent requests: runs each idempotency key at most once.
 
 mod binding;
 mod final_response;
--- a/crates/tc-caller/src/idempotency/run_once.rs
+++ b/crates/tc-caller/src/idempotency/run_once.rs
@@ -1,4 +1,4 @@
-//! The run of a key: at most once, on to its end, its outcome given to every delivery.
+//! Runs the request of an idempotency key at most once and to completion, and gives its response to every delivery.
 
 use std::sync::{Arc, PoisonError};
 
@@ -19,42 +19,42 @@
 pub(crate) struct KeyedRequest {
     pub(crate) key: ClaimKey,
     pub(crate) body_hash: u64,
-    /// Whether the key is bound to this instance; otherwise it is claimed in the platform's store.
+    /// Whether the key is bound to this instance. Otherwise it must be claimed in the platform's store.
     pub(crate) bound: bool,
 }
 
-/// Where the answer of a delivery comes from.
+/// Where the response to a delivery comes from.
 pub(crate) enum ResponseSource {
-    /// From the run that this delivery started.
+    /// The run that this delivery started.
     Started(watch::Receiver<Option<Arc<FinalResponse>>>),
-    /// From a run that another delivery started.
+    /// A run that another delivery started.
     Joined(watch::Receiver<Option<Arc<FinalResponse>>>),
-    /// It is there already.
+    /// A run that has already completed.
     Completed(Arc<FinalResponse>),
 }
 
-/// Starts the run of a key unless it was started before.
+/// Runs the request of a key unless another delivery has already started it.
 ///
-/// The run goes on to its end when its caller leaves: given up half way, its outcome would be unknown for ever.
+/// The run completes even if its caller disconnects. If it were cancelled, its outcome would stay unknown.
 pub(crate) fn run_once<R>(
     cx: &Arc<RequestContext>,
-    keyed: KeyedRequest,
+    request: KeyedRequest,
     run: R,
 ) -> Result<ResponseSource, Failure>
 where
     R: FnOnce() -> BoxFuture<'static, FinalResponse> + Send + 'static,
 {
-    let begun = lock(&cx.shared).begin(MonoTime::now(), &keyed.key, keyed.body_hash);
-    let how = match begun {
-        KeyVerdict::New(answer) => {
-            spawn(cx.clone(), keyed, run);
-            return Ok(ResponseSource::Started(answer));
+    let verdict = lock(&cx.shared).begin(MonoTime::now(), &request.key, request.body_hash);
+    let source = match verdict {
+        KeyVerdict::New(response) => {
+            spawn(cx.clone(), request, run);
+            return Ok(ResponseSource::Started(response));
         }
-        KeyVerdict::Running(answer) => {
-            Ok((ResponseSource::Joined(answer), "joined a run of this key"))
+        KeyVerdict::Running(response) => {
+            Ok((ResponseSource::Joined(response), "joined a run of this key"))
         }
-        KeyVerdict::Completed(answer) => Ok((
-            ResponseSource::Completed(answer),
+        KeyVerdict::Completed(response) => Ok((
+            ResponseSource::Completed(response),
             "found the outcome of this key",
         )),
         KeyVerdict::BodyMismatch => Err(key_reused()),
@@ -64,92 +64,92 @@
         )
         .with_retry_after(RETRY_AFTER)),
     };
-    how.map(|(source, how)| {
+    source.map(|(source, how)| {
         cx.note(Decision::Claimed { how: how.into() });
         source
     })
 }
 
-/// Waits for the answer of a run.
+/// Waits for the response of a run.
 pub(crate) async fn wait_for_response(
     cx: &RequestContext,
-    mut answer: watch::Receiver<Option<Arc<FinalResponse>>>,
+    mut response: watch::Receiver<Option<Arc<FinalResponse>>>,
 ) -> Result<Arc<FinalResponse>, Failure> {
-    let arrived = answer.wait_for(Option::is_some);
+    let arrived = response.wait_for(Option::is_some);
     match tokio::time::timeout(cx.remaining() + RETRY_AFTER, arrived).await {
-        Ok(Ok(answer)) => answer.clone().ok_or_else(outcome_unknown),
+        Ok(Ok(response)) => response.clone().ok_or_else(outcome_unknown),
         _ => Err(outcome_unknown()),
     }
 }
 
-fn spawn<R>(cx: Arc<RequestContext>, keyed: KeyedRequest, run: R)
+fn spawn<R>(cx: Arc<RequestContext>, request: KeyedRequest, run: R)
 where
     R: FnOnce() -> BoxFuture<'static, FinalResponse> + Send + 'static,
 {
     let shared = cx.shared.clone();
     let in_flight = shared.enter();
-    let to_its_end = async move {
+    let run_to_completion = async move {
         let _in_flight = in_flight;
-        let running = Running::new(&cx, &keyed.key);
-        if keyed.bound {
-            running.finish(run().await);
+        let guard = RunGuard::new(&cx, &request.key);
+        if request.bound {
+            guard.finish(run().await);
             return;
         }
-        let claim_id = match claim(&cx, &keyed).await {
-            Claimed::Ours(claim_id) => claim_id,
-            Claimed::Recorded(answer) => return running.finish(answer),
-            Claimed::Refused(failure) => return running.abandon(&failure),
+        let claim_id = match claim(&cx, &request).await {
+            ClaimResult::Acquired(claim_id) => claim_id,
+            ClaimResult::Recorded(response) => return guard.finish(response),
+            ClaimResult::Refused(failure) => return guard.abandon(&failure),
         };
-        let answer = run().await;
-        let recorded = answer.to_recorded();
-        running.finish(answer);
-        record(&cx, &keyed.key, claim_id, recorded).await;
+        let response = run().await;
+        let recorded = response.to_recorded();
+        guard.finish(response);
+        record_outcome(&cx, &request.key, claim_id, recorded).await;
     };
-    shared.tasks.spawn(to_its_end.in_current_span());
+    shared.tasks.spawn(run_to_completion.in_current_span());
 }
 
-/// What claiming a key in the store came to.
-enum Claimed {
-    /// This delivery runs.
-    Ours(String),
-    /// An earlier one ran, with this answer.
+/// Result of claiming a key in the platform's store.
+enum ClaimResult {
+    /// The claim was acquired: run the request.
+    Acquired(String),
+    /// An earlier run has completed with this response.
     Recorded(FinalResponse),
-    /// This one must not run.
+    /// The request must not run.
     Refused(Failure),
 }
 
-async fn claim(cx: &RequestContext, keyed: &KeyedRequest) -> Claimed {
-    let verdict = ask_store(cx, keyed).await;
+async fn claim(cx: &RequestContext, request: &KeyedRequest) -> ClaimResult {
+    let verdict = claim_or_join(cx, request).await;
     cx.note(Decision::Claimed {
-        how: words(&verdict).into(),
+        how: description(&verdict).into(),
     });
-    metrics::counter!("tc_claims_total", "verdict" => label(&verdict)).increment(1);
+    metrics::counter!("tc_claims_total", "verdict" => metric_label(&verdict)).increment(1);
     let failure = match verdict {
-        ClaimVerdict::Acquired { claim_id } => return Claimed::Ours(claim_id),
+        ClaimVerdict::Acquired { claim_id } => return ClaimResult::Acquired(claim_id),
         ClaimVerdict::Recorded(recorded) => {
             cx.finish(None);
-            return Claimed::Recorded(FinalResponse::from_recorded(&recorded));
+            return ClaimResult::Recorded(FinalResponse::from_recorded(&recorded));
         }
         ClaimVerdict::Held => outcome_unknown(),
         ClaimVerdict::BodyMismatch => key_reused(),
         ClaimVerdict::Unavailable => store_unavailable(),
     };
     cx.finish(Some(&failure));
-    Claimed::Refused(failure)
+    ClaimResult::Refused(failure)
 }
 
-/// Claims the key, and waits for the outcome of a claim that another run holds.
-async fn ask_store(cx: &RequestContext, keyed: &KeyedRequest) -> ClaimVerdict {
+/// Claims the key. If another run holds the claim, waits for its outcome.
+async fn claim_or_join(cx: &RequestContext, request: &KeyedRequest) -> ClaimVerdict {
     let ports = &cx.shared.ports;
-    let asked = (ports.claim)(keyed.key.clone(), keyed.body_hash, cx.remaining());
-    // A claim that comes after the deadline is of no use: nothing is run under it.
-    let verdict = tokio::time::timeout(cx.remaining(), asked).await;
+    let claimed = (ports.claim)(request.key.clone(), request.body_hash, cx.remaining());
+    // A claim acquired after the deadline is not used, so nothing runs under it.
+    let verdict = tokio::time::timeout(cx.remaining(), claimed).await;
     match verdict.unwrap_or(ClaimVerdict::Unavailable) {
         ClaimVerdict::Held => {
-            let joined = (ports.join_claim)(keyed.key.clone(), cx.remaining());
+            let joined = (ports.join_claim)(request.key.clone(), cx.remaining());
             match tokio::time::timeout(cx.remaining(), joined).await {
-                // The store was lost while another run holds the claim. Told "not run", the caller could send the
-                // same thing under another key, and its effect would be doubled.
+                // The store became unreachable while another run holds the claim. With the run state `not_run`, the
+                // caller could resend the request under another key, and it would run a second time.
                 Ok(ClaimVerdict::Unavailable) | Err(_) => ClaimVerdict::Held,
                 Ok(verdict) => verdict,
             }
@@ -158,7 +158,7 @@
     }
 }
 
-async fn record(
+async fn record_outcome(
     cx: &RequestContext,
     key: &ClaimKey,
     claim_id: String,
@@ -168,22 +168,23 @@
     let recorded = tokio::time::timeout(RECORD_TIMEOUT, recording).await;
     if !recorded.unwrap_or(false) {
         metrics::counter!("tc_outcomes_not_recorded_total").increment(1);
-        log::warn!(request = cx.id.as_str(); "the outcome of a claim could not be recorded");
+        log::warn!(request = cx.id.as_str(); "outcome of claim not recorded");
     }
 }
 
-/// A key whose run is under way; ends it as unknown when the run is torn down without an answer.
+/// Guard of a running key. If it is dropped before the run has produced a response, it completes the key with an unknown
+/// outcome.
 ///
-/// Otherwise every later delivery of the key would wait for an answer that never comes.
-struct Running {
+/// Otherwise every later delivery of the key would wait for a response that never arrives.
+struct RunGuard {
     shared: Arc<Shared>,
     key: ClaimKey,
     id: RequestId,
     retention: std::time::Duration,
-    ended: bool,
+    completed: bool,
 }
 
-impl Running {
+impl RunGuard {
     fn new(cx: &RequestContext, key: &ClaimKey) -> Self {
         let retention = cx.view.config.policy.claim_retention_s;
         Self {
@@ -191,38 +192,38 @@
             key: key.clone(),
             id: cx.id.clone(),
             retention: std::time::Duration::from_secs(retention),
-            ended: false,
+            completed: false,
         }
     }
 
-    fn finish(mut self, answer: FinalResponse) {
-        self.end(answer);
+    fn finish(mut self, response: FinalResponse) {
+        self.complete(response);
     }
 
-    /// Ends a delivery that was refused without a run here. Its key is not kept, so that the next delivery asks the
-    /// store again: the run that holds the claim may have ended by then.
+    /// Ends a delivery that was refused without a run on this instance. The key is removed so that the next delivery
+    /// tries to claim it again: the run that holds the claim may have completed by then.
     fn abandon(mut self, failure: &Failure) {
-        self.ended = true;
-        let answer = Arc::new(problem_answer(failure, &self.id));
-        lock(&self.shared).abandon(&self.key, &answer);
+        self.completed = true;
+        let response = Arc::new(problem_answer(failure, &self.id));
+        lock(&self.shared).abandon(&self.key, &response);
     }
 
-    fn end(&mut self, answer: FinalResponse) {
-        self.ended = true;
-        let answer = Arc::new(answer);
-        lock(&self.shared).finish(MonoTime::now(), &self.key, &answer, self.retention);
+    fn complete(&mut self, response: FinalResponse) {
+        self.completed = true;
+        let response = Arc::new(response);
+        lock(&self.shared).finish(MonoTime::now(), &self.key, &response, self.retention);
     }
 }
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        if !self.ended {
-            self.end(problem_answer(&outcome_unknown(), &self.id));
+        if !self.completed {
+            self.complete(problem_answer(&outcome_unknown(), &self.id));
         }
     }
 }
 
-const fn words(verdict: &ClaimVerdict) -> &'static str {
+const fn description(verdict: &ClaimVerdict) -> &'static str {
     match verdict {
         ClaimVerdict::Acquired { .. } => "claimed in the platform's store",
         ClaimVerdict::Held => "another run holds the claim and has no outcome yet",
@@ -232,7 +233,7 @@
     }
 }
 
-const fn label(verdict: &ClaimVerdict) -> &'static str {
+const fn metric_label(verdict: &ClaimVerdict) -> &'static str {
     match verdict {
         ClaimVerdict::Acquired { .. } => "ours",
         ClaimVerdict::Held => "held",
--- a/crates/tc-caller/src/idempotency/table.rs
+++ b/crates/tc-caller/src/idempotency/table.rs
@@ -1,4 +1,4 @@
-//! Keys of this instance: a state machine per key, from running to done, within bounds.
+//! Bounded table of the idempotency keys of this instance, each running or completed.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -11,14 +11,14 @@
 
 use crate::idempotency::FinalResponse;
 
-/// Bounds of a [`KeyTable`].
+/// Limits of a [`KeyTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyTableLimits {
-    /// Keys of one workspace.
+    /// Maximum number of keys of one workspace.
     pub keys_per_workspace: usize,
-    /// Keys in all.
+    /// Maximum number of keys of all workspaces.
     pub keys: usize,
-    /// Bytes of kept answers of one workspace.
+    /// Maximum size of the stored responses of one workspace, in bytes.
     pub response_bytes_per_workspace: usize,
 }
 
@@ -32,25 +32,25 @@
     }
 }
 
-/// What [`KeyTable::begin`] found.
+/// Result of [`KeyTable::begin`].
 #[derive(Debug)]
 pub enum KeyVerdict {
-    /// The key is new: the caller of `begin` must run the request and call [`KeyTable::finish`].
+    /// The key is new: run the request, then call [`KeyTable::finish`].
     New(watch::Receiver<Option<Arc<FinalResponse>>>),
-    /// The key is running: its answer will come here.
+    /// The key is running: the receiver gets the response of that run.
     Running(watch::Receiver<Option<Arc<FinalResponse>>>),
-    /// The key was answered.
+    /// The key has completed with this response.
     Completed(Arc<FinalResponse>),
-    /// The key was used with another body.
+    /// The key was used with a different request body.
     BodyMismatch,
-    /// There is no room for another key, and none that may be forgotten.
+    /// The table is full, and no key in it may be removed yet.
     TableFull,
 }
 
-/// Keys seen by this instance, each running or done.
+/// The idempotency keys seen by this instance, each running or completed.
 ///
-/// A key that runs or whose retention is not over is never forgotten to make room: a resend of it would run a second
-/// time, seen as a doubled effect at the upstream.
+/// A key is never evicted while it is running or within its retention time. Otherwise a resent request would run again
+/// and take effect twice at the upstream.
 ///
 /// ```
 /// use std::{sync::Arc, time::Duration};
@@ -63,166 +63,167 @@
 /// assert!(matches!(table.begin(now, &key, 7), KeyVerdict::New(_)));
 /// assert!(matches!(table.begin(now, &key, 7), KeyVerdict::Running(_)));
 /// assert!(matches!(table.begin(now, &key, 8), KeyVerdict::BodyMismatch));
-/// let answer = Arc::new(FinalResponse {
+/// let response = Arc::new(FinalResponse {
 ///     status: http::StatusCode::OK,
 ///     headers: http::HeaderMap::new(),
 ///     body: Some("done".into()),
 ///     run_state: RunState::Ran,
 /// });
-/// table.finish(now, &key, &answer, Duration::from_secs(600));
-/// assert!(matches!(table.begin(now, &key, 7), KeyVerdict::Completed(kept) if kept == answer));
+/// table.finish(now, &key, &response, Duration::from_secs(600));
+/// assert!(matches!(table.begin(now, &key, 7), KeyVerdict::Completed(stored) if stored == response));
 /// ```
 pub struct KeyTable {
     limits: KeyTableLimits,
     keys: HashMap<ClaimKey, Entry>,
-    /// Done keys in the order in which they expire.
-    expiring: VecDeque<(MonoTime, ClaimKey)>,
-    workspaces: HashMap<WorkspaceName, Used>,
+    /// Completed keys with their expiry times, in the order of completion.
+    expiry_queue: VecDeque<(MonoTime, ClaimKey)>,
+    workspaces: HashMap<WorkspaceName, WorkspaceUsage>,
 }
 
 struct Entry {
     body_hash: u64,
-    state: State,
+    state: KeyState,
 }
 
-enum State {
+enum KeyState {
     Running(watch::Sender<Option<Arc<FinalResponse>>>),
-    Done(Arc<FinalResponse>),
+    Completed(Arc<FinalResponse>),
 }
 
 #[derive(Default)]
-struct Used {
+struct WorkspaceUsage {
     keys: usize,
     bytes: usize,
 }
 
 impl KeyTable {
-    /// An empty table.
+    /// Returns an empty table.
     #[must_use]
     pub fn new(limits: KeyTableLimits) -> Self {
         Self {
             limits,
             keys: HashMap::new(),
-            expiring: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
             workspaces: HashMap::new(),
         }
     }
 
-    /// Takes in one delivery of a request with this key.
+    /// Looks up the key of a delivery, and registers it as running if it is new.
     pub fn begin(&mut self, now: MonoTime, key: &ClaimKey, body_hash: u64) -> KeyVerdict {
         self.expire(now);
         if let Some(entry) = self.keys.get(key) {
-            return entry.duplicate(body_hash);
+            return entry.verdict(body_hash);
         }
-        let used = self.workspaces.entry(key.workspace.clone()).or_default();
-        if used.keys >= self.limits.keys_per_workspace || self.keys.len() >= self.limits.keys {
+        let usage = self.workspaces.entry(key.workspace.clone()).or_default();
+        if usage.keys >= self.limits.keys_per_workspace || self.keys.len() >= self.limits.keys {
             return KeyVerdict::TableFull;
         }
-        used.keys += 1;
+        usage.keys += 1;
         let (tx, rx) = watch::channel(None);
         let entry = Entry {
             body_hash,
-            state: State::Running(tx),
+            state: KeyState::Running(tx),
         };
         self.keys.insert(key.clone(), entry);
         KeyVerdict::New(rx)
     }
 
-    /// Ends the run of a key and hands its answer to all who joined.
+    /// Completes the run of a key and sends its response to all waiting deliveries.
     ///
-    /// A run that was provably not sent is forgotten, so that the caller can send it again; any other is kept for
-    /// `retention`.
+    /// If the run state is `NotRun`, the key is removed so that the caller can resend the request. Otherwise the response
+    /// is stored for `retention`.
     pub fn finish(
         &mut self,
         now: MonoTime,
         key: &ClaimKey,
-        answer: &Arc<FinalResponse>,
+        response: &Arc<FinalResponse>,
         retention: Duration,
     ) {
-        if answer.run_state == RunState::NotRun {
-            self.abandon(key, answer);
+        if response.run_state == RunState::NotRun {
+            self.abandon(key, response);
             return;
         }
         let Some(entry) = self.keys.get_mut(key) else {
             return;
         };
-        let State::Running(waiting) = &entry.state else {
+        let KeyState::Running(waiters) = &entry.state else {
             return;
         };
-        waiting.send_replace(Some(answer.clone()));
-        let used = self.workspaces.entry(key.workspace.clone()).or_default();
-        let fits = used.bytes + answer.size() <= self.limits.response_bytes_per_workspace;
-        let kept = if fits {
-            answer.clone()
+        waiters.send_replace(Some(response.clone()));
+        let usage = self.workspaces.entry(key.workspace.clone()).or_default();
+        let fits = usage.bytes + response.size() <= self.limits.response_bytes_per_workspace;
+        let stored = if fits {
+            response.clone()
         } else {
-            Arc::new(answer.without_body())
+            Arc::new(response.without_body())
         };
-        used.bytes += kept.size();
-        entry.state = State::Done(kept);
-        self.expiring.push_back((now.after(retention), key.clone()));
+        usage.bytes += stored.size();
+        entry.state = KeyState::Completed(stored);
+        self.expiry_queue
+            .push_back((now.after(retention), key.clone()));
     }
 
-    /// Ends a key that was not run here: all who joined get the answer, and the key is forgotten.
-    pub fn abandon(&mut self, key: &ClaimKey, answer: &Arc<FinalResponse>) {
+    /// Removes a key that was not run on this instance, and sends the response to all waiting deliveries.
+    pub fn abandon(&mut self, key: &ClaimKey, response: &Arc<FinalResponse>) {
         let Some(entry) = self.keys.get(key) else {
             return;
         };
-        if let State::Running(waiting) = &entry.state {
-            waiting.send_replace(Some(answer.clone()));
-            self.forget(key);
+        if let KeyState::Running(waiters) = &entry.state {
+            waiters.send_replace(Some(response.clone()));
+            self.remove(key);
         }
     }
 
-    /// Number of keys held.
+    /// Returns the number of keys in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is held.
+    /// Returns whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Forgets keys whose retention is over. A change of the retention in the configuration reaches keys that are
-    /// done already only once those before them are gone, never too early.
+    /// Removes expired keys, in the order of completion. If the configured retention was shortened, a key that completed
+    /// after the change may be removed late, behind keys with the longer retention, but no key is removed early.
     fn expire(&mut self, now: MonoTime) {
-        while let Some((expires, _)) = self.expiring.front() {
+        while let Some((expires, _)) = self.expiry_queue.front() {
             if *expires > now {
                 return;
             }
-            if let Some((_, key)) = self.expiring.pop_front() {
-                self.forget(&key);
+            if let Some((_, key)) = self.expiry_queue.pop_front() {
+                self.remove(&key);
             }
         }
     }
 
-    fn forget(&mut self, key: &ClaimKey) {
+    fn remove(&mut self, key: &ClaimKey) {
         let Some(entry) = self.keys.remove(key) else {
             return;
         };
-        let Some(used) = self.workspaces.get_mut(&key.workspace) else {
+        let Some(usage) = self.workspaces.get_mut(&key.workspace) else {
             return;
         };
-        used.keys -= 1;
-        if let State::Done(answer) = &entry.state {
-            used.bytes -= answer.size();
+        usage.keys -= 1;
+        if let KeyState::Completed(response) = &entry.state {
+            usage.bytes -= response.size();
         }
-        if used.keys == 0 {
+        if usage.keys == 0 {
             self.workspaces.remove(&key.workspace);
         }
     }
 }
 
 impl Entry {
-    fn duplicate(&self, body_hash: u64) -> KeyVerdict {
+    fn verdict(&self, body_hash: u64) -> KeyVerdict {
         if self.body_hash != body_hash {
             return KeyVerdict::BodyMismatch;
         }
         match &self.state {
-            State::Running(waiting) => KeyVerdict::Running(waiting.subscribe()),
-            State::Done(answer) => KeyVerdict::Completed(answer.clone()),
+            KeyState::Running(waiters) => KeyVerdict::Running(waiters.subscribe()),
+            KeyState::Completed(response) => KeyVerdict::Completed(response.clone()),
         }
     }
 }
