--- a/crates/tc-caller/src/record/explain.rs
+++ b/crates/tc-caller/src/record/explain.rs
@@ -1,4 +1,4 @@
-//! Decisions of recent requests, in a ring with one slot per request.
+//! Keeps the decisions of recent requests in a ring buffer with one slot per request.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,7 +7,7 @@
 
 use crate::limits::{EXPLANATIONS, STEPS_PER_REQUEST};
 
-/// Decisions of one request, readable while it runs.
+/// Decisions of one request. They can be read while the request runs.
 pub(crate) struct RequestTrace {
     request: RequestId,
     workspace: WorkspaceName,
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Adds a decision; beyond the bound it is left out, so that a request that is retried for long stays small.
+    /// Records a decision. Decisions beyond [`STEPS_PER_REQUEST`] are dropped, which limits the memory of a request that
+    /// is retried many times.
     pub(crate) fn add(&self, decision: Decision) {
         let at_ms = MonoTime::now().since(self.arrived).as_secs_f64() * 1e3;
         let mut steps = self.steps.lock().unwrap_or_else(PoisonError::into_inner);
@@ -55,7 +56,7 @@
     }
 }
 
-/// The most recent requests of this instance.
+/// Traces of the most recent requests of this instance.
 pub(crate) struct ExplanationRing {
     slots: Box<[ArcSwapOption<RequestTrace>]>,
 }
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Keeps a request in place of the one that came a whole ring earlier.
+    /// Stores a trace in the slot of its counter, and overwrites the trace that is [`EXPLANATIONS`] requests older.
     pub(crate) fn insert(&self, counter: u64, trace: Arc<RequestTrace>) {
         let slot = (counter % EXPLANATIONS as u64) as usize;
         self.slots[slot].store(Some(trace));
--- a/crates/tc-caller/src/record/mod.rs
+++ b/crates/tc-caller/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept of requests: decisions for operators, counts and costs for the workspaces' view.
+//! Records of requests: decisions for operators, and counts and costs by workspace.
 
 mod explain;
 mod stats;
--- a/crates/tc-caller/src/record/stats.rs
+++ b/crates/tc-caller/src/record/stats.rs
@@ -1,4 +1,4 @@
-//! Requests, times and cost by workspace and stage.
+//! Request counts, times and costs by workspace and stage.
 
 use std::{
     collections::HashMap,
@@ -16,47 +16,47 @@
 
 /// Significant digits of the time histograms.
 const HISTOGRAM_DIGITS: u8 = 2;
-/// Longest time the histograms tell apart, in microseconds.
+/// Largest value of the time histograms, in microseconds. Longer times are recorded as this value.
 const HISTOGRAM_MAX_US: u64 = 3_600_000_000;
 
-/// What one stage cost a workspace, or a call to a plain service.
+/// Cost of one stage, or of a plain service, for one workspace.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StageCost {
     /// The pipeline, or `None` for a plain service.
     pub pipeline: Option<PipelineName>,
-    /// The stage; the service's name for a plain service.
+    /// The stage, or the name of the plain service.
     pub stage: StageName,
-    /// Calls dispatched.
+    /// Number of calls dispatched.
     pub calls: u64,
     /// Tokens read and generated.
     pub tokens: u64,
-    /// Time upstreams were busy, in milliseconds.
+    /// Time that upstreams were busy, in milliseconds.
     pub ms: f64,
-    /// Part of `ms` whose result was not used, in milliseconds.
+    /// Part of `ms` spent on calls whose results were not used, in milliseconds.
     pub wasted_ms: f64,
 }
 
-/// What one workspace's requests came to since this instance started.
+/// Statistics of one workspace since this instance started.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WorkspaceStats {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// Requests accepted for it, refused ones included.
+    /// Number of accepted requests, including those refused later.
     pub requests: u64,
-    /// Requests answered whole within their deadline.
+    /// Number of requests with a complete response within the deadline.
     pub answered_in_deadline: u64,
-    /// Median time of answered requests, in milliseconds.
+    /// Median response time of answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the time of answered requests, in milliseconds.
+    /// 99th percentile of the response time of answered requests, in milliseconds.
     pub p99_ms: f64,
-    /// Cost by stage, in order of pipeline and stage.
+    /// Cost by stage, sorted by pipeline and stage.
     pub cost: Vec<StageCost>,
 }
 
-/// Which stage a cost belongs to.
+/// Pipeline (`None` for a plain service) and stage that a cost belongs to.
 pub(crate) type StageKey = (Option<PipelineName>, StageName);
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
     Answered,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Counts of one workspace.
+/// Counters of one workspace.
 pub(crate) struct WorkspaceRecord {
     workspace: WorkspaceName,
     label: SharedString,
@@ -87,11 +87,11 @@
     requests: u64,
     answered_in_deadline: u64,
     took_us: Histogram<u32>,
-    stages: HashMap<StageKey, Spent>,
+    stages: HashMap<StageKey, CostTotals>,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Spent {
+struct CostTotals {
     calls: u64,
     tokens: u64,
     ms: f64,
@@ -101,7 +101,7 @@
 impl WorkspaceRecord {
     fn new(workspace: WorkspaceName, label: SharedString) -> Self {
         let took_us = Histogram::new_with_max(HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
-            .expect("the bounds are constants that the histogram takes");
+            .expect("constant histogram bounds are valid");
         Self {
             workspace,
             label,
@@ -114,46 +114,46 @@
         }
     }
 
-    pub(crate) fn record_request(&self, ending: RequestOutcome, took: Duration) {
-        metrics::counter!("tc_requests_total", "workspace" => self.label.clone(), "result" => ending.label())
+    pub(crate) fn record_request(&self, outcome: RequestOutcome, took: Duration) {
+        metrics::counter!("tc_requests_total", "workspace" => self.label.clone(), "result" => outcome.label())
             .increment(1);
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.requests += 1;
-        if ending == RequestOutcome::Answered {
+        if outcome == RequestOutcome::Answered {
             counts.answered_in_deadline += 1;
         }
-        if matches!(ending, RequestOutcome::Answered | RequestOutcome::Late) {
+        if matches!(outcome, RequestOutcome::Answered | RequestOutcome::Late) {
             counts.took_us.saturating_record(took.as_micros() as u64);
         }
     }
 
-    /// Adds one call's cost; `wasted` when its result was not used.
+    /// Adds the cost of one call. `wasted` states that its result was not used.
     pub(crate) fn record_cost(&self, key: &StageKey, cost: &Cost, wasted: bool) {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         if !counts.stages.contains_key(key) {
-            counts.stages.insert(key.clone(), Spent::default());
+            counts.stages.insert(key.clone(), CostTotals::default());
         }
-        if let Some(spent) = counts.stages.get_mut(key) {
-            spent.calls += 1;
-            spent.tokens += u64::from(cost.tokens_in) + u64::from(cost.tokens_out);
-            spent.ms += cost.busy_ms;
-            spent.wasted_ms += if wasted { cost.busy_ms } else { 0.0 };
+        if let Some(totals) = counts.stages.get_mut(key) {
+            totals.calls += 1;
+            totals.tokens += u64::from(cost.tokens_in) + u64::from(cost.tokens_out);
+            totals.ms += cost.busy_ms;
+            totals.wasted_ms += if wasted { cost.busy_ms } else { 0.0 };
         }
     }
 
     fn stats(&self) -> WorkspaceStats {
         let counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        let millis = |q: f64| counts.took_us.value_at_quantile(q) as f64 / 1e3;
+        let millis = |quantile: f64| counts.took_us.value_at_quantile(quantile) as f64 / 1e3;
         let mut cost: Vec<StageCost> = counts
             .stages
             .iter()
-            .map(|((pipeline, stage), spent)| StageCost {
+            .map(|((pipeline, stage), totals)| StageCost {
                 pipeline: pipeline.clone(),
                 stage: stage.clone(),
-                calls: spent.calls,
-                tokens: spent.tokens,
-                ms: spent.ms,
-                wasted_ms: spent.wasted_ms,
+                calls: totals.calls,
+                tokens: totals.tokens,
+                ms: totals.ms,
+                wasted_ms: totals.wasted_ms,
             })
             .collect();
         cost.sort_by(|a, b| (&a.pipeline, &a.stage).cmp(&(&b.pipeline, &b.stage)));
@@ -168,7 +168,8 @@
     }
 }
 
-/// Counts of all workspaces that ever called; workspaces come only from the configuration, so they are bounded.
+/// Counters of all workspaces that have sent requests. Entries are never removed: their number is bounded, because
+/// workspaces come only from the configuration.
 pub(crate) struct Stats {
     workspaces: ArcSwap<HashMap<WorkspaceName, Arc<WorkspaceRecord>>>,
 }
@@ -181,8 +182,8 @@
     }
 
     pub(crate) fn for_workspace(&self, workspace: &WorkspaceName) -> Arc<WorkspaceRecord> {
-        if let Some(known) = self.workspaces.load().get(workspace) {
-            return known.clone();
+        if let Some(record) = self.workspaces.load().get(workspace) {
+            return record.clone();
         }
         self.workspaces.rcu(|current| {
             let mut next = HashMap::clone(current);
--- a/crates/tc-caller/src/streams/event.rs
+++ b/crates/tc-caller/src/streams/event.rs
@@ -1,4 +1,4 @@
-//! Server-sent events as bytes.
+//! Encoding of server-sent events.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -11,7 +11,7 @@
     text: &'a str,
 }
 
-/// An answer's last event; its output was sent before.
+/// Data of the `done` event. The output was sent in earlier events.
 #[derive(Serialize)]
 struct DoneData<'a> {
     request_id: &'a tc_protocol::RequestId,
@@ -19,13 +19,13 @@
     cost: tc_protocol::Cost,
 }
 
-/// One piece of text. JSON has no raw line breaks, so that the data is one line.
+/// Returns the event for a part of the text. JSON contains no raw line breaks, so the data fits on one line.
 pub(crate) fn text_event(id: u64, text: &str) -> Bytes {
     let data = json(&TextData { text });
     format!("id: {id}\ndata: {data}\n\n").into()
 }
 
-/// The end of a whole answer.
+/// Returns the last event of a complete response.
 pub(crate) fn done_event(answer: &PipelineAnswer) -> Bytes {
     let data = json(&DoneData {
         request_id: &answer.request_id,
@@ -35,7 +35,7 @@
     format!("event: done\ndata: {data}\n\n").into()
 }
 
-/// The end of an answer that failed after its stream began.
+/// Returns the last event of a request that failed after its stream had started.
 pub(crate) fn problem_event(problem: &Problem) -> Bytes {
     format!("event: problem\ndata: {}\n\n", json(problem)).into()
 }
--- a/crates/tc-caller/src/streams/log.rs
+++ b/crates/tc-caller/src/streams/log.rs
@@ -1,4 +1,5 @@
-//! The events of one stream: written by its run, read by one caller at a time, kept a while for resuming.
+//! Event log of one stream. Its run appends events, one caller at a time reads them, and they are retained for a while
+//! so that the stream can be resumed.
 
 use std::{
     collections::VecDeque,
@@ -15,27 +16,28 @@
     streams::event::text_event,
 };
 
-/// Events of one stream.
+/// Event log of one stream.
 pub(crate) struct StreamLog {
     state: Mutex<State>,
-    /// Something can be read, or the reader was replaced.
+    /// Notified when there is an event to read or the reader was replaced.
     readable: Notify,
-    /// The reader took something, came or left.
-    reader_moved: Notify,
+    /// Notified when the reader has read an event, attached or detached.
+    reader_changed: Notify,
 }
 
 struct State {
     events: VecDeque<Event>,
     next_id: u64,
-    /// Highest event handed to a reader.
-    read: u64,
+    /// Highest ID of an event returned to the reader.
+    last_read: u64,
     unread_bytes: usize,
     retained_bytes: usize,
     end: Option<StreamEnd>,
-    /// Counts readers; only the last one reads on.
-    reader: u64,
+    /// ID of the current reader, incremented when a reader attaches and after the last event. Readers with an earlier ID
+    /// get no more events.
+    current_reader: u64,
     attached: bool,
-    left_at: Instant,
+    detached_at: Instant,
 }
 
 struct Event {
@@ -43,20 +45,20 @@
     frame: Bytes,
 }
 
-/// How a stream ended.
+/// End of a stream.
 #[derive(Clone)]
 pub(crate) enum StreamEnd {
-    /// With this last event, `done` or `problem`.
+    /// The last event, `done` or `problem`. Empty if the stream was abandoned.
     Event(Bytes),
-    /// Before anything was sent: the caller gets an ordinary failure.
+    /// The request failed before the first event, so the caller gets an error response.
     Failure(Failure),
 }
 
-/// What a stream begins with.
+/// Start of a stream.
 pub(crate) enum StreamStart {
-    /// There is something to send.
+    /// There is an event to send.
     Streaming,
-    /// It failed before that.
+    /// The request failed before the first event.
     Failure(Failure),
 }
 
@@ -66,26 +68,28 @@
             state: Mutex::new(State {
                 events: VecDeque::new(),
                 next_id: 1,
-                read: 0,
+                last_read: 0,
                 unread_bytes: 0,
                 retained_bytes: 0,
                 end: None,
-                reader: 0,
+                current_reader: 0,
                 attached: false,
-                left_at: Instant::now(),
+                detached_at: Instant::now(),
             }),
             readable: Notify::new(),
-            reader_moved: Notify::new(),
+            reader_changed: Notify::new(),
         }
     }
 
-    /// Adds a piece of text; waits while a slow reader has too much before it.
+    /// Appends an event with a part of the text. Waits while the attached reader has [`MAX_UNREAD_BYTES`] or more left to
+    /// read.
     ///
-    /// Without the wait one reader that stops reading would let the log grow by the whole answer, seen as memory that
-    /// rises with the number of slow callers. The engine is held back in turn, by its connection.
+    /// Without this backpressure, the log would grow to the whole response for a reader that stops reading, and memory
+    /// use would rise with the number of slow callers. While this waits, nothing is read from the engine's connection,
+    /// which slows the engine down in turn.
     pub(crate) async fn push_text(&self, text: &str) {
         loop {
-            let moved = self.reader_moved.notified();
+            let changed = self.reader_changed.notified();
             {
                 let mut state = self.lock();
                 if !state.attached || state.unread_bytes < MAX_UNREAD_BYTES {
@@ -93,12 +97,12 @@
                     break;
                 }
             }
-            moved.await;
+            changed.await;
         }
         self.readable.notify_one();
     }
 
-    /// Ends the stream.
+    /// Ends the stream after the events appended so far.
     pub(crate) fn end(&self, end: StreamEnd) {
         self.lock().end = Some(end);
         self.readable.notify_one();
@@ -116,37 +120,37 @@
         self.lock().retained_bytes
     }
 
-    /// Makes the caller a reader after event `last`, replacing the reader before it; `None` when that event's
-    /// successor is no longer kept or `last` never was sent.
+    /// Attaches a reader that starts after event `last`, and returns its ID. It replaces the current reader. Returns `None`
+    /// if the event after `last` is no longer retained or `last` does not exist.
     pub(crate) fn attach(&self, last: u64) -> Option<u64> {
         let mut state = self.lock();
         let first_retained = state.events.front().map_or(state.next_id, |e| e.id);
         if last + 1 < first_retained || last >= state.next_id {
             return None;
         }
-        state.reader += 1;
+        state.current_reader += 1;
         state.attached = true;
-        state.read = last;
+        state.last_read = last;
         state.unread_bytes = state.bytes_after(last);
-        let reader = state.reader;
+        let reader = state.current_reader;
         drop(state);
         self.readable.notify_waiters();
         self.readable.notify_one();
-        self.reader_moved.notify_waiters();
+        self.reader_changed.notify_waiters();
         Some(reader)
     }
 
     pub(crate) fn detach(&self, reader: u64) {
         let mut state = self.lock();
-        if state.reader == reader {
+        if state.current_reader == reader {
             state.attached = false;
-            state.left_at = Instant::now();
+            state.detached_at = Instant::now();
             drop(state);
-            self.reader_moved.notify_waiters();
+            self.reader_changed.notify_waiters();
         }
     }
 
-    /// Waits until there is something to send, or the stream failed before that.
+    /// Waits for the first event or a failure before it.
     pub(crate) async fn wait_for_start(&self) -> StreamStart {
         loop {
             let readable = self.readable.notified();
@@ -165,42 +169,43 @@
         }
     }
 
-    /// The next bytes for this reader; `None` after the last, or once another reader has taken its place.
-    pub(crate) async fn next(&self, reader: u64) -> Option<Bytes> {
+    /// Waits for the next event of this reader. Returns `None` after the last event, or after another reader has replaced
+    /// this one.
+    pub(crate) async fn next_frame(&self, reader: u64) -> Option<Bytes> {
         loop {
             let readable = self.readable.notified();
-            match self.lock().take(reader) {
-                Taken::Frame(frame) => {
-                    self.reader_moved.notify_waiters();
+            match self.lock().next_frame(reader) {
+                NextFrame::Frame(frame) => {
+                    self.reader_changed.notify_waiters();
                     return Some(frame);
                 }
-                Taken::Over => return None,
-                Taken::Nothing => {}
+                NextFrame::Closed => return None,
+                NextFrame::Pending => {}
             }
             readable.await;
         }
     }
 
-    /// Waits until nobody has read for the resume window. A stream of which the caller has seen nothing can't be
-    /// resumed, so there the window is zero.
+    /// Waits until no reader has been attached for [`RESUME_WINDOW`]. If no event has been read, the stream can't be
+    /// resumed, so it counts as abandoned as soon as its reader detaches.
     pub(crate) async fn wait_until_abandoned(&self) {
         loop {
-            let moved = self.reader_moved.notified();
+            let changed = self.reader_changed.notified();
             let wait = {
                 let state = self.lock();
-                let window = if state.read == 0 {
+                let window = if state.last_read == 0 {
                     Duration::ZERO
                 } else {
                     RESUME_WINDOW
                 };
-                (!state.attached).then(|| window.saturating_sub(state.left_at.elapsed()))
+                (!state.attached).then(|| window.saturating_sub(state.detached_at.elapsed()))
             };
             match wait {
                 Some(Duration::ZERO) => return,
                 Some(left) => {
-                    let _ = tokio::time::timeout(left, moved).await;
+                    let _ = tokio::time::timeout(left, changed).await;
                 }
-                None => moved.await,
+                None => changed.await,
             }
         }
     }
@@ -210,10 +215,10 @@
     }
 }
 
-enum Taken {
+enum NextFrame {
     Frame(Bytes),
-    Nothing,
-    Over,
+    Pending,
+    Closed,
 }
 
 impl State {
@@ -224,14 +229,14 @@
         self.unread_bytes += frame.len();
         self.retained_bytes += frame.len();
         self.events.push_back(Event { id, frame });
-        self.forget_old();
+        self.evict_oldest();
     }
 
-    /// Forgets the oldest events beyond the bounds; unread ones only while nobody is there to read them.
-    fn forget_old(&mut self) {
+    /// Evicts the oldest events beyond the limits. Unread events are evicted only while no reader is attached.
+    fn evict_oldest(&mut self) {
         let unread = if self.attached { self.unread_bytes } else { 0 };
         while self.retained_bytes > RETAINED_BYTES + unread || self.events.len() > RETAINED_EVENTS {
-            let oldest_unread = self.events.front().is_some_and(|e| e.id > self.read);
+            let oldest_unread = self.events.front().is_some_and(|e| e.id > self.last_read);
             if self.attached && oldest_unread {
                 return;
             }
@@ -239,32 +244,32 @@
                 return;
             };
             self.retained_bytes -= event.frame.len();
-            if event.id > self.read {
+            if event.id > self.last_read {
                 self.unread_bytes -= event.frame.len();
             }
         }
     }
 
-    fn take(&mut self, reader: u64) -> Taken {
-        if reader != self.reader {
-            return Taken::Over;
+    fn next_frame(&mut self, reader: u64) -> NextFrame {
+        if reader != self.current_reader {
+            return NextFrame::Closed;
         }
-        let next = self.read + 1;
+        let next = self.last_read + 1;
         let first = self.events.front().map_or(self.next_id, |e| e.id);
         if let Some(event) = self.events.get((next - first) as usize) {
             let frame = event.frame.clone();
-            self.read = next;
+            self.last_read = next;
             self.unread_bytes -= frame.len();
-            return Taken::Frame(frame);
+            return NextFrame::Frame(frame);
         }
         match &self.end {
-            None => Taken::Nothing,
+            None => NextFrame::Pending,
             Some(StreamEnd::Event(frame)) => {
-                // The last event has no id, so a caller that resumes gets it again.
-                self.reader += 1;
-                Taken::Frame(frame.clone())
+                // The last event has no ID, so a caller that resumes the stream gets it again.
+                self.current_reader += 1;
+                NextFrame::Frame(frame.clone())
             }
-            Some(StreamEnd::Failure(_)) => Taken::Over,
+            Some(StreamEnd::Failure(_)) => NextFrame::Closed,
         }
     }
 
--- a/crates/tc-caller/src/streams/mod.rs
+++ b/crates/tc-caller/src/streams/mod.rs
@@ -1,4 +1,4 @@
-//! Streams of server-sent events towards callers, and their resuming.
+//! Streams of server-sent events to callers, and how callers resume them.
 
 mod event;
 mod log;
--- a/crates/tc-caller/src/streams/registry.rs
+++ b/crates/tc-caller/src/streams/registry.rs
@@ -1,4 +1,4 @@
-//! Streams of this instance that their callers may resume.
+//! Registry of the streams on this instance that callers can resume.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,7 +12,7 @@
     streams::StreamLog,
 };
 
-/// Streams by workspace, each workspace within its own bounds so that none can push out another's.
+/// Resumable streams by workspace. The limits apply to each workspace, so no workspace can evict streams of another.
 pub(crate) struct StreamRegistry {
     workspaces: Mutex<HashMap<WorkspaceName, VecDeque<RetainedStream>>>,
 }
@@ -29,9 +29,10 @@
         }
     }
 
-    /// Keeps a stream until the guard is dropped, or the workspace's bounds push it out: finished ones first.
+    /// Registers a stream until the returned guard is dropped. If the workspace is at its limits, this evicts its oldest
+    /// ended stream, or its oldest stream if none has ended.
     ///
-    /// A stream that is pushed out runs on for the reader it has; it can only no longer be resumed.
+    /// An evicted stream continues for its current reader but can no longer be resumed.
     pub(crate) fn register(
         self: &Arc<Self>,
         workspace: WorkspaceName,
@@ -41,8 +42,8 @@
         let mut workspaces = self.lock();
         let retained = workspaces.entry(workspace.clone()).or_default();
         while is_full(retained) {
-            let finished = retained.iter().position(|stream| stream.log.has_ended());
-            retained.remove(finished.unwrap_or(0));
+            let ended = retained.iter().position(|stream| stream.log.has_ended());
+            retained.remove(ended.unwrap_or(0));
         }
         retained.push_back(RetainedStream {
             request: request.clone(),
@@ -94,7 +95,7 @@
     retained.len() >= STREAMS_PER_WORKSPACE || bytes >= STREAM_BYTES_PER_WORKSPACE
 }
 
-/// Keeps a stream resumable.
+/// Guard of a registered stream, which removes it from the registry on drop.
 pub(crate) struct Registration {
     registry: Arc<StreamRegistry>,
     workspace: WorkspaceName,
--- a/crates/tc-caller/src/streams/resume.rs
+++ b/crates/tc-caller/src/streams/resume.rs
@@ -1,4 +1,4 @@
-//! A caller that comes back for the rest of its stream.
+//! Resuming a stream after the caller has reconnected.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
     streams::stream_response,
 };
 
-/// Sends the rest of a stream that this instance keeps.
+/// Returns a response with the rest of a stream that is registered on this instance.
 pub(crate) fn resume(
     shared: &Arc<Shared>,
     workspace: &WorkspaceName,
@@ -24,7 +24,8 @@
     stream_response(&log, from.last_event_id, &from.request)
 }
 
-/// What a caller is told whose stream cannot be resumed: how it ended can't be known any more.
+/// Returns the failure for a stream that cannot be resumed. Its outcome is unknown, because the stream is no longer
+/// registered or the requested events are not retained.
 pub(crate) fn not_resumable() -> Failure {
     Failure::new(
         ProblemKind::OutcomeUnknown,
--- a/crates/tc-caller/src/streams/start.rs
+++ b/crates/tc-caller/src/streams/start.rs
@@ -1,4 +1,4 @@
-//! The first answer of a streamed pipeline.
+//! Runs a pipeline and streams its response.
 
 use std::sync::Arc;
 
@@ -21,19 +21,20 @@
     },
 };
 
-/// One caller's place in a stream; leaving it lets the stream be resumed or given up.
+/// Reader of a stream. When it is dropped, it detaches, and the stream can be resumed or becomes abandoned.
 struct Reader {
     log: Arc<StreamLog>,
-    number: u64,
+    id: u64,
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.log.detach(self.number);
+        self.log.detach(self.id);
     }
 }
 
-/// Runs a pipeline that may be cancelled, streaming its last stage.
+/// Runs a pipeline and streams its last stage. The run is cancelled if its stream is abandoned, so the pipeline must be
+/// idempotent.
 pub(crate) async fn start_stream(
     cx: Arc<RequestContext>,
     work: PipelineWork,
@@ -49,7 +50,7 @@
             let _in_flight = in_flight;
             tokio::select! {
                 _ = run_into_stream(&cx, &work, &log) => {}
-                // Dropping the run cancels its call at the upstream.
+                // This drops the run, which cancels its call at the upstream.
                 () = log.wait_until_abandoned() => log.end(StreamEnd::Event(Bytes::new())),
             }
         }
@@ -61,7 +62,8 @@
     }
 }
 
-/// Runs a pipeline into a stream that can be resumed while it runs and a while after.
+/// Runs a pipeline and appends its output to `log`. The stream can be resumed while the pipeline runs, and for
+/// [`RESUME_WINDOW`] after that.
 pub(crate) async fn run_into_stream(
     cx: &Arc<RequestContext>,
     work: &PipelineWork,
@@ -85,19 +87,19 @@
     result
 }
 
-/// The answer that sends a stream from after event `last`; a failure when that part is no longer kept.
+/// Returns a response that streams the events after `last`, or a failure if they are no longer retained.
 pub(crate) fn stream_response(
     log: &Arc<StreamLog>,
     last: u64,
     id: &RequestId,
 ) -> Result<CallerResponse, Failure> {
-    let number = log.attach(last).ok_or_else(super::resume::not_resumable)?;
+    let reader_id = log.attach(last).ok_or_else(super::resume::not_resumable)?;
     let reader = Reader {
         log: log.clone(),
-        number,
+        id: reader_id,
     };
     let events = stream::unfold(reader, |reader| async move {
-        let frame = reader.log.next(reader.number).await?;
+        let frame = reader.log.next_frame(reader.id).await?;
         Some((Ok(frame), reader))
     });
     let mut response = Response::new(CallerBody::stream(events.boxed()));
