--- a/crates/tc-caller/examples/overhead.rs
+++ b/crates/tc-caller/examples/overhead.rs
@@ -1,4 +1,5 @@
-//! Time that the caller side adds to a pipeline of four stages, against calling the same upstreams directly.
+//! Measures the latency that the caller server adds to a pipeline of four stages, compared with calling the same
+//! upstreams directly.
 //!
 //! `cargo run --release -p tc-caller --example overhead`
 
@@ -10,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use support::World;
+use support::TestEnv;
 use tc_protocol::{Attempt, ServiceKind, Stage};
 use tc_upstream::{ClientSettings, StageCall, UpstreamClient};
 
@@ -25,8 +26,8 @@
 
 #[tokio::main(flavor = "multi_thread", worker_threads = 4)]
 async fn main() {
-    let world = World::start().await;
-    world.reconfigure(|config| {
+    let env = TestEnv::start().await;
+    env.reconfigure(|config| {
         let scores = config.pipelines.get_mut("scores").unwrap();
         scores.stages = STAGES
             .iter()
@@ -38,39 +39,39 @@
             .collect();
     });
     let upstream = UpstreamClient::new(ClientSettings::default());
-    let (mut direct, mut through) = (Vec::new(), Vec::new());
-    // Turn by turn, so that a busy machine slows both alike.
+    let (mut direct, mut through_server) = (Vec::new(), Vec::new());
+    // The calls alternate, so that other load on the machine affects both in the same way.
     for round in 0..ROUNDS + WARM_UP {
         let input = format!("probe log {round}");
         let started = Instant::now();
-        call_directly(&world, &upstream, &input).await;
+        call_directly(&env, &upstream, &input).await;
         direct.push(started.elapsed());
         let started = Instant::now();
-        let answer = world.client.pipeline("scores", &input, &[]).await;
-        through.push(started.elapsed());
-        assert!(answer.status.is_success(), "{}", answer.text());
+        let response = env.client.pipeline("scores", &input, &[]).await;
+        through_server.push(started.elapsed());
+        assert!(response.status.is_success(), "{}", response.text());
     }
-    for (name, times) in [("direct", &mut direct), ("through", &mut through)] {
+    for (name, times) in [("direct", &mut direct), ("through", &mut through_server)] {
         times.drain(..WARM_UP);
         times.sort_unstable();
         println!(
             "{name}: p50 {:?}, p99 {:?}",
-            at(times, 0.5),
-            at(times, 0.99)
+            quantile_of(times, 0.5),
+            quantile_of(times, 0.99)
         );
     }
-    let added = at(&through, 0.5).saturating_sub(at(&direct, 0.5));
+    let added = quantile_of(&through_server, 0.5).saturating_sub(quantile_of(&direct, 0.5));
     println!("added at p50: {added:?}");
 }
 
-fn at(sorted: &[Duration], quantile: f64) -> Duration {
+fn quantile_of(sorted: &[Duration], quantile: f64) -> Duration {
     sorted[((sorted.len() - 1) as f64 * quantile) as usize]
 }
 
-async fn call_directly(world: &World, upstream: &UpstreamClient, input: &str) {
+async fn call_directly(env: &TestEnv, upstream: &UpstreamClient, input: &str) {
     let mut input: Arc<str> = input.into();
     for (stage, service) in STAGES {
-        let pool = world.up.pool(&format!("{service}-1"));
+        let pool = env.upstreams.pool(&format!("{service}-1"));
         let reply = upstream.run_stage(StageCall {
             upstream: pool.id().clone(),
             address: pool.address(),
@@ -86,6 +87,6 @@
             idempotency_key: None,
             traceparent: None,
         });
-        input = reply.await.expect("a reply").output.into();
+        input = reply.await.expect("stage call failed").output.into();
     }
 }
--- a/crates/tc-caller/src/idempotency/final_response.rs
+++ b/crates/tc-caller/src/idempotency/final_response.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Converts the response to the form in which the platform's store keeps it. A body that is too large or not UTF-8 is
-    /// left out.
+    /// Converts the response to the form in which the platform's store keeps it. A body that is too large or not UTF-8
+    /// is left out.
     pub(crate) fn to_recorded(&self) -> RecordedOutcome {
         let text = |bytes: &Bytes| String::from_utf8(bytes.to_vec()).ok();
         let small = |bytes: &&Bytes| bytes.len() <= MAX_RECORDED_BYTES;
--- a/crates/tc-caller/src/idempotency/run_once.rs
+++ b/crates/tc-caller/src/idempotency/run_once.rs
@@ -172,8 +172,8 @@
     }
 }
 
-/// Guard of a running key. If it is dropped before the run has produced a response, it completes the key with an unknown
-/// outcome.
+/// Guard of a running key. If it is dropped before the run has produced a response, it completes the key with an
+/// unknown outcome.
 ///
 /// Otherwise every later delivery of the key would wait for a response that never arrives.
 struct RunGuard {
--- a/crates/tc-caller/src/idempotency/table.rs
+++ b/crates/tc-caller/src/idempotency/table.rs
@@ -130,8 +130,8 @@
 
     /// Completes the run of a key and sends its response to all waiting deliveries.
     ///
-    /// If the run state is `NotRun`, the key is removed so that the caller can resend the request. Otherwise the response
-    /// is stored for `retention`.
+    /// If the run state is `NotRun`, the key is removed so that the caller can resend the request. Otherwise the
+    /// response is stored for `retention`.
     pub fn finish(
         &mut self,
         now: MonoTime,
@@ -186,8 +186,9 @@
         self.keys.is_empty()
     }
 
-    /// Removes expired keys, in the order of completion. If the configured retention was shortened, a key that completed
-    /// after the change may be removed late, behind keys with the longer retention, but no key is removed early.
+    /// Removes expired keys, in the order of completion. If the configured retention was shortened, a key that
+    /// completed after the change may be removed late, behind keys with the longer retention, but no key is removed
+    /// early.
     fn expire(&mut self, now: MonoTime) {
         while let Some((expires, _)) = self.expiry_queue.front() {
             if *expires > now {
--- a/crates/tc-caller/src/record/explain.rs
+++ b/crates/tc-caller/src/record/explain.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Records a decision. Decisions beyond [`STEPS_PER_REQUEST`] are dropped, which limits the memory of a request that
-    /// is retried many times.
+    /// Records a decision. Decisions beyond [`STEPS_PER_REQUEST`] are dropped, which limits the memory of a request
+    /// that is retried many times.
     pub(crate) fn add(&self, decision: Decision) {
         let at_ms = MonoTime::now().since(self.arrived).as_secs_f64() * 1e3;
         let mut steps = self.steps.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/tc-caller/src/streams/log.rs
+++ b/crates/tc-caller/src/streams/log.rs
@@ -33,8 +33,8 @@
     unread_bytes: usize,
     retained_bytes: usize,
     end: Option<StreamEnd>,
-    /// ID of the current reader, incremented when a reader attaches and after the last event. Readers with an earlier ID
-    /// get no more events.
+    /// ID of the current reader, incremented when a reader attaches and after the last event. Readers with an earlier
+    /// ID get no more events.
     current_reader: u64,
     attached: bool,
     detached_at: Instant,
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Appends an event with a part of the text. Waits while the attached reader has [`MAX_UNREAD_BYTES`] or more left to
-    /// read.
+    /// Appends an event with a part of the text. Waits while the attached reader has [`MAX_UNREAD_BYTES`] or more left
+    /// to read.
     ///
     /// Without this backpressure, the log would grow to the whole response for a reader that stops reading, and memory
     /// use would rise with the number of slow callers. While this waits, nothing is read from the engine's connection,
@@ -120,8 +120,8 @@
         self.lock().retained_bytes
     }
 
-    /// Attaches a reader that starts after event `last`, and returns its ID. It replaces the current reader. Returns `None`
-    /// if the event after `last` is no longer retained or `last` does not exist.
+    /// Attaches a reader that starts after event `last`, and returns its ID. It replaces the current reader. Returns
+    /// `None` if the event after `last` is no longer retained or `last` does not exist.
     pub(crate) fn attach(&self, last: u64) -> Option<u64> {
         let mut state = self.lock();
         let first_retained = state.events.front().map_or(state.next_id, |e| e.id);
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Waits for the next event of this reader. Returns `None` after the last event, or after another reader has replaced
-    /// this one.
+    /// Waits for the next event of this reader. Returns `None` after the last event, or after another reader has
+    /// replaced this one.
     pub(crate) async fn next_frame(&self, reader: u64) -> Option<Bytes> {
         loop {
             let readable = self.readable.notified();
--- a/crates/tc-caller/src/streams/registry.rs
+++ b/crates/tc-caller/src/streams/registry.rs
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Registers a stream until the returned guard is dropped. If the workspace is at its limits, this evicts its oldest
-    /// ended stream, or its oldest stream if none has ended.
+    /// Registers a stream until the returned guard is dropped. If the workspace is at its limits, this evicts its
+    /// oldest ended stream, or its oldest stream if none has ended.
     ///
     /// An evicted stream continues for its current reader but can no longer be resumed.
     pub(crate) fn register(
--- a/crates/tc-caller/src/streams/start.rs
+++ b/crates/tc-caller/src/streams/start.rs
@@ -24,12 +24,12 @@
 /// Reader of a stream. When it is dropped, it detaches, and the stream can be resumed or becomes abandoned.
 struct Reader {
     log: Arc<StreamLog>,
-    id: u64,
+    reader_id: u64,
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.log.detach(self.id);
+        self.log.detach(self.reader_id);
     }
 }
 
@@ -96,10 +96,10 @@
     let reader_id = log.attach(last).ok_or_else(super::resume::not_resumable)?;
     let reader = Reader {
         log: log.clone(),
-        id: reader_id,
+        reader_id,
     };
     let events = stream::unfold(reader, |reader| async move {
-        let frame = reader.log.next_frame(reader.id).await?;
+        let frame = reader.log.next_frame(reader.reader_id).await?;
         Some((Ok(frame), reader))
     });
     let mut response = Response::new(CallerBody::stream(events.boxed()));
--- a/crates/tc-caller/tests/key_table.rs
+++ b/crates/tc-caller/tests/key_table.rs
@@ -1,4 +1,4 @@
-//! The table of idempotency keys against a simple model.
+//! Compares the table of idempotency keys with a simple model.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -25,24 +25,24 @@
     Finish {
         workspace: bool,
         key: u8,
-        how: u8,
+        kind: u8,
     },
     Advance {
         millis: u8,
     },
 }
 
-/// What the model knows of a key.
-struct Known {
+/// State of a key in the model.
+struct ModelKey {
     body: bool,
-    joined: Vec<tokio::sync::watch::Receiver<Option<Arc<FinalResponse>>>>,
-    done: Option<(Arc<FinalResponse>, MonoTime)>,
+    waiting: Vec<tokio::sync::watch::Receiver<Option<Arc<FinalResponse>>>>,
+    completed: Option<(Arc<FinalResponse>, MonoTime)>,
 }
 
 #[derive(Default)]
 struct Model {
-    known: HashMap<ClaimKey, Known>,
-    /// Runs whose call was sent, by key; forgotten when the retention is over.
+    keys: HashMap<ClaimKey, ModelKey>,
+    /// Number of runs with a sent call, by key. Removed when the retention has expired.
     sent: HashMap<ClaimKey, u32>,
 }
 
@@ -54,15 +54,15 @@
     }
 }
 
-fn answer(how: u8, serial: usize) -> Arc<FinalResponse> {
-    let (status, run_state) = match how % 4 {
+fn make_response(kind: u8, serial: usize) -> Arc<FinalResponse> {
+    let (status, run_state) = match kind % 4 {
         0 => (StatusCode::OK, RunState::Ran),
         1 => (StatusCode::BAD_GATEWAY, RunState::Unknown),
         2 => (StatusCode::SERVICE_UNAVAILABLE, RunState::NotRun),
         _ => (StatusCode::GATEWAY_TIMEOUT, RunState::Ran),
     };
     let mut body = format!("answer {serial}");
-    body.push_str(&" ".repeat(usize::from(how)));
+    body.push_str(&" ".repeat(usize::from(kind)));
     Arc::new(FinalResponse {
         status,
         headers: HeaderMap::new(),
@@ -74,8 +74,8 @@
 impl Model {
     fn expire(&mut self, now: MonoTime) {
         let sent = &mut self.sent;
-        self.known.retain(|key, known| {
-            let kept = !matches!(&known.done, Some((_, until)) if *until <= now);
+        self.keys.retain(|key, key_state| {
+            let kept = !matches!(&key_state.completed, Some((_, until)) if *until <= now);
             if !kept {
                 sent.remove(key);
             }
@@ -84,52 +84,58 @@
     }
 
     fn begin(&mut self, key: &ClaimKey, body: bool, verdict: KeyVerdict) {
-        let mine = self.known.keys().filter(|k| k.workspace == key.workspace);
-        let full = mine.count() >= LIMITS.keys_per_workspace || self.known.len() >= LIMITS.keys;
-        match (self.known.get_mut(key), verdict) {
-            (None, KeyVerdict::TableFull) => assert!(full, "refused although there was room"),
+        let in_workspace = self.keys.keys().filter(|k| k.workspace == key.workspace);
+        let full =
+            in_workspace.count() >= LIMITS.keys_per_workspace || self.keys.len() >= LIMITS.keys;
+        match (self.keys.get_mut(key), verdict) {
+            (None, KeyVerdict::TableFull) => {
+                assert!(full, "key refused although the table is not full")
+            }
             (None, KeyVerdict::New(rx)) => {
-                assert!(!full, "taken beyond the bound");
-                let known = Known {
+                assert!(!full, "key accepted beyond the limit");
+                let key_state = ModelKey {
                     body,
-                    joined: vec![rx],
-                    done: None,
+                    waiting: vec![rx],
+                    completed: None,
                 };
-                self.known.insert(key.clone(), known);
+                self.keys.insert(key.clone(), key_state);
             }
-            (Some(known), KeyVerdict::BodyMismatch) => assert_ne!(known.body, body),
-            (Some(known), KeyVerdict::Running(rx)) => {
-                assert!(known.body == body && known.done.is_none());
-                known.joined.push(rx);
+            (Some(key_state), KeyVerdict::BodyMismatch) => assert_ne!(key_state.body, body),
+            (Some(key_state), KeyVerdict::Running(rx)) => {
+                assert!(key_state.body == body && key_state.completed.is_none());
+                key_state.waiting.push(rx);
             }
-            (Some(known), KeyVerdict::Completed(found)) => {
-                assert_eq!(known.body, body);
-                let (told, _) = known.done.as_ref().expect("done before");
+            (Some(key_state), KeyVerdict::Completed(found)) => {
+                assert_eq!(key_state.body, body);
+                let (expected, _) = key_state.completed.as_ref().expect("key has not completed");
                 assert!(
-                    *found == **told || *found == told.without_body(),
-                    "another answer"
+                    *found == **expected || *found == expected.without_body(),
+                    "different response"
                 );
             }
-            (known, verdict) => panic!("known {}: {verdict:?}", known.is_some()),
+            (key_state, verdict) => panic!(
+                "key in the model: {}, verdict: {verdict:?}",
+                key_state.is_some()
+            ),
         }
     }
 
-    fn finish(&mut self, now: MonoTime, key: &ClaimKey, answer: &Arc<FinalResponse>) {
-        let Some(known) = self.known.get_mut(key).filter(|k| k.done.is_none()) else {
+    fn finish(&mut self, now: MonoTime, key: &ClaimKey, response: &Arc<FinalResponse>) {
+        let Some(key_state) = self.keys.get_mut(key).filter(|k| k.completed.is_none()) else {
             return;
         };
-        for rx in known.joined.drain(..) {
-            let told = rx.borrow().clone().expect("every delivery is answered");
+        for rx in key_state.waiting.drain(..) {
+            let received = rx.borrow().clone().expect("delivery without a response");
             assert!(
-                Arc::ptr_eq(&told, answer),
-                "deliveries were told different answers"
+                Arc::ptr_eq(&received, response),
+                "deliveries got different responses"
             );
         }
-        if answer.run_state == RunState::NotRun {
-            self.known.remove(key);
+        if response.run_state == RunState::NotRun {
+            self.keys.remove(key);
             return;
         }
-        known.done = Some((answer.clone(), now.after(RETENTION)));
+        key_state.completed = Some((response.clone(), now.after(RETENTION)));
         let sent = self.sent.entry(key.clone()).or_default();
         *sent += 1;
         assert_eq!(
@@ -139,11 +145,11 @@
     }
 }
 
-/// Symptom: a doubled effect, or a delivery without an answer.
-/// Sequence: any order of deliveries, ends and time over ten keys of two workspaces, beyond the table's bounds.
-/// Cause: a key forgotten, evicted or handed out while it runs or is kept.
+/// Guards against requests that take effect twice and deliveries without a response, which happen if a key is removed
+/// or started again while it is running or retained. Random deliveries, completions and clock advances use ten keys of
+/// two workspaces, which exceeds the limits of the table.
 #[test]
-fn each_key_runs_at_most_once_and_every_delivery_is_told_the_same() {
+fn each_key_runs_at_most_once_and_every_delivery_gets_the_same_response() {
     tc_fuzz::check(ITERATIONS, produce::<Vec<Op>>(), |ops| {
         let mut table = KeyTable::new(LIMITS);
         let mut model = Model::default();
@@ -159,17 +165,17 @@
                     model.expire(now);
                     let verdict = table.begin(now, &key, u64::from(body));
                     model.begin(&key, body, verdict);
-                    assert_eq!(table.len(), model.known.len());
+                    assert_eq!(table.len(), model.keys.len());
                 }
                 Op::Finish {
                     workspace,
                     key,
-                    how,
+                    kind,
                 } => {
                     let key = claim_key(workspace, key);
-                    let answer = answer(how, serial);
-                    table.finish(now, &key, &answer, RETENTION);
-                    model.finish(now, &key, &answer);
+                    let response = make_response(kind, serial);
+                    table.finish(now, &key, &response, RETENTION);
+                    model.finish(now, &key, &response);
                 }
                 Op::Advance { millis } => {
                     now = now.after(Duration::from_millis(u64::from(millis)));
--- a/crates/tc-caller/tests/malformed.rs
+++ b/crates/tc-caller/tests/malformed.rs
@@ -1,15 +1,14 @@
-//! Malformed requests: each gets a clear answer that says it was not run.
+//! Malformed requests: each is refused with a clear problem and the run state `not_run`.
 
 mod support;
 
 use http::{Method, StatusCode};
-use support::{MAX_BODY, MAX_HEADERS, World, client::Client};
+use support::{MAX_BODY, MAX_HEADERS, TestEnv, client::Client};
 
 const GOOD: &str = r#"{"input":"log"}"#;
 
-/// Columns: name; request line; headers; body; status; kind; a word that the detail must contain.
-/// `GOOD` stands for a right body, `LARGE` for one beyond the bound,
-/// `BYTES` for one that is no text.
+/// Columns: name; request line; headers; body; status; kind; a word that the detail must contain. `GOOD` stands for a
+/// valid body, `LARGE` for one above the size limit, `BYTES` for one that is not UTF-8.
 const TABLE: &str = r#"
 not JSON            ; POST /v1/pipelines/summary ; ; {                              ; 400 ; bad-request ; pipeline request
 not UTF-8           ; POST /v1/pipelines/summary ; ; BYTES                          ; 400 ; bad-request ; pipeline request
@@ -65,7 +64,7 @@
     body: Vec<u8>,
     status: u16,
     kind: &'static str,
-    says: &'static str,
+    detail_word: &'static str,
 }
 
 fn rows() -> impl Iterator<Item = Row> {
@@ -74,8 +73,8 @@
 
 fn row(line: &'static str) -> Row {
     let columns: Vec<&str> = line.split(';').map(str::trim).collect();
-    let [name, target, headers, body, status, kind, says] = columns[..] else {
-        panic!("seven columns: {line}");
+    let [name, target, headers, body, status, kind, detail_word] = columns[..] else {
+        panic!("expected seven columns: {line}");
     };
     let (method, path) = target.split_once(' ').unwrap();
     let headers = headers.split('&').filter(|h| !h.trim().is_empty());
@@ -95,107 +94,109 @@
         },
         status: status.parse().unwrap(),
         kind,
-        says,
+        detail_word,
     }
 }
 
-async fn check_all(world: &World, client: &Client) {
+async fn assert_all_refused(env: &TestEnv, client: &Client) {
     assert_eq!(rows().count(), 44);
     for row in rows() {
-        let answer = client
+        let response = client
             .call(row.method.clone(), row.path, &row.headers, row.body.clone())
             .await;
         let name = row.name;
-        assert_eq!(answer.status.as_u16(), row.status, "{name}: {answer:?}");
+        assert_eq!(response.status.as_u16(), row.status, "{name}: {response:?}");
         assert_eq!(
-            answer.header("content-type"),
+            response.header("content-type"),
             "application/problem+json",
             "{name}"
         );
-        assert_eq!(answer.run_state(), "not_run", "{name}");
-        let problem = answer.json();
+        assert_eq!(response.run_state(), "not_run", "{name}");
+        let problem = response.json();
         let kind = format!("urn:tanagercroft:problem:{}", row.kind);
         assert_eq!(problem["type"], kind, "{name}");
         assert_eq!(problem["run_state"], "not_run", "{name}");
         assert_eq!(
             problem["request_id"],
-            answer.header("x-request-id"),
+            response.header("x-request-id"),
             "{name}"
         );
         let detail = problem["detail"].as_str().unwrap();
-        assert!(detail.contains(row.says), "{name}: {detail}");
+        assert!(detail.contains(row.detail_word), "{name}: {detail}");
         assert_eq!(
-            answer.status == StatusCode::METHOD_NOT_ALLOWED,
-            !answer.header("allow").is_empty()
+            response.status == StatusCode::METHOD_NOT_ALLOWED,
+            !response.header("allow").is_empty()
         );
-        let unauthorized = answer.status == StatusCode::UNAUTHORIZED;
+        let unauthorized = response.status == StatusCode::UNAUTHORIZED;
         assert_eq!(
             unauthorized,
-            answer.header("www-authenticate") == "Bearer",
+            response.header("www-authenticate") == "Bearer",
             "{name}"
         );
     }
     assert!(
-        world.up.recorder.calls().is_empty(),
-        "nothing reached an upstream"
+        env.upstreams.recorder.calls().is_empty(),
+        "an upstream received a malformed request"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn every_malformed_request_is_told_what_is_wrong_over_http1() {
-    let world = World::start().await;
-    check_all(&world, &world.client).await;
+async fn every_malformed_request_gets_a_clear_problem_over_http1() {
+    let env = TestEnv::start().await;
+    assert_all_refused(&env, &env.client).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn every_malformed_request_is_told_what_is_wrong_over_http2() {
-    let world = World::start().await;
-    check_all(&world, &Client::http2(world.instance.address)).await;
+async fn every_malformed_request_gets_a_clear_problem_over_http2() {
+    let env = TestEnv::start().await;
+    assert_all_refused(&env, &Client::http2(env.instance.address)).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn too_large_headers_are_refused_over_both_protocols() {
-    let world = World::start().await;
+    let env = TestEnv::start().await;
     let large = "x".repeat(MAX_HEADERS);
-    for client in [world.client.clone(), Client::http2(world.instance.address)] {
-        let answer = client
+    for client in [env.client.clone(), Client::http2(env.instance.address)] {
+        let response = client
             .pipeline("scores", "log", &[("x-note", &large)])
             .await;
-        assert_eq!(answer.status.as_u16(), 431);
-        assert_eq!(answer.run_state(), "not_run");
+        assert_eq!(response.status.as_u16(), 431);
+        assert_eq!(response.run_state(), "not_run");
     }
     let huge = "x".repeat(MAX_HEADERS * 6);
-    let answer = world
+    let response = env
         .client
         .pipeline("scores", "log", &[("x-note", &huge)])
         .await;
-    assert_eq!(answer.status.as_u16(), 431);
+    assert_eq!(response.status.as_u16(), 431);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_instance_without_a_configuration_says_so() {
-    let world = World::start().await;
-    let view = world.fakes.view();
+async fn an_instance_without_a_configuration_is_not_ready() {
+    let env = TestEnv::start().await;
+    let view = env.fakes.view();
     let mut empty = (*view).clone();
     empty.config = std::sync::Arc::default();
-    world.fakes.set_view(empty);
-    let answer = world.client.pipeline("scores", "log", &[]).await;
-    assert_eq!(answer.status.as_u16(), 503);
-    assert_eq!(answer.json()["type"], "urn:tanagercroft:problem:not-ready");
-    assert_eq!(answer.header("retry-after"), "1");
+    env.fakes.set_view(empty);
+    let response = env.client.pipeline("scores", "log", &[]).await;
+    assert_eq!(response.status.as_u16(), 503);
+    assert_eq!(
+        response.json()["type"],
+        "urn:tanagercroft:problem:not-ready"
+    );
+    assert_eq!(response.header("retry-after"), "1");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn priority_is_clamped_to_the_highest_of_the_workspace() {
-    let world = World::start().await;
+    let env = TestEnv::start().await;
     for (header, expected) in [("u=0", 2), ("u=5, i", 5), ("", 3), ("i", 3)] {
-        world.fakes.asks.lock().unwrap().clear();
-        world
-            .client
+        env.fakes.permit_requests.lock().unwrap().clear();
+        env.client
             .pipeline("scores", "log", &[("priority", header)])
             .await;
         assert_eq!(
-            world.fakes.asks.lock().unwrap()[0].priority,
+            env.fakes.permit_requests.lock().unwrap()[0].priority,
             expected,
             "{header}"
         );
--- a/crates/tc-caller/tests/services.rs
+++ b/crates/tc-caller/tests/services.rs
@@ -1,112 +1,123 @@
-//! Plain services, passed through.
+//! Calls to plain services.
 
 mod support;
 
 use http::{Method, StatusCode};
-use support::World;
+use support::TestEnv;
 use tc_stand_ins::{AnswerFault, plain_output};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_call_is_passed_through_with_path_and_body() {
-    let world = World::start().await;
+async fn a_call_is_forwarded_with_path_and_body() {
+    let env = TestEnv::start().await;
     for (method, body) in [
         (Method::GET, ""),
         (Method::POST, "bid"),
         (Method::DELETE, ""),
     ] {
         let path = "/v1/services/lots/open/42?full=1";
-        let answer = world.client.call(method.clone(), path, &[], body).await;
-        assert_eq!(answer.status, StatusCode::OK, "{method}: {}", answer.text());
+        let response = env.client.call(method.clone(), path, &[], body).await;
+        assert_eq!(
+            response.status,
+            StatusCode::OK,
+            "{method}: {}",
+            response.text()
+        );
         let expected = plain_output("/open/42?full=1", body.as_bytes());
-        let short = plain_output("/open/42", body.as_bytes());
-        let json = answer.json();
-        assert!(json == expected || json == short, "{method}: {json}");
-        assert!(!answer.header("x-request-id").is_empty());
-        let words = world.explained(answer.header("x-request-id"));
+        let without_query = plain_output("/open/42", body.as_bytes());
+        let json = response.json();
+        assert!(
+            json == expected || json == without_query,
+            "{method}: {json}"
+        );
+        assert!(!response.header("x-request-id").is_empty());
+        let decisions = env.decisions(response.header("x-request-id"));
         assert_eq!(
-            words,
+            decisions,
             ["admitted", "granted", "ended", "answered"],
             "{method}"
         );
     }
-    assert_eq!(world.instance.server.workspace_stats()[0].cost[0].calls, 3);
+    assert_eq!(env.instance.server.workspace_stats()[0].cost[0].calls, 3);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn reading_needs_no_key_even_where_calls_may_not_be_repeated() {
-    let world = World::start().await;
+async fn get_and_head_need_no_key_at_non_idempotent_services() {
+    let env = TestEnv::start().await;
     for method in [Method::GET, Method::HEAD] {
-        let answer = world
+        let response = env
             .client
             .call(method, "/v1/services/notify/state", &[], "")
             .await;
-        assert_eq!(answer.status, StatusCode::OK);
+        assert_eq!(response.status, StatusCode::OK);
     }
 }
 
-/// Symptom: a lot lookup fails while another upstream could answer it.
-/// Sequence: the first upstream is gone or loses its answer.
-/// Cause: no retry of idempotent plain calls.
+/// Guards against a failed lookup while another upstream is healthy. The first upstream has crashed or its response is
+/// lost, so the idempotent call must be retried.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_idempotent_call_is_retried_elsewhere() {
-    let world = World::start().await;
-    let faults = world.up.plains[0].faults();
+async fn an_idempotent_call_is_retried_at_another_upstream() {
+    let env = TestEnv::start().await;
+    let faults = env.upstreams.plains[0].faults();
     faults.break_answers(AnswerFault::Lost, 1);
-    let answer = world
+    let response = env
         .client
         .call(Method::GET, "/v1/services/lots/1", &[], "")
         .await;
-    assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
+    assert_eq!(response.status, StatusCode::OK, "{}", response.text());
     faults.crash();
-    let answer = world
+    let response = env
         .client
         .call(Method::GET, "/v1/services/lots/1", &[], "")
         .await;
-    assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
+    assert_eq!(response.status, StatusCode::OK, "{}", response.text());
 }
 
-/// Symptom: a caller gets a header and then a broken connection, and cannot tell whether its call ran.
-/// Sequence: the connections of all upstreams break in the middle of a short body.
-/// Cause: the header was passed on before the rest of the answer was there.
+/// Guards against forwarding the header of a short response before its body has arrived. The connections of all
+/// upstreams break within the body. The caller would get only a broken connection and could not tell whether its call
+/// ran.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_short_body_that_breaks_off_is_a_failure_in_words() {
-    let world = World::start().await;
-    for plain in &world.up.plains {
+async fn a_truncated_short_body_is_reported_as_a_problem() {
+    let env = TestEnv::start().await;
+    for plain in &env.upstreams.plains {
         plain
             .faults()
             .break_answers(AnswerFault::CloseMidBody, u64::MAX);
     }
     let path = "/v1/services/lots/1";
-    let answer = world.client.call(Method::GET, path, &[], "").await;
-    assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text());
-    assert_eq!(answer.json()["run_state"], "ran");
-    support::eventually("the permit is given back", || {
-        world.fakes.permits_out() == 0
+    let response = env.client.call(Method::GET, path, &[], "").await;
+    assert_eq!(
+        response.status,
+        StatusCode::BAD_GATEWAY,
+        "{}",
+        response.text()
+    );
+    assert_eq!(response.json()["run_state"], "ran");
+    support::eventually("the permit is released", || {
+        env.fakes.unreleased_permits() == 0
     })
     .await;
 }
 
-/// Symptom: a caller takes part of an answer for the whole.
-/// Sequence: the upstream's connection breaks in the middle of a long body.
-/// Cause: the caller's connection ended as if the body were complete.
+/// Guards against a truncated response that looks complete to the caller. The upstream's connection breaks within a
+/// long body, so the caller's connection must break as well.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_body_that_breaks_off_breaks_the_callers_connection_too() {
-    let world = World::start().await;
-    for plain in &world.up.plains {
+async fn a_truncated_long_body_breaks_the_connection_to_the_caller() {
+    let env = TestEnv::start().await;
+    for plain in &env.upstreams.plains {
         plain
             .faults()
             .break_answers(AnswerFault::CloseMidLongBody, u64::MAX);
     }
     let path = "/v1/services/lots/1";
-    // The break may come before the head has left, or after.
-    if let Ok(answer) = world.client.try_open(Method::GET, path, &[], "").await {
-        let body = http_body_util::BodyExt::collect(answer.into_body()).await;
+    // The connection may break before or after the response header is sent.
+    if let Ok(response) = env.client.try_open(Method::GET, path, &[], "").await {
+        let body = http_body_util::BodyExt::collect(response.into_body()).await;
         assert!(body.is_err());
     }
-    let answered = world.instance.server.workspace_stats()[0].answered_in_deadline;
+    let answered = env.instance.server.workspace_stats()[0].answered_in_deadline;
     assert_eq!(answered, 0);
-    support::eventually("the permit is given back", || {
-        world.fakes.permits_out() == 0
+    support::eventually("the permit is released", || {
+        env.fakes.unreleased_permits() == 0
     })
     .await;
 }
--- a/crates/tc-caller/tests/support/client.rs
+++ b/crates/tc-caller/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! HTTP client of the tests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,18 +14,18 @@
 
 use super::fleet::LINTAS;
 
-/// Bytes an HTTP/2 caller takes in before it reads; small, so that a slow reader is felt at once.
+/// HTTP/2 flow-control window of a stream. Small, so that the server is blocked soon after a caller stops reading.
 const HTTP2_WINDOW: u32 = 64 * 1_024;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct TestResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Answer {
+impl TestResponse {
     pub(crate) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_else(|e| panic!("{e}: {:?}", self.body))
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// A caller with connections to one instance, in the name of a workspace.
+/// HTTP client of one instance. It sends the token of workspace `lintas` unless an `authorization` header is given.
 #[derive(Clone)]
 pub(crate) struct Client {
     address: SocketAddr,
@@ -79,8 +79,8 @@
         headers: Headers<'_>,
         body: impl Into<Bytes>,
     ) -> http::Response<Incoming> {
-        let answer = self.try_open(method, path, headers, body).await;
-        answer.expect("an answer")
+        let response = self.try_open(method, path, headers, body).await;
+        response.expect("request failed")
     }
 
     pub(crate) async fn try_open(
@@ -99,8 +99,8 @@
             req = req.header(*name, *value);
         }
         let req = req.body(Full::new(body.into())).unwrap();
-        let answer = tokio::time::timeout(Duration::from_secs(30), self.pooled.request(req));
-        answer.await.expect("an answer in time")
+        let response = tokio::time::timeout(Duration::from_secs(30), self.pooled.request(req));
+        response.await.expect("response timed out")
     }
 
     pub(crate) async fn call(
@@ -109,16 +109,21 @@
         path: &str,
         headers: Headers<'_>,
         body: impl Into<Bytes>,
-    ) -> Answer {
+    ) -> TestResponse {
         let (parts, body) = self.open(method, path, headers, body).await.into_parts();
-        Answer {
+        TestResponse {
             status: parts.status,
             headers: parts.headers,
-            body: body.collect().await.expect("a whole body").to_bytes(),
+            body: body.collect().await.expect("incomplete body").to_bytes(),
         }
     }
 
-    pub(crate) async fn pipeline(&self, name: &str, input: &str, headers: Headers<'_>) -> Answer {
+    pub(crate) async fn pipeline(
+        &self,
+        name: &str,
+        input: &str,
+        headers: Headers<'_>,
+    ) -> TestResponse {
         let body = serde_json::json!({ "input": input }).to_string();
         self.call(
             Method::POST,
@@ -138,7 +143,7 @@
     pub(crate) data: String,
 }
 
-/// Splits a stream that this system wrote.
+/// Parses the events of a complete stream.
 pub(crate) fn events(text: &str) -> Vec<Event> {
     let blocks = text.split("\n\n").filter(|block| !block.is_empty());
     blocks
@@ -150,13 +155,13 @@
             Event {
                 id: field("id: ").map(|id| id.parse().unwrap()),
                 name: field("event: "),
-                data: field("data: ").expect("data"),
+                data: field("data: ").expect("event without data"),
             }
         })
         .collect()
 }
 
-/// The text of all events together.
+/// Concatenates the text of all events.
 pub(crate) fn text_of(events: &[Event]) -> String {
     let texts = events.iter().filter(|e| e.name.is_none());
     texts
@@ -165,11 +170,15 @@
         .collect()
 }
 
-/// Reads frames until at least `count` events came.
+/// Reads frames until they contain at least `count` events.
 pub(crate) async fn read_events(body: &mut Incoming, count: usize) -> String {
     let mut text = String::new();
     while events_complete(&text) < count {
-        let frame = body.frame().await.expect("more").expect("a frame");
+        let frame = body
+            .frame()
+            .await
+            .expect("stream ended")
+            .expect("stream failed");
         if let Ok(data) = frame.into_data() {
             text.push_str(std::str::from_utf8(&data).unwrap());
         }
--- a/crates/tc-caller/tests/support/fleet.rs
+++ b/crates/tc-caller/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! The configuration and view that tests start from.
+//! Initial configuration and view of the tests.
 
 use std::{
     collections::BTreeMap,
@@ -21,27 +21,36 @@
 pub(crate) const LINTAS: &str = "lintas-token";
 pub(crate) const TRINACRIA: &str = "trinacria-token";
 
-pub(crate) fn config(up: &Upstreams) -> FleetConfig {
+pub(crate) fn config(upstreams: &Upstreams) -> FleetConfig {
     let mut services = BTreeMap::new();
     for service in ["encode", "rerank", "bill"] {
-        let members = up.pools.iter().map(|p| (p.id().clone(), p.address()));
+        let members = upstreams
+            .pools
+            .iter()
+            .map(|p| (p.id().clone(), p.address()));
         let idempotent = service != "bill";
-        let upstreams = upstreams(service, members);
+        let selected = service_upstreams(service, members);
         services.insert(
             service.into(),
-            service_of(ServiceKind::Pool, idempotent, upstreams),
+            service_of(ServiceKind::Pool, idempotent, selected),
         );
     }
-    let members = up.engines.iter().map(|e| (e.id().clone(), e.address()));
-    let mut generate = service_of(ServiceKind::Engine, true, upstreams("gen", members));
+    let members = upstreams
+        .engines
+        .iter()
+        .map(|e| (e.id().clone(), e.address()));
+    let mut generate = service_of(ServiceKind::Engine, true, service_upstreams("gen", members));
     generate.model = Some("drafter".into());
     services.insert("generate".into(), generate);
     for service in ["lots", "notify"] {
-        let members = up.plains.iter().map(|p| (p.id().clone(), p.address()));
-        let upstreams = upstreams(service, members);
+        let members = upstreams
+            .plains
+            .iter()
+            .map(|p| (p.id().clone(), p.address()));
+        let selected = service_upstreams(service, members);
         services.insert(
             service.into(),
-            service_of(ServiceKind::Plain, service == "lots", upstreams),
+            service_of(ServiceKind::Plain, service == "lots", selected),
         );
     }
     let pipelines = [
@@ -65,7 +74,7 @@
     }
 }
 
-fn upstreams(
+fn service_upstreams(
     prefix: &str,
     members: impl Iterator<Item = (tc_protocol::UpstreamId, SocketAddr)>,
 ) -> Vec<Upstream> {
--- a/crates/tc-caller/tests/support/mod.rs
+++ b/crates/tc-caller/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A caller server with fake ports in front of stand-in upstreams.
+//! Test environment: a caller server with fake ports and stand-in upstreams.
 #![allow(
     dead_code,
-    reason = "each test file is a program of its own and uses its part"
+    reason = "each test file is compiled with this module and uses only a part of it"
 )]
 
 pub(crate) mod client;
@@ -21,12 +21,12 @@
 use fleet::{ANY_PORT, INCARNATION, ME};
 use ports::Fakes;
 
-/// Largest body the test server takes.
+/// Maximum request body size of the test server.
 pub(crate) const MAX_BODY: usize = 64 * 1024;
-/// Largest headers the test server takes.
+/// Maximum size of the request headers of the test server.
 pub(crate) const MAX_HEADERS: usize = 8 * 1024;
 
-/// As in service, but for what tests wait for.
+/// Shorter than the defaults, except `body_read`, because tests wait for the others to expire.
 const TIMEOUTS: CallerTimeouts = CallerTimeouts {
     first_request: Duration::from_secs(2),
     header_read: Duration::from_secs(2),
@@ -34,7 +34,7 @@
     reader_stall: Duration::from_secs(3),
 };
 
-/// Upstreams, two of each service.
+/// Stand-in upstreams, two for each service.
 pub(crate) struct Upstreams {
     pub(crate) recorder: Recorder,
     pub(crate) pools: Vec<Pool>,
@@ -43,10 +43,10 @@
 }
 
 impl Upstreams {
-    /// Upstreams that answer at once; `token` is the time for each generated token.
-    pub(crate) async fn start(token: Duration) -> Self {
+    /// Starts upstreams that respond without a delay, except that engines take `per_token` for each token.
+    pub(crate) async fn start(per_token: Duration) -> Self {
         let recorder = Recorder::new();
-        let mut up = Self {
+        let mut upstreams = Self {
             recorder: recorder.clone(),
             pools: Vec::new(),
             engines: Vec::new(),
@@ -55,14 +55,15 @@
         for service in ["encode", "rerank", "bill"] {
             for n in 1..=2 {
                 let cfg = PoolConfig::new(&format!("{service}-{n}"), service);
-                up.pools
+                upstreams
+                    .pools
                     .push(Pool::start(ANY_PORT, cfg, recorder.clone()).await.unwrap());
             }
         }
         for n in 1..=2 {
             let mut cfg = EngineConfig::new(&format!("gen-{n}"), "generate");
-            cfg.per_token = token;
-            up.engines.push(
+            cfg.per_token = per_token;
+            upstreams.engines.push(
                 Engine::start(ANY_PORT, cfg, recorder.clone())
                     .await
                     .unwrap(),
@@ -71,28 +72,29 @@
         for service in ["lots", "notify"] {
             for n in 1..=2 {
                 let cfg = PlainConfig::new(&format!("{service}-{n}"), service);
-                up.plains
+                upstreams
+                    .plains
                     .push(Plain::start(ANY_PORT, cfg, recorder.clone()).await.unwrap());
             }
         }
-        up
+        upstreams
     }
 
     pub(crate) fn pool(&self, id: &str) -> &Pool {
         let found = self.pools.iter().find(|p| p.id().as_str() == id);
-        found.expect("a pool of that name")
+        found.expect("unknown pool")
     }
 }
 
-/// One instance under test.
-pub(crate) struct World {
-    pub(crate) up: Upstreams,
+/// One instance with its upstreams, fake ports and a client.
+pub(crate) struct TestEnv {
+    pub(crate) upstreams: Upstreams,
     pub(crate) fakes: Arc<Fakes>,
     pub(crate) instance: Instance,
     pub(crate) client: Client,
 }
 
-/// A running server.
+/// A running caller server.
 pub(crate) struct Instance {
     pub(crate) server: Arc<CallerServer>,
     pub(crate) address: std::net::SocketAddr,
@@ -124,25 +126,25 @@
     }
 }
 
-impl World {
+impl TestEnv {
     pub(crate) async fn start() -> Self {
         Self::with_token_time(Duration::ZERO).await
     }
 
-    pub(crate) async fn with_token_time(token: Duration) -> Self {
-        let up = Upstreams::start(token).await;
-        let fakes = Arc::new(Fakes::new(fleet::config(&up)));
+    pub(crate) async fn with_token_time(per_token: Duration) -> Self {
+        let upstreams = Upstreams::start(per_token).await;
+        let fakes = Arc::new(Fakes::new(fleet::config(&upstreams)));
         let instance = Instance::start(ME, fakes.ports(), false).await;
         let client = Client::new(instance.address);
         Self {
-            up,
+            upstreams,
             fakes,
             instance,
             client,
         }
     }
 
-    /// Lets the pipeline that generates do so for longer.
+    /// Sets the maximum number of generated tokens of the pipeline `summary`.
     pub(crate) fn set_max_tokens(&self, max_tokens: u32) {
         self.reconfigure(|config| {
             let summary = config.pipelines.get_mut("summary").unwrap();
@@ -157,43 +159,43 @@
         self.fakes.set_view(view);
     }
 
-    /// The decisions kept of a request.
+    /// Returns the recorded steps of a request.
     pub(crate) fn steps(&self, id: &str) -> Vec<serde_json::Value> {
         let explanation = self.instance.server.explain(&RequestId::from(id)).unwrap();
         let steps = explanation.steps.iter();
         steps.map(|s| serde_json::to_value(s).unwrap()).collect()
     }
 
-    /// What was decided for a request, in words.
-    pub(crate) fn explained(&self, id: &str) -> Vec<String> {
+    /// Returns the kinds of the decisions recorded for a request.
+    pub(crate) fn decisions(&self, id: &str) -> Vec<String> {
         let words = self.steps(id).into_iter().map(|s| s["what"].clone());
         words.map(|w| w.as_str().unwrap().to_owned()).collect()
     }
 }
 
-/// Waits until `check` holds; fails after a generous bound.
-pub(crate) async fn eventually(what: &str, mut check: impl FnMut() -> bool) {
+/// Waits until `check` returns true, and panics after 10 seconds.
+pub(crate) async fn eventually(condition: &str, mut check: impl FnMut() -> bool) {
     for _ in 0..1_000 {
         if check() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("never happened: {what}");
+    panic!("timed out waiting until {condition}");
 }
 
-/// Starts a second instance that knows the first, and tells the first of it.
-pub(crate) async fn second_instance(world: &World, id: &str) -> Instance {
-    let config = (*world.fakes.view().config).clone();
+/// Starts a second instance. The views of both instances contain each other.
+pub(crate) async fn second_instance(env: &TestEnv, id: &str) -> Instance {
+    let config = (*env.fakes.view().config).clone();
     let fakes = Arc::new(Fakes::new(config.clone()));
     let other = Instance::start(id, fakes.ports(), false).await;
-    let first = fleet::member(ME, INCARNATION, world.instance.address);
+    let first = fleet::member(ME, INCARNATION, env.instance.address);
     let second = fleet::member(id, INCARNATION, other.address);
     fakes.set_view(fleet::view(
         second.clone(),
         std::slice::from_ref(&first),
         config.clone(),
     ));
-    world.fakes.set_view(fleet::view(first, &[second], config));
+    env.fakes.set_view(fleet::view(first, &[second], config));
     other
 }
--- a/crates/tc-caller/tests/support/ports.rs
+++ b/crates/tc-caller/tests/support/ports.rs
@@ -1,4 +1,4 @@
-//! Small fakes of everything the caller side needs from the fleet.
+//! Fake implementations of [`Ports`].
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -26,25 +26,25 @@
     outcome: Option<RecordedOutcome>,
 }
 
-/// State behind the fake ports, and switches for their faults.
+/// State of the fake ports, and switches for injected faults.
 pub(crate) struct Fakes {
     view: RwLock<Arc<FleetView>>,
-    pub(crate) asks: Mutex<Vec<PermitRequest>>,
+    pub(crate) permit_requests: Mutex<Vec<PermitRequest>>,
     pub(crate) releases: Mutex<Vec<(UpstreamId, Release)>>,
     pub(crate) crashed: Mutex<Vec<(Fingerprint, UpstreamId)>>,
     pub(crate) ran_whole: Mutex<Vec<Fingerprint>>,
-    /// Refuses every ask for this service.
-    pub(crate) refuse: Mutex<Option<(String, RefusalReason)>>,
-    /// Answers no ask.
-    pub(crate) mute_asks: AtomicBool,
+    /// Refuses every permit request for this service.
+    pub(crate) refuse_service: Mutex<Option<(String, RefusalReason)>>,
+    /// Leaves every permit request without a reply.
+    pub(crate) ignore_permit_requests: AtomicBool,
     pub(crate) over_limit: AtomicBool,
     pub(crate) store_down: AtomicBool,
     pub(crate) lose_store_on_join: AtomicBool,
     claims: Mutex<HashMap<ClaimKey, Claim>>,
-    pub(crate) shares: AtomicU64,
+    pub(crate) limit_guards: AtomicU64,
     granted: AtomicUsize,
-    pub(crate) charged: Mutex<f64>,
-    next: AtomicU64,
+    pub(crate) charged_units: Mutex<f64>,
+    next_id: AtomicU64,
 }
 
 impl Fakes {
@@ -52,20 +52,20 @@
         let me = member(ME, INCARNATION, ANY_PORT);
         Self {
             view: RwLock::new(Arc::new(view(me, &[], config))),
-            asks: Mutex::default(),
+            permit_requests: Mutex::default(),
             releases: Mutex::default(),
             crashed: Mutex::default(),
             ran_whole: Mutex::default(),
-            refuse: Mutex::default(),
-            mute_asks: AtomicBool::new(false),
+            refuse_service: Mutex::default(),
+            ignore_permit_requests: AtomicBool::new(false),
             over_limit: AtomicBool::new(false),
             store_down: AtomicBool::new(false),
             lose_store_on_join: AtomicBool::new(false),
             claims: Mutex::default(),
-            shares: AtomicU64::new(0),
+            limit_guards: AtomicU64::new(0),
             granted: AtomicUsize::new(0),
-            charged: Mutex::default(),
-            next: AtomicU64::new(1),
+            charged_units: Mutex::default(),
+            next_id: AtomicU64::new(1),
         }
     }
 
@@ -78,28 +78,28 @@
     }
 
     pub(crate) fn ports(self: &Arc<Self>) -> Ports {
-        let me = || self.clone();
-        let (view, ask, share) = (me(), me(), me());
-        let (claim, record, join) = (me(), me(), me());
-        let (crashed, ran) = (me(), me());
+        let fakes = || self.clone();
+        let (view, ask, share) = (fakes(), fakes(), fakes());
+        let (claim, record, join) = (fakes(), fakes(), fakes());
+        let (crashed, ran) = (fakes(), fakes());
         Ports {
             view: Arc::new(move || view.view()),
-            ask: Arc::new(move |a| {
+            ask: Arc::new(move |request| {
                 let fakes = ask.clone();
-                async move { fakes.ask(a).await }.boxed()
+                async move { fakes.request_permit(request).await }.boxed()
             }),
-            share: Arc::new(move |_| share.share()),
+            share: Arc::new(move |_| share.limit_guard()),
             claim: Arc::new(move |key, hash, _| {
                 let verdict = claim.claim(key, hash);
                 async move { verdict }.boxed()
             }),
             record: Arc::new(move |key, id, outcome| {
-                let done = record.record(&key, &id, outcome);
-                async move { done }.boxed()
+                let recorded = record.record(&key, &id, outcome);
+                async move { recorded }.boxed()
             }),
             join_claim: Arc::new(move |key, wait| {
                 let fakes = join.clone();
-                async move { fakes.join(key, wait).await }.boxed()
+                async move { fakes.join_claim(key, wait).await }.boxed()
             }),
             crashed: Arc::new(move |fingerprint, upstream| {
                 crashed
@@ -114,32 +114,35 @@
         }
     }
 
-    /// Grants the first upstream of the service that is not to be avoided.
-    async fn ask(self: Arc<Self>, ask: PermitRequest) -> Result<Permit, PermitRefusal> {
-        self.asks.lock().unwrap().push(ask.clone());
-        if self.mute_asks.load(Ordering::SeqCst) {
+    /// Grants a permit for the first upstream of the service that the request does not exclude.
+    async fn request_permit(
+        self: Arc<Self>,
+        request: PermitRequest,
+    ) -> Result<Permit, PermitRefusal> {
+        self.permit_requests.lock().unwrap().push(request.clone());
+        if self.ignore_permit_requests.load(Ordering::SeqCst) {
             std::future::pending::<()>().await;
         }
         let refused = |reason| PermitRefusal {
             reason,
             retry_after: Duration::from_millis(1_500),
         };
-        if let Some((service, reason)) = self.refuse.lock().unwrap().as_ref()
-            && ask.service.as_str() == service
+        if let Some((service, reason)) = self.refuse_service.lock().unwrap().as_ref()
+            && request.service.as_str() == service
         {
             return Err(refused(*reason));
         }
         let view = self.view();
-        let upstream = view.upstreams[&ask.service]
+        let upstream = view.upstreams[&request.service]
             .iter()
             .map(|state| &state.upstream)
-            .find(|u| !ask.excluded.contains(&u.id))
+            .find(|u| !request.excluded.contains(&u.id))
             .ok_or_else(|| refused(RefusalReason::NoUpstream))?;
         let grant = Grant {
-            permit: PermitId(self.next.fetch_add(1, Ordering::SeqCst)),
+            permit: PermitId(self.next_id.fetch_add(1, Ordering::SeqCst)),
             upstream: upstream.id.clone(),
             address: upstream.address,
-            expires_in: ask.run_for,
+            expires_in: request.run_for,
             waited: Duration::ZERO,
         };
         let (id, fakes) = (upstream.id.clone(), self.clone());
@@ -153,15 +156,15 @@
         ))
     }
 
-    fn share(self: &Arc<Self>) -> Result<WorkspaceLimitGuard, Duration> {
+    fn limit_guard(self: &Arc<Self>) -> Result<WorkspaceLimitGuard, Duration> {
         if self.over_limit.load(Ordering::SeqCst) {
             return Err(Duration::from_millis(2_500));
         }
-        self.shares.fetch_add(1, Ordering::SeqCst);
+        self.limit_guards.fetch_add(1, Ordering::SeqCst);
         let fakes = self.clone();
         Ok(WorkspaceLimitGuard::new(move |units| {
-            fakes.shares.fetch_sub(1, Ordering::SeqCst);
-            *fakes.charged.lock().unwrap() += units;
+            fakes.limit_guards.fetch_sub(1, Ordering::SeqCst);
+            *fakes.charged_units.lock().unwrap() += units;
         }))
     }
 
@@ -173,7 +176,7 @@
         if let Some(claim) = claims.get(&key) {
             return claim.verdict(body_hash);
         }
-        let claim_id = format!("claim-{}", self.next.fetch_add(1, Ordering::SeqCst));
+        let claim_id = format!("claim-{}", self.next_id.fetch_add(1, Ordering::SeqCst));
         let claim = Claim {
             body_hash,
             id: claim_id.clone(),
@@ -194,13 +197,13 @@
         }
     }
 
-    async fn join(self: Arc<Self>, key: ClaimKey, wait: Duration) -> ClaimVerdict {
+    async fn join_claim(self: Arc<Self>, key: ClaimKey, wait: Duration) -> ClaimVerdict {
         if self.lose_store_on_join.load(Ordering::SeqCst) {
             return ClaimVerdict::Unavailable;
         }
         let until = tokio::time::Instant::now() + wait;
         while tokio::time::Instant::now() < until {
-            let outcome = self.outcome_of(&key);
+            let outcome = self.outcome(&key);
             if let Some(outcome) = outcome {
                 return ClaimVerdict::Recorded(outcome);
             }
@@ -209,21 +212,21 @@
         ClaimVerdict::Held
     }
 
-    pub(crate) fn outcome_of(&self, key: &ClaimKey) -> Option<RecordedOutcome> {
+    pub(crate) fn outcome(&self, key: &ClaimKey) -> Option<RecordedOutcome> {
         let claims = self.claims.lock().unwrap();
         claims.get(key).and_then(|claim| claim.outcome.clone())
     }
 
-    pub(crate) fn claims(&self) -> usize {
+    pub(crate) fn claim_count(&self) -> usize {
         self.claims.lock().unwrap().len()
     }
 
-    /// Permits granted and not released.
-    pub(crate) fn permits_out(&self) -> usize {
+    /// Returns the number of permits that are granted and not released.
+    pub(crate) fn unreleased_permits(&self) -> usize {
         self.granted.load(Ordering::SeqCst) - self.releases.lock().unwrap().len()
     }
 
-    /// How many permits were released with each outcome.
+    /// Returns the number of released permits by outcome.
     pub(crate) fn releases_by_outcome(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for (_, release) in self.releases.lock().unwrap().iter() {
--- a/crates/tc-caller/tests/throttle.rs
+++ b/crates/tc-caller/tests/throttle.rs
@@ -1,39 +1,39 @@
-//! Refusing before the first stage when there is no room at a later one.
+//! Refusing requests before the first stage when a later stage is overloaded.
 
 mod support;
 
 use std::collections::HashSet;
 
-use support::World;
+use support::TestEnv;
 use tc_protocol::RefusalReason;
 
 const REQUESTS: usize = 120;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn requests_without_a_chance_are_refused_before_they_cost_anything() {
-    // Symptom: in an overload early stages are busy with requests that never get an engine.
-    // Sequence: the engines' home refuses every ask for a while; requests keep coming.
-    // Cause: admission looked at the times of answered requests only, and those are fine.
-    let world = World::start().await;
+async fn requests_for_an_overloaded_later_stage_are_refused_early() {
+    // Guards against early stages that are busy, under overload, with requests that never get an engine. The home of
+    // the engines refuses every permit request while requests keep arriving. Admission must not rely only on the times
+    // of answered requests, because these look healthy.
+    let env = TestEnv::start().await;
     let refusal = ("generate".to_owned(), RefusalReason::QueueFull);
-    *world.fakes.refuse.lock().unwrap() = Some(refusal);
+    *env.fakes.refuse_service.lock().unwrap() = Some(refusal);
     let mut refused_early = Vec::new();
     for _ in 0..REQUESTS {
-        let answer = world.client.pipeline("summary", "log", &[]).await;
-        assert_eq!(answer.status.as_u16(), 503, "{answer:?}");
-        if answer.run_state() == "not_run" {
-            assert!(!answer.header("retry-after").is_empty());
-            refused_early.push(answer.header("x-request-id").to_owned());
+        let response = env.client.pipeline("summary", "log", &[]).await;
+        assert_eq!(response.status.as_u16(), 503, "{response:?}");
+        if response.run_state() == "not_run" {
+            assert!(!response.header("retry-after").is_empty());
+            refused_early.push(response.header("x-request-id").to_owned());
         }
     }
-    let most = REQUESTS / 2;
+    let min_refused_early = REQUESTS / 2;
     assert!(
-        refused_early.len() > most,
+        refused_early.len() > min_refused_early,
         "{} refused early",
         refused_early.len()
     );
-    let ran: HashSet<String> = world
-        .up
+    let ran: HashSet<String> = env
+        .upstreams
         .recorder
         .calls()
         .iter()
@@ -41,13 +41,13 @@
         .collect();
     assert!(
         refused_early.iter().all(|id| !ran.contains(id)),
-        "a refusal said not_run and was not"
+        "a request refused with not_run reached an upstream"
     );
-    *world.fakes.refuse.lock().unwrap() = None;
-    let other = world.client.pipeline("scores", "log", &[]).await;
+    *env.fakes.refuse_service.lock().unwrap() = None;
+    let other = env.client.pipeline("scores", "log", &[]).await;
     assert_eq!(
         other.status.as_u16(),
         200,
-        "another pipeline is not held back"
+        "another pipeline must not be throttled"
     );
 }
