--- a/crates/tc-caller/src/idempotency/binding.rs
+++ b/crates/tc-caller/src/idempotency/binding.rs
@@ -19,7 +19,9 @@
 ///
 /// Only the process with that incarnation knows whether it has run the key. If it has ended, running the key here could
 /// run it a second time, so the request fails with the run state `unknown`. With `not_run` the caller would resend the
-/// request, which has led to a mechanic being billed twice.
+/// request, and it could take effect twice, such as billing a mechanic twice.
+///
+/// A request that was already forwarded is not forwarded again.
 pub(crate) fn key_owner(
     view: &FleetView,
     binding: &Binding,
--- a/crates/tc-caller/src/idempotency/table.rs
+++ b/crates/tc-caller/src/idempotency/table.rs
@@ -54,7 +54,7 @@
 ///
 /// ```
 /// use std::{sync::Arc, time::Duration};
-/// use tc_caller::{KeyVerdict, FinalResponse, KeyTable, KeyTableLimits};
+/// use tc_caller::{FinalResponse, KeyTable, KeyTableLimits, KeyVerdict};
 /// use tc_protocol::{ClaimKey, MonoTime, RunState};
 ///
 /// let mut table = KeyTable::new(KeyTableLimits::default());
--- a/crates/tc-caller/tests/attempts.rs
+++ b/crates/tc-caller/tests/attempts.rs
@@ -88,8 +88,8 @@
     let after = hedges.next().expect("no hedge")["after_ms"]
         .as_f64()
         .unwrap();
-    let whole = token.as_secs_f64() * 1e3 * 15.0;
-    assert!(after < whole, "hedged after {after} ms");
+    let generation_ms = token.as_secs_f64() * 1e3 * 15.0;
+    assert!(after < generation_ms, "hedged after {after} ms");
 }
 
 /// Guards against hedges without a budget, which double the load of a slow service and make it slower. Every call to
--- a/crates/tc-caller/tests/key_table.rs
+++ b/crates/tc-caller/tests/key_table.rs
@@ -75,11 +75,11 @@
     fn expire(&mut self, now: MonoTime) {
         let sent = &mut self.sent;
         self.keys.retain(|key, key_state| {
-            let kept = !matches!(&key_state.completed, Some((_, until)) if *until <= now);
-            if !kept {
+            let retained = !matches!(&key_state.completed, Some((_, until)) if *until <= now);
+            if !retained {
                 sent.remove(key);
             }
-            kept
+            retained
         });
     }
 
@@ -88,9 +88,7 @@
         let full =
             in_workspace.count() >= LIMITS.keys_per_workspace || self.keys.len() >= LIMITS.keys;
         match (self.keys.get_mut(key), verdict) {
-            (None, KeyVerdict::TableFull) => {
-                assert!(full, "key refused although the table is not full")
-            }
+            (None, KeyVerdict::TableFull) => assert!(full, "key refused below the limits"),
             (None, KeyVerdict::New(rx)) => {
                 assert!(!full, "key accepted beyond the limit");
                 let key_state = ModelKey {
--- a/crates/tc-caller/tests/run_states.rs
+++ b/crates/tc-caller/tests/run_states.rs
@@ -50,21 +50,21 @@
         "too late"; |w| refuse(w, "encode", Reason::TooLate); "log" => 503, "cannot-finish", "not_run", true
         "queue full"; |w| refuse(w, "encode", Reason::QueueFull); "log" => 503, "overloaded", "not_run", true
         "no upstream"; |w| refuse(w, "encode", Reason::NoUpstream); "log" => 503, "overloaded", "not_run", true
-        "home gone"; |w| refuse(w, "encode", Reason::HomeUnreachable); "log" => 503, "overloaded", "not_run", true
+        "home unreachable"; |w| refuse(w, "encode", Reason::HomeUnreachable); "log" => 503, "overloaded", "not_run", true
         "quarantined"; |w| refuse(w, "encode", Reason::Quarantined); "log" => 422, "quarantined", "not_run", true
-        "limit at home"; |w| refuse(w, "encode", Reason::OverLimit); "log" => 429, "over-limit", "not_run", true
+        "over its limit at the home"; |w| refuse(w, "encode", Reason::OverLimit); "log" => 429, "over-limit", "not_run", true
         "too late at stage two"; |w| refuse(w, "rerank", Reason::TooLate); "log" => 504, "deadline-exceeded", "ran", true
         "queue full at stage two"; |w| refuse(w, "rerank", Reason::QueueFull); "log" => 503, "overloaded", "ran", true
         "quarantined at stage two"; |w| refuse(w, "rerank", Reason::Quarantined); "log" => 422, "quarantined", "ran", true
-        "no home answers"; |w| w.fakes.ignore_permit_requests.store(true, SeqCst); "log" => 504, "deadline-exceeded", "not_run", false
+        "no reply from the home"; |w| w.fakes.ignore_permit_requests.store(true, SeqCst); "log" => 504, "deadline-exceeded", "not_run", false
         "crashed before"; |w| for_each_encoder(w, tc_stand_ins::UpstreamFaults::crash); "log" => 502, "upstream-failed", "not_run", true
         "answers 503"; |w| for_each_encoder(w, |f| f.set_down(true)); "log" => 502, "upstream-failed", "unknown", true
         "hangs"; |w| for_each_encoder(w, |f| f.set_hang(true)); "log" => 504, "deadline-exceeded", "unknown", false
         "garbage"; |w| break_responses(w, AnswerFault::Garbage); "log" => 502, "upstream-failed", "ran", true
         "wrong length"; |w| break_responses(w, AnswerFault::WrongLength); "log" => 502, "upstream-failed", "unknown", true
         "closes mid body"; |w| break_responses(w, AnswerFault::CloseMidBody); "log" => 502, "upstream-failed", "ran", true
-        "another's answer"; |w| break_responses(w, AnswerFault::WrongIdentity); "log" => 502, "upstream-failed", "unknown", true
-        "answer lost"; |w| break_responses(w, AnswerFault::Lost); "log" => 502, "upstream-failed", "unknown", true
+        "response of another call"; |w| break_responses(w, AnswerFault::WrongIdentity); "log" => 502, "upstream-failed", "unknown", true
+        "response lost"; |w| break_responses(w, AnswerFault::Lost); "log" => 502, "upstream-failed", "unknown", true
         "crashes its upstream"; |_| {}; CRASH_MARKER => 502, "upstream-failed", "unknown", true
     }
 }
--- a/crates/tc-caller/tests/support/mod.rs
+++ b/crates/tc-caller/tests/support/mod.rs
@@ -168,8 +168,10 @@
 
     /// Returns the kinds of the decisions recorded for a request.
     pub(crate) fn decisions(&self, id: &str) -> Vec<String> {
-        let words = self.steps(id).into_iter().map(|s| s["what"].clone());
-        words.map(|w| w.as_str().unwrap().to_owned()).collect()
+        let kinds = self.steps(id).into_iter().map(|s| s["what"].clone());
+        kinds
+            .map(|kind| kind.as_str().unwrap().to_owned())
+            .collect()
     }
 }
 
