--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -18,10 +18,10 @@
         keyed::{self, Delivery},
         problem_response,
     },
-    idempotency::{FinalAnswer, Once, once, wait_for},
+    idempotency::{FinalResponse, ResponseSource, run_once, wait_for_response},
     run::{PipelineCall, PipelineResponse, RequestContext, run_pipeline},
     shared::Shared,
-    streams::{self, Opening, StreamLog},
+    streams::{self, StreamLog, StreamStart},
 };
 
 /// The body of a pipeline request.
@@ -62,7 +62,7 @@
     }
     let cx = caller.context(shared, Some(name), deadline, call.pipeline.priority);
     if caller.headers.wants_stream {
-        return streams::start(cx, call).await;
+        return streams::start_stream(cx, call).await;
     }
     let result = run_pipeline(&cx, &call, None).await;
     cx.finish(result.as_ref().err());
@@ -116,7 +116,7 @@
         .member(&entry)
         .filter(|_| !caller.headers.forwarded)
         .map(|member| member.caller_address)
-        .ok_or_else(streams::gone)?;
+        .ok_or_else(streams::not_resumable)?;
     let onward = keyed::forwarded_request(caller, body, remaining);
     let forwarded = shared
         .forwarder
@@ -124,7 +124,7 @@
         .await;
     forwarded.map_err(|error| {
         log::warn!(instance = entry.as_str(), error = error.to_string().as_str(); "failed to forward a stream resume");
-        streams::gone()
+        streams::not_resumable()
     })
 }
 
@@ -149,11 +149,11 @@
         let cx = cx.clone();
         move || async move { complete_answer(&cx, &call).await }.boxed()
     };
-    let begun = once(&cx, keyed, run);
+    let begun = run_once(&cx, keyed, run);
     keyed::respond(&cx, begun).await
 }
 
-async fn complete_answer(cx: &Arc<RequestContext>, call: &PipelineCall) -> FinalAnswer {
+async fn complete_answer(cx: &Arc<RequestContext>, call: &PipelineCall) -> FinalResponse {
     let result = run_pipeline(cx, call, None).await;
     cx.finish(result.as_ref().err());
     match result {
@@ -168,7 +168,7 @@
 /// Streams the run to the delivery that started it. Other deliveries get the complete response.
 async fn stream_with_key(
     cx: Arc<RequestContext>,
-    keyed: crate::idempotency::Keyed,
+    keyed: crate::idempotency::KeyedRequest,
     call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let log = Arc::new(StreamLog::new());
@@ -177,15 +177,15 @@
         let (cx, log) = (cx.clone(), log.clone());
         move || async move { stream_answer(&cx, &call, &log).await }.boxed()
     };
-    match once(&cx, keyed, run) {
-        Ok(Once::First(answer)) => tokio::select! {
+    match run_once(&cx, keyed, run) {
+        Ok(ResponseSource::Started(answer)) => tokio::select! {
             biased;
-            opening = log.opened() => match opening {
-                Opening::Stream => Ok(response),
-                Opening::Failure(failure) => Err(failure),
+            opening = log.wait_for_start() => match opening {
+                StreamStart::Streaming => Ok(response),
+                StreamStart::Failure(failure) => Err(failure),
             },
             // The claim was refused, so the stream never started.
-            answer = wait_for(&cx, answer) => Ok(answer?.to_response(&cx.id)),
+            answer = wait_for_response(&cx, answer) => Ok(answer?.to_response(&cx.id)),
         },
         begun => keyed::respond(&cx, begun).await,
     }
@@ -195,8 +195,8 @@
     cx: &Arc<RequestContext>,
     call: &PipelineCall,
     log: &Arc<StreamLog>,
-) -> FinalAnswer {
-    match streams::run_into(cx, call, log).await {
+) -> FinalResponse {
+    match streams::run_into_stream(cx, call, log).await {
         Ok(response) => final_answer(cx, "text/event-stream", to_events(&response)),
         Err(failure) => problem_response(&failure, &cx.id),
     }
@@ -211,13 +211,13 @@
     parts.concat().into()
 }
 
-fn final_answer(cx: &RequestContext, content_type: &'static str, body: Bytes) -> FinalAnswer {
+fn final_answer(cx: &RequestContext, content_type: &'static str, body: Bytes) -> FinalResponse {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     if let Ok(value) = HeaderValue::from_str(cx.id.as_str()) {
         headers.insert(wire::REQUEST_ID, value);
     }
-    FinalAnswer {
+    FinalResponse {
         status: StatusCode::OK,
         headers,
         body: Some(body),
--- a/crates/tc-caller/src/http/response.rs
+++ b/crates/tc-caller/src/http/response.rs
@@ -17,7 +17,7 @@
 use tc_protocol::{ProblemKind, RequestId, wire};
 
 use crate::{
-    connection::ResponseProgress, http::Failure, idempotency::FinalAnswer, shared::InFlightGuard,
+    connection::ResponseProgress, http::Failure, idempotency::FinalResponse, shared::InFlightGuard,
 };
 
 /// An error that ends a body prematurely.
@@ -107,7 +107,7 @@
 }
 
 /// Creates the problem details response for a failure.
-pub(crate) fn problem_response(failure: &Failure, id: &RequestId) -> FinalAnswer {
+pub(crate) fn problem_response(failure: &Failure, id: &RequestId) -> FinalResponse {
     let problem = failure.problem(id);
     let mut headers = HeaderMap::new();
     headers.insert(
@@ -130,7 +130,7 @@
     if let Ok(value) = HeaderValue::from_str(id.as_str()) {
         headers.insert(wire::REQUEST_ID, value);
     }
-    FinalAnswer {
+    FinalResponse {
         status: StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
         headers,
         body: Some(serde_json::to_vec(&problem).unwrap_or_default().into()),
--- a/crates/tc-caller/src/http/services.rs
+++ b/crates/tc-caller/src/http/services.rs
@@ -16,7 +16,7 @@
         keyed::{self, Delivery},
         problem_response,
     },
-    idempotency::{FinalAnswer, once},
+    idempotency::{FinalResponse, run_once},
     limits::{DEFAULT_PLAIN_PRIORITY, DEFAULT_PLAIN_TIMEOUT, MAX_BUFFERED_RESPONSE_BYTES},
     run::{PlainRequest, PlainServiceBody, PlainServiceResponse, RequestContext, run_plain},
     shared::Shared,
@@ -50,7 +50,7 @@
             let cx = cx.clone();
             move || async move { complete_answer(&cx, &request, &service).await }.boxed()
         };
-        let begun = once(&cx, keyed, run);
+        let begun = run_once(&cx, keyed, run);
         return keyed::respond(&cx, begun).await;
     }
     let cx = caller.context(shared, None, deadline, DEFAULT_PLAIN_PRIORITY);
@@ -117,7 +117,7 @@
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
     service: &Service,
-) -> FinalAnswer {
+) -> FinalResponse {
     let collected = match run_plain(cx, request, service).await {
         Ok(response) => collect(cx, response).await,
         Err(failure) => Err(failure),
@@ -129,9 +129,9 @@
 async fn collect(
     cx: &RequestContext,
     response: PlainServiceResponse,
-) -> Result<FinalAnswer, Failure> {
+) -> Result<FinalResponse, Failure> {
     let body = collect_body(cx, response.body).await?;
-    Ok(FinalAnswer {
+    Ok(FinalResponse {
         status: response.status,
         headers: response.headers,
         body: Some(body),
--- a/crates/tc-caller/src/lib.rs
+++ b/crates/tc-caller/src/lib.rs
@@ -15,7 +15,7 @@
 mod streams;
 mod trace;
 
-pub use idempotency::{Begin, FinalAnswer, KeyTable, KeyTableLimits};
+pub use idempotency::{FinalResponse, KeyTable, KeyTableLimits, KeyVerdict};
 pub use ports::{
     AddressesPort, CallerSettings, CallerTimeouts, ClaimPort, Ports, RecordOutcomePort,
     ReportCompletedPort, ReportCrashPort, RequestPermitPort, StartRequestPort, ViewPort,
--- a/crates/tc-caller/src/run/context.rs
+++ b/crates/tc-caller/src/run/context.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     http::Failure,
-    record::{Ending, RequestTrace, WorkspaceRecord},
+    record::{RequestOutcome, RequestTrace, WorkspaceRecord},
     shared::Shared,
 };
 
@@ -65,9 +65,9 @@
             accepted.pipeline.clone(),
             accepted.arrived,
         ));
-        shared.explanations.keep(accepted.counter, trace.clone());
+        shared.explanations.insert(accepted.counter, trace.clone());
         Arc::new(Self {
-            workspace_record: shared.stats.of(&accepted.workspace),
+            workspace_record: shared.stats.for_workspace(&accepted.workspace),
             shared,
             accepted,
             trace,
@@ -119,7 +119,7 @@
     /// Adds the cost of one call of `stage`. `wasted` is true if its result was not used.
     pub(crate) fn add_cost(&self, stage: &StageName, cost: &Cost, wasted: bool) {
         let key = (self.pipeline.clone(), stage.clone());
-        self.workspace_record.spent(&key, cost, wasted);
+        self.workspace_record.record_cost(&key, cost, wasted);
         let mut total = lock(&self.cost);
         total.tokens_in = total.tokens_in.saturating_add(cost.tokens_in);
         total.tokens_out = total.tokens_out.saturating_add(cost.tokens_out);
@@ -132,10 +132,10 @@
 
     /// Records how the request ended. Later calls have no effect.
     pub(crate) fn finish(&self, failure: Option<&Failure>) {
-        let ending = match failure {
-            None if self.deadline.is_past(MonoTime::now()) => Ending::Late,
-            None => Ending::Answered,
-            Some(failure) => Ending::Failed(failure.kind.as_str()),
+        let outcome = match failure {
+            None if self.deadline.is_past(MonoTime::now()) => RequestOutcome::Late,
+            None => RequestOutcome::Answered,
+            Some(failure) => RequestOutcome::Failed(failure.kind.as_str()),
         };
         let decision = match failure {
             None => Decision::Answered,
@@ -148,22 +148,22 @@
                 run_state: f.run_state,
             },
         };
-        self.end(ending, decision);
+        self.end(outcome, decision);
     }
 
-    fn end(&self, ending: Ending, decision: Decision) {
+    fn end(&self, outcome: RequestOutcome, decision: Decision) {
         if self.finished.swap(true, Ordering::Relaxed) {
             return;
         }
         self.record(decision);
         self.workspace_record
-            .ended(ending, MonoTime::now().since(self.arrived));
+            .record_request(outcome, MonoTime::now().since(self.arrived));
     }
 }
 
 impl Drop for RequestContext {
     fn drop(&mut self) {
-        self.end(Ending::CallerLeft, Decision::CallerLeft);
+        self.end(RequestOutcome::CallerLeft, Decision::CallerLeft);
         let units = self.cost().units();
         if let Some(mut guard) = lock(&self.limit_guard).take() {
             guard.charge(units);
