--- a/crates/tc-fleet/src/entry/permit_client.rs
+++ b/crates/tc-fleet/src/entry/permit_client.rs
@@ -136,8 +136,8 @@
                     progress.last_refusal.get_or_insert(TOO_LATE);
                     tokio::time::sleep(REHOME_DELAY.min(left)).await;
                 }
-                Some(Err(verdict)) => Self::note_verdict(&mut progress, &target, verdict),
-                None => self.note_unreachable(&mut progress, &target),
+                Some(Err(verdict)) => Self::record_verdict(&mut progress, &target, verdict),
+                None => self.record_unreachable(&mut progress, &target),
             }
             if progress.failures >= MAX_FAILURES {
                 return Err(final_refusal(&progress));
@@ -226,8 +226,8 @@
             deliver(None);
             return;
         };
-        let message = ToHome::Ask {
-            ask: request_to_wire(request, &upstream, &home_request),
+        let message = ToHome::Request {
+            request: request_to_wire(request, &upstream, &home_request),
             on_answer: deliver,
         };
         self.args.peers.get(member).send(message);
@@ -244,7 +244,7 @@
         }
     }
 
-    fn note_verdict(progress: &mut Progress, target: &Target, verdict: HomeVerdict) {
+    fn record_verdict(progress: &mut Progress, target: &Target, verdict: HomeVerdict) {
         let id = target.state.upstream.id.clone();
         match verdict {
             HomeVerdict::Redirect { better, .. } => {
@@ -268,7 +268,7 @@
         }
     }
 
-    fn note_unreachable(&self, progress: &mut Progress, target: &Target) {
+    fn record_unreachable(&self, progress: &mut Progress, target: &Target) {
         progress.failures += 1;
         progress.unreachable.insert(target.home.clone());
         progress.last_refusal = Some(PermitRefusal {
@@ -301,8 +301,8 @@
         let on_release = move |release: Release| {
             drop(in_use);
             if release.outcome == Outcome::Died {
-                suspects.note_called(fingerprint, called);
-                suspects.note_origin(fingerprint, origin);
+                suspects.record_called(fingerprint, called);
+                suspects.record_origin(fingerprint, origin);
             }
             if let Some(trial) = trial {
                 trial.end(release.outcome);
--- a/crates/tc-fleet/src/fleet.rs
+++ b/crates/tc-fleet/src/fleet.rs
@@ -178,7 +178,7 @@
 
     /// Returns the configuration revisions: active here, lowest of all live instances, and newest known.
     pub async fn revisions(&self) -> (u64, u64, u64) {
-        match crate::server::ask(&self.inner.node, NodeMsg::Revisions).await {
+        match crate::server::call_node(&self.inner.node, NodeMsg::Revisions).await {
             Ok(revisions) => (revisions.active, revisions.lowest, revisions.newest),
             Err(_) => (0, 0, 0),
         }
--- a/crates/tc-fleet/src/loads.rs
+++ b/crates/tc-fleet/src/loads.rs
@@ -42,7 +42,7 @@
             }
             parts
                 .summaries
-                .note_incarnation(id.as_str(), report.incarnation);
+                .record_incarnation(id.as_str(), report.incarnation);
             let upstream = id.clone();
             let leaving = report.leaving;
             if node
--- a/crates/tc-fleet/src/mesh/actor.rs
+++ b/crates/tc-fleet/src/mesh/actor.rs
@@ -181,7 +181,7 @@
             metrics::counter!("tc_gossip_refused_total").increment(1);
             return;
         };
-        self.args.suspects.note_gossiped(now, &datagram.suspects);
+        self.args.suspects.record_gossiped(now, &datagram.suspects);
         self.args.limits.receive(&datagram.limits);
         let outgoing = self.membership.handle(now, &message);
         self.send(outgoing);
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -123,7 +123,7 @@
             }),
         );
         let to_actor = actor.clone();
-        suspects.set_gossip_now(Box::new(move || {
+        suspects.set_announce_to_all(Box::new(move || {
             let _ = to_actor.cast(MeshMsg::AnnounceToAll);
         }));
         let service = Service {
@@ -285,7 +285,7 @@
 
     /// Reports that an upstream's connection broke while it ran a request. The report is sent to the home of the
     /// request's fingerprint in the background.
-    pub fn record_crash(
+    pub fn report_crash(
         &self,
         fingerprint: Fingerprint,
         service: &ServiceName,
@@ -297,12 +297,12 @@
             workspace: workspace.clone(),
             service: service.clone(),
         };
-        suspects.note_origin(fingerprint, origin);
+        suspects.record_origin(fingerprint, origin);
         tokio::spawn(suspects.report_crash(fingerprint, upstream));
     }
 
     /// Reports that a request ran to completion, which clears it of suspicion.
-    pub fn record_success(&self, fingerprint: Fingerprint) {
+    pub fn report_completed(&self, fingerprint: Fingerprint) {
         self.inner.suspects.report_completed(fingerprint);
     }
 
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -129,9 +129,9 @@
             let load = convert::summary_from_wire(summary);
             let summaries = &self.parts.summaries;
             summaries.store(now, &summary.upstream, &load, summary.leaving);
-            summaries.note_incarnation(&summary.upstream, Incarnation(summary.incarnation));
+            summaries.record_incarnation(&summary.upstream, Incarnation(summary.incarnation));
         }
-        self.parts.suspects.note_gossiped(now, &datagram.suspects);
+        self.parts.suspects.record_gossiped(now, &datagram.suspects);
     }
 
     /// Activates a configuration if it is valid and newer than the active one. Returns whether it was activated.
@@ -223,12 +223,12 @@
         log::info!(instance = id.as_str(); "instance is {state:?}");
         match state {
             MemberState::Dead => {
-                self.parts.peers.fail_pending_asks(id);
+                self.parts.peers.fail_pending_requests(id);
                 self.parts.peers.forget(id);
                 self.config_puller.remove_peer(id);
                 let _ = self.parts.homes.cast(HomesMsg::RemoveEntry(id.clone()));
             }
-            MemberState::Suspect => self.parts.peers.fail_pending_asks(id),
+            MemberState::Suspect => self.parts.peers.fail_pending_requests(id),
             MemberState::Alive | MemberState::Leaving => {}
         }
     }
--- a/crates/tc-fleet/src/peers/pool.rs
+++ b/crates/tc-fleet/src/peers/pool.rs
@@ -134,8 +134,8 @@
             .remove(id);
     }
 
-    /// Fails the pending asks at a member that stopped answering probes, but keeps its channel.
-    pub(crate) fn fail_pending_asks(&self, id: &InstanceId) {
+    /// Fails the pending requests at a member that stopped answering probes, but keeps its channel.
+    pub(crate) fn fail_pending_requests(&self, id: &InstanceId) {
         let peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = peers.get(id) {
             peer.send(ToHome::FailPending);
--- a/crates/tc-fleet/src/peers/stream.rs
+++ b/crates/tc-fleet/src/peers/stream.rs
@@ -23,17 +23,17 @@
 const MAX_BATCH_MESSAGES: usize = 64;
 /// Maximum number of batches queued for the connection. Beyond it, the stream's task waits.
 const MAX_QUEUED_BATCHES: usize = 16;
-/// Timeout for opening a stream, during which asks wait.
+/// Timeout for opening a stream, during which requests wait.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Maximum number of abandoned asks that are remembered in order to release a late grant.
+/// Maximum number of abandoned requests that are remembered in order to release a late grant.
 const MAX_ABANDONED: usize = 4_096;
 /// Delay before a broken stream is reopened.
 const REOPEN_DELAY: Duration = Duration::from_millis(50);
-/// Timeout for the first reply to an ask; a home sends a verdict or "queued" at once. The kernel of a paused home still
-/// accepts bytes, so only the missing reply reveals the pause. Without this timeout, an ask would wait for its whole
+/// Timeout for the first reply to a request; a home sends a verdict or "queued" at once. The kernel of a paused home still
+/// accepts bytes, so only the missing reply reveals the pause. Without this timeout, a request would wait for its whole
 /// slack.
 const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
-/// Interval at which pending asks are checked for the timeout.
+/// Interval at which pending requests are checked for the timeout.
 const REPLY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Called with the home's answer, or `None` if the home is unreachable.
@@ -41,8 +41,8 @@
 
 /// Message from an entry to a home.
 pub(crate) enum ToHome {
-    Ask {
-        ask: PermitAsk,
+    Request {
+        request: PermitAsk,
         on_answer: OnAnswer,
     },
     Cancel(u64),
@@ -54,14 +54,14 @@
         upstream: UpstreamId,
         held: HeldPermit,
     },
-    /// Fails all pending asks, because the home stopped answering probes.
+    /// Fails all pending requests, because the home stopped answering probes.
     FailPending,
 }
 
 impl ToHome {
-    /// Fails an ask because its home is unreachable. Other messages are dropped, since nothing waits for them.
+    /// Fails a request because its home is unreachable. Other messages are dropped, since nothing waits for them.
     pub(crate) fn fail(self) {
-        if let Self::Ask { on_answer, .. } = self {
+        if let Self::Request { on_answer, .. } = self {
             on_answer(None);
         }
     }
@@ -77,7 +77,7 @@
 struct Pending {
     upstream: UpstreamId,
     on_answer: OnAnswer,
-    asked_at: MonoTime,
+    sent_at: MonoTime,
     queued: bool,
 }
 
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Releases grants of abandoned asks and cancels asks that timed out. Returns `false` if the stream is broken.
+    /// Releases grants of abandoned requests and cancels requests that timed out. Returns `false` if the stream is broken.
     async fn flush(&mut self, to_wire: &mpsc::Sender<EntryBatch>) -> bool {
         if self.unused.is_empty() && self.cancelled.is_empty() {
             return true;
@@ -213,21 +213,21 @@
 
     fn add_to_batch(&mut self, batch: &mut EntryBatch, message: ToHome) {
         match message {
-            ToHome::Ask { ask, on_answer } => {
-                let asked_at = MonoTime::now();
-                let upstream = ask.upstream.as_str().into();
+            ToHome::Request { request, on_answer } => {
+                let sent_at = MonoTime::now();
+                let upstream = request.upstream.as_str().into();
                 let pending = Pending {
                     upstream,
                     on_answer,
-                    asked_at,
+                    sent_at,
                     queued: false,
                 };
-                self.pending.insert(ask.ask, pending);
-                batch.asks.push(ask);
+                self.pending.insert(request.ask, pending);
+                batch.asks.push(request);
             }
-            ToHome::Cancel(ask) => {
-                self.abandon(ask);
-                batch.cancelled_asks.push(ask);
+            ToHome::Cancel(number) => {
+                self.abandon(number);
+                batch.cancelled_asks.push(number);
             }
             ToHome::Release { upstream, release } => {
                 batch
@@ -247,7 +247,7 @@
             let load = convert::summary_from_wire(summary);
             let summaries = &self.args.summaries;
             summaries.store(now, &summary.upstream, &load, summary.leaving);
-            summaries.note_incarnation(&summary.upstream, Incarnation(summary.incarnation));
+            summaries.record_incarnation(&summary.upstream, Incarnation(summary.incarnation));
         }
         for reply in batch.replies {
             self.handle_reply(reply);
@@ -279,22 +279,22 @@
             .pending
             .iter()
             .filter(|(_, pending)| {
-                !pending.queued && now.since(pending.asked_at) > FIRST_REPLY_TIMEOUT
+                !pending.queued && now.since(pending.sent_at) > FIRST_REPLY_TIMEOUT
             })
-            .map(|(ask, _)| *ask)
+            .map(|(number, _)| *number)
             .collect();
-        for ask in unanswered {
-            if let Some(on_answer) = self.abandon(ask) {
-                self.cancelled.push(ask);
+        for number in unanswered {
+            if let Some(on_answer) = self.abandon(number) {
+                self.cancelled.push(number);
                 on_answer(None);
             }
         }
     }
 
-    fn abandon(&mut self, ask: u64) -> Option<OnAnswer> {
-        let pending = self.pending.remove(&ask)?;
+    fn abandon(&mut self, number: u64) -> Option<OnAnswer> {
+        let pending = self.pending.remove(&number)?;
         if self.abandoned.len() < MAX_ABANDONED {
-            self.abandoned.insert(ask, pending.upstream);
+            self.abandoned.insert(number, pending.upstream);
         }
         Some(pending.on_answer)
     }
--- a/crates/tc-fleet/src/server.rs
+++ b/crates/tc-fleet/src/server.rs
@@ -87,7 +87,7 @@
 
     async fn pull_config(&self, req: Request<ConfigPull>) -> Result<Response<ConfigDelta>, Status> {
         let have_revision = req.into_inner().have_revision;
-        let delta = ask(&self.0.node, |reply| NodeMsg::Delta {
+        let delta = call_node(&self.0.node, |reply| NodeMsg::Delta {
             have_revision,
             reply,
         })
@@ -104,7 +104,7 @@
         let newcomer =
             newcomer.ok_or_else(|| Status::invalid_argument("the introduction has no member"))?;
         let _ = self.0.node.cast(NodeMsg::MergeRecords(vec![newcomer]));
-        let records = ask(&self.0.node, NodeMsg::Records).await?;
+        let records = call_node(&self.0.node, NodeMsg::Records).await?;
         let members = records.iter().map(convert::record_to_wire).collect();
         Ok(Response::new(MemberList {
             members,
@@ -167,28 +167,28 @@
 }
 
 /// Sends a request to the node actor and waits for the reply. Fails only while this instance is stopping.
-pub(crate) async fn ask<T>(
+pub(crate) async fn call_node<T>(
     node: &ActorRef<NodeMsg>,
-    question: impl FnOnce(oneshot::Sender<T>) -> NodeMsg,
+    message: impl FnOnce(oneshot::Sender<T>) -> NodeMsg,
 ) -> Result<T, Status> {
     let (reply, answer) = oneshot::channel();
-    let _ = node.cast(question(reply));
+    let _ = node.cast(message(reply));
     answer
         .await
         .map_err(|_| Status::unavailable("this instance is stopping"))
 }
 
-struct AskReply {
-    ask: u64,
+struct RequestReply {
+    number: u64,
     upstream: UpstreamId,
     answer: Option<HomeAnswer>,
 }
 
-/// Forwards an entry's asks and releases to the homes until its stream ends.
+/// Forwards an entry's requests and releases to the homes until its stream ends.
 async fn read_batches(
     mut batches: Streaming<EntryBatch>,
     homes: ActorRef<HomesMsg>,
-    answers: mpsc::UnboundedSender<AskReply>,
+    answers: mpsc::UnboundedSender<RequestReply>,
 ) {
     while let Ok(Some(batch)) = batches.message().await {
         let entry = InstanceId::from(batch.from.as_str());
@@ -202,30 +202,30 @@
             let held = convert::held_from_wire(&entry, held);
             let _ = homes.cast(HomesMsg::AdoptPermit { upstream, held });
         }
-        for ask in batch.cancelled_asks {
+        for number in batch.cancelled_asks {
             let entry = entry.clone();
             let _ = homes.cast(HomesMsg::Cancel {
                 upstream: None,
                 entry,
-                number: ask,
+                number,
             });
         }
-        for ask in &batch.asks {
-            forward_ask(&homes, &entry, ask, &answers);
+        for request in &batch.asks {
+            forward_request(&homes, &entry, request, &answers);
         }
     }
 }
 
-fn forward_ask(
+fn forward_request(
     homes: &ActorRef<HomesMsg>,
     entry: &InstanceId,
-    ask: &PermitAsk,
-    answers: &mpsc::UnboundedSender<AskReply>,
+    request: &PermitAsk,
+    answers: &mpsc::UnboundedSender<RequestReply>,
 ) {
-    let upstream = UpstreamId::from(ask.upstream.as_str());
-    let number = ask.ask;
-    let waiting = AskReply {
-        ask: number,
+    let upstream = UpstreamId::from(request.upstream.as_str());
+    let number = request.ask;
+    let waiting = RequestReply {
+        number,
         upstream: upstream.clone(),
         answer: None,
     };
@@ -234,10 +234,10 @@
         let _ = to_entry.send(waiting);
     });
     let reply = reply_to(homes.clone(), upstream.clone(), number, answers.clone());
-    let ask = home_ask_from_wire(entry, ask);
+    let request = home_request_from_wire(entry, request);
     let _ = homes.cast(HomesMsg::RequestPermit {
         upstream,
-        request: ask,
+        request,
         on_queued,
         reply,
     });
@@ -247,16 +247,16 @@
 fn reply_to(
     homes: ActorRef<HomesMsg>,
     upstream: UpstreamId,
-    ask: u64,
-    answers: mpsc::UnboundedSender<AskReply>,
+    number: u64,
+    answers: mpsc::UnboundedSender<RequestReply>,
 ) -> ReplyTo {
     Box::new(move |answer| {
-        let ask_reply = AskReply {
-            ask,
+        let request_reply = RequestReply {
+            number,
             upstream,
             answer: Some(answer),
         };
-        let Err(mpsc::error::SendError(lost)) = answers.send(ask_reply) else {
+        let Err(mpsc::error::SendError(lost)) = answers.send(request_reply) else {
             return;
         };
         if let Some(HomeVerdict::Granted { permit, .. }) = lost.answer.map(|a| a.verdict) {
@@ -271,7 +271,7 @@
 
 /// Collects the replies that are ready into batches. Under load one write carries many of them, and none is delayed.
 fn batch_replies(
-    mut answers: mpsc::UnboundedReceiver<AskReply>,
+    mut answers: mpsc::UnboundedReceiver<RequestReply>,
     table: Arc<SummaryTable>,
 ) -> mpsc::Receiver<HomeBatch> {
     let (to_wire, batches) = mpsc::channel(MAX_QUEUED_BATCHES);
@@ -289,19 +289,22 @@
     batches
 }
 
-fn build_batch(answers: impl Iterator<Item = AskReply>, table: &SummaryTable) -> HomeBatch {
+fn build_batch(answers: impl Iterator<Item = RequestReply>, table: &SummaryTable) -> HomeBatch {
     let mut batch = HomeBatch::default();
     let mut summaries = HashMap::new();
-    for ask_reply in answers {
-        let verdict = match &ask_reply.answer {
+    for request_reply in answers {
+        let verdict = match &request_reply.answer {
             Some(answer) => {
-                summaries.insert(ask_reply.upstream.clone(), (answer.summary, answer.leaving));
+                summaries.insert(
+                    request_reply.upstream.clone(),
+                    (answer.summary, answer.leaving),
+                );
                 verdict_to_wire(&answer.verdict)
             }
             None => Verdict::Queued(QueuedAsk {}),
         };
         batch.replies.push(PermitReply {
-            ask: ask_reply.ask,
+            ask: request_reply.number,
             verdict: Some(verdict),
         });
     }
@@ -331,19 +334,19 @@
     });
 }
 
-fn home_ask_from_wire(entry: &InstanceId, ask: &PermitAsk) -> HomeRequest {
+fn home_request_from_wire(entry: &InstanceId, request: &PermitAsk) -> HomeRequest {
     HomeRequest {
         entry: entry.clone(),
-        number: ask.ask,
-        workspace: ask.workspace.as_str().into(),
-        weight: ask.weight,
-        priority: ask.priority.min(7) as u8,
-        slack: convert::from_millis(ask.slack_ms),
-        run_for: convert::from_millis(ask.run_for_ms),
-        estimate: convert::cost_from_wire(ask.estimate.as_ref()),
-        fingerprint: tc_protocol::Fingerprint(ask.fingerprint),
-        may_redirect: !ask.no_redirect,
-        suspect: ask.suspect,
+        number: request.ask,
+        workspace: request.workspace.as_str().into(),
+        weight: request.weight,
+        priority: request.priority.min(7) as u8,
+        slack: convert::from_millis(request.slack_ms),
+        run_for: convert::from_millis(request.run_for_ms),
+        estimate: convert::cost_from_wire(request.estimate.as_ref()),
+        fingerprint: tc_protocol::Fingerprint(request.fingerprint),
+        may_redirect: !request.no_redirect,
+        suspect: request.suspect,
     }
 }
 
--- a/crates/tc-fleet/src/start.rs
+++ b/crates/tc-fleet/src/start.rs
@@ -131,7 +131,7 @@
     tokio::spawn(crate::quarantine::sync(parts.clone()));
     tokio::spawn(introduce(settings.clone(), parts.clone(), node.clone()));
     let node = node.clone();
-    parts.suspects.set_gossip_now(Box::new(move || {
+    parts.suspects.set_announce_to_all(Box::new(move || {
         let _ = node.cast(NodeMsg::AnnounceToAll);
     }));
 }
--- a/crates/tc-fleet/src/summary.rs
+++ b/crates/tc-fleet/src/summary.rs
@@ -27,7 +27,7 @@
     leaving: AtomicBool,
     incarnation: AtomicU64,
     updated_at: AtomicU64,
-    /// Number of this instance's permits and asks in progress.
+    /// Number of this instance's permits and permit requests in progress.
     pub(crate) own_in_flight: AtomicU32,
 }
 
@@ -94,7 +94,7 @@
     }
 
     /// Records the incarnation of an upstream's process. 0 means unknown and is ignored.
-    pub(crate) fn note_incarnation(&self, id: &str, incarnation: Incarnation) {
+    pub(crate) fn record_incarnation(&self, id: &str, incarnation: Incarnation) {
         if incarnation != Incarnation(0)
             && let Some(cell) = self.cells.load().get(id)
         {
--- a/crates/tc-fleet/src/suspects/table.rs
+++ b/crates/tc-fleet/src/suspects/table.rs
@@ -37,7 +37,7 @@
 pub(crate) const SUSPECTS_PER_DATAGRAM: usize = 8;
 
 /// Sends the suspects to every live instance immediately.
-pub(crate) type GossipNow = Box<dyn Fn() + Send + Sync>;
+pub(crate) type AnnounceToAll = Box<dyn Fn() + Send + Sync>;
 
 /// Result of sending a report to the home of the suspects.
 pub(crate) enum ReportResult {
@@ -66,7 +66,7 @@
     home: SuspectHome,
     /// Checks whether a broken connection means a crash; `None` means that it always does.
     crash_check: Option<CrashCheck>,
-    gossip_now: Mutex<Option<GossipNow>>,
+    announce_to_all: Mutex<Option<AnnounceToAll>>,
 }
 
 impl SuspectTable {
@@ -84,12 +84,12 @@
             home: SuspectHome::new(policy),
             crash_check,
             called: Mutex::default(),
-            gossip_now: Mutex::default(),
+            announce_to_all: Mutex::default(),
         }
     }
 
-    pub(crate) fn set_gossip_now(&self, gossip_now: GossipNow) {
-        *lock(&self.gossip_now) = Some(gossip_now);
+    pub(crate) fn set_announce_to_all(&self, announce_to_all: AnnounceToAll) {
+        *lock(&self.announce_to_all) = Some(announce_to_all);
     }
 
     /// Applies the configured number of crashes after which an input is quarantined.
@@ -109,7 +109,7 @@
             return Ok(None);
         }
         let service = origin.service.clone();
-        self.note_origin(fingerprint, origin);
+        self.record_origin(fingerprint, origin);
         let report = SuspectReport {
             trial: fingerprint.0,
             ..self.empty_report(&service)
@@ -140,7 +140,7 @@
     }
 
     /// Stores the origin of an input for [`Self::report_crash`] and [`Self::report_completed`].
-    pub(crate) fn note_origin(&self, fingerprint: Fingerprint, origin: Origin) {
+    pub(crate) fn record_origin(&self, fingerprint: Fingerprint, origin: Origin) {
         let mut origins = lock(&self.origins);
         if origins.len() >= MAX_ORIGINS {
             origins.clear();
@@ -149,7 +149,7 @@
     }
 
     /// Stores the upstream whose connection broke during a call, for a later [`Self::report_crash`].
-    pub(crate) fn note_called(&self, fingerprint: Fingerprint, called: CalledUpstream) {
+    pub(crate) fn record_called(&self, fingerprint: Fingerprint, called: CalledUpstream) {
         let mut calls = lock(&self.called);
         if calls.len() >= MAX_ORIGINS {
             calls.clear();
@@ -225,15 +225,15 @@
             for suspect in suspects {
                 self.reported.insert(now, suspect);
             }
-            if let Some(gossip_now) = lock(&self.gossip_now).as_ref() {
-                gossip_now();
+            if let Some(announce_to_all) = lock(&self.announce_to_all).as_ref() {
+                announce_to_all();
             }
         }
         answer
     }
 
     /// Records suspects from a datagram.
-    pub(crate) fn note_gossiped(&self, now: MonoTime, fingerprints: &[u64]) {
+    pub(crate) fn record_gossiped(&self, now: MonoTime, fingerprints: &[u64]) {
         for fingerprint in fingerprints {
             self.reported.insert(now, Fingerprint(*fingerprint));
         }
--- a/crates/tc-gateway/src/backoffs.rs
+++ b/crates/tc-gateway/src/backoffs.rs
@@ -51,7 +51,7 @@
     }
 
     /// Removes expired backoffs.
-    pub(crate) fn expire(&self) {
+    pub(crate) fn remove_expired(&self) {
         self.lock().remove_expired(MonoTime::now());
     }
 
--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -26,13 +26,13 @@
     let homes_for_outlooks = Arc::clone(homes);
     let world = Arc::clone(world);
     Arc::new(MeshHandlers {
-        make_pieces: Box::new(move |ask| {
+        make_pieces: Box::new(move |request| {
             let homes = Arc::clone(&homes_for_pieces);
-            async move { homes.make_pieces(ask).await }.boxed()
+            async move { homes.make_pieces(request).await }.boxed()
         }),
         outlook: Box::new(move |service| homes_for_outlooks.outlook(service)),
         free_results: Box::new(move |results| homes_for_freeing.free_results(&results)),
-        choose_engine: Box::new(move |ask| engines_for_choice.choose(ask)),
+        choose_engine: Box::new(move |request| engines_for_choice.choose(request)),
         tell_runs: Box::new(move |service, news| engines_for_news.record(service, news)),
         follow_world: Box::new(move |have| relay_world(&world, have, heartbeat_interval)),
     })
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -176,9 +176,9 @@
 
     /// Sends requests whose work has not started on to the new home of the service.
     pub(super) fn hand_over(&self) {
-        let asks = self.step(BatchPlanner::hand_over);
-        if asks > 0 {
-            log::info!(service = self.service.as_str(), asks = asks; "home of a batch service moved to another instance; pending requests handed over");
+        let requests = self.step(BatchPlanner::hand_over);
+        if requests > 0 {
+            log::info!(service = self.service.as_str(), asks = requests; "home of a batch service moved to another instance; pending requests handed over");
         }
     }
 
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -304,7 +304,7 @@
 fn report_crash(cx: &RunContext, req: &RoutedRequest, upstream: &UpstreamId) {
     let (input, workspace) = (req.fingerprint(), req.workspace_name());
     cx.mesh
-        .record_crash(input, &req.service, &workspace, upstream.clone());
+        .report_crash(input, &req.service, &workspace, upstream.clone());
 }
 
 fn request_to(
--- a/crates/tc-gateway/src/run/buffered.rs
+++ b/crates/tc-gateway/src/run/buffered.rs
@@ -122,7 +122,7 @@
             cx.upstream_stats
                 .record(&upstream.id, CallOutcome::Answered(first_byte));
             req.record_answer(&upstream.id, reply.head.status, attempts.sent);
-            cx.mesh.record_success(req.fingerprint());
+            cx.mesh.report_completed(req.fingerprint());
             Ok(answer(cx, &reply.head, body))
         }
         Err(error) => {
--- a/crates/tc-gateway/src/run/stream.rs
+++ b/crates/tc-gateway/src/run/stream.rs
@@ -282,7 +282,7 @@
             None if self.open.events.has_partial_event() => Err(StreamFault::from_end(None)),
             None => {
                 self.ended = true;
-                self.cx.mesh.record_success(self.req.fingerprint());
+                self.cx.mesh.report_completed(self.req.fingerprint());
                 Ok(())
             }
         }
--- a/crates/tc-gateway/src/serve/info.rs
+++ b/crates/tc-gateway/src/serve/info.rs
@@ -70,10 +70,10 @@
     members: &[Member],
     max_age: Duration,
 ) -> Response<AnswerBody> {
-    let Some(question) = (codec.parse_directory_query)(uri) else {
+    let Some(query) = (codec.parse_directory_query)(uri) else {
         return text_response(StatusCode::NOT_FOUND, Bytes::new());
     };
-    let addresses = addresses_for(members, &question);
+    let addresses = addresses_for(members, &query);
     if addresses.is_empty() {
         return text_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
@@ -89,13 +89,13 @@
 
 /// Returns the caller addresses of instances that accept new connections, with those in the
 /// caller's region first.
-fn addresses_for(members: &[Member], question: &DirectoryQuery) -> Vec<SocketAddr> {
+fn addresses_for(members: &[Member], query: &DirectoryQuery) -> Vec<SocketAddr> {
     let mut usable: Vec<&Member> = members
         .iter()
         .filter(|member| member.state == MemberState::Alive)
         .collect();
     usable.sort_by_key(|member| {
-        let same_region = question.region.as_ref().is_none_or(|r| *r == member.region);
+        let same_region = query.region.as_ref().is_none_or(|r| *r == member.region);
         (!same_region, member.id.clone())
     });
     usable
--- a/crates/tc-gateway/src/world/kind_watch.rs
+++ b/crates/tc-gateway/src/world/kind_watch.rs
@@ -216,7 +216,7 @@
             .iter()
             .map(|object| Arc::clone(&object.name))
             .collect();
-        self.note_unreadable(&page.unreadable);
+        self.report_unreadable(&page.unreadable);
         KindUpdate::List(page, store_read)
     }
 
@@ -229,8 +229,8 @@
         match watched {
             WatchOutcome::Answered(Watched::Changes(page), store_read) => {
                 self.from = Some(page.at);
-                self.note_unreadable(&page.unreadable);
-                self.note_names(&page.events);
+                self.report_unreadable(&page.unreadable);
+                self.record_names(&page.events);
                 Ok(Some(KindUpdate::Changes(page, store_read)))
             }
             WatchOutcome::Answered(Watched::HistoryGone, _) => Ok(None),
@@ -238,7 +238,7 @@
         }
     }
 
-    fn note_names(&mut self, events: &[ObjectEvent]) {
+    fn record_names(&mut self, events: &[ObjectEvent]) {
         for event in events {
             match event {
                 ObjectEvent::Put(object) => self.names.insert(Arc::clone(&object.name)),
@@ -249,7 +249,7 @@
 
     /// Reports objects that another writer has stored in an unreadable form. The others remain
     /// valid.
-    fn note_unreadable(&self, problems: &[String]) {
+    fn report_unreadable(&self, problems: &[String]) {
         let Some(first) = problems.first() else {
             return;
         };
--- a/crates/tc-operator/src/gateway.rs
+++ b/crates/tc-operator/src/gateway.rs
@@ -41,7 +41,7 @@
         .map_err(internal)?;
     let ended = control.block_on(tc_gateway::run(
         settings,
-        tc_platform_adapter::edges(),
+        tc_platform_adapter::platform_codec(),
         traffic.handle().clone(),
         Arc::new(move || metrics.render()),
         || check_settings(start),
