--- a/crates/tc-gateway/src/cold.rs
+++ b/crates/tc-gateway/src/cold.rs
@@ -80,8 +80,8 @@
     }
 
     /// Drops upstreams that are no longer registered.
-    pub(crate) fn retain(&self, keep: impl Fn(&UpstreamId) -> bool) {
-        self.lock().retain(|id, _| keep(id));
+    pub(crate) fn retain(&self, is_registered: impl Fn(&UpstreamId) -> bool) {
+        self.lock().retain(|id, _| is_registered(id));
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<UpstreamId, RecentSends>> {
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -42,7 +42,7 @@
 
 impl BatchHome {
     pub(super) fn start(cx: Arc<HomeContext>, service: ServiceName, spec: BatchSpec) -> Arc<Self> {
-        let retry_budget = RetryBudget::new(cx.budgets.home_share());
+        let retry_budget = RetryBudget::new(cx.retry_budgets.home_share());
         let home = Arc::new(Self {
             cx,
             service,
--- a/crates/tc-gateway/src/homes/mod.rs
+++ b/crates/tc-gateway/src/homes/mod.rs
@@ -20,7 +20,7 @@
 use tc_upstream::UpstreamClient;
 
 use crate::{
-    backoffs::UpstreamBackoffs, budgets::RetryBudgets, codec::PlatformCodec,
+    backoffs::UpstreamBackoffs, codec::PlatformCodec, retry_budgets::RetryBudgets,
     unknown_headers::UnknownHeaders, world::WorldCell,
 };
 
@@ -37,7 +37,7 @@
     pub(crate) codec: PlatformCodec,
     pub(crate) client: UpstreamClient,
     pub(crate) world: Arc<WorldCell>,
-    pub(crate) budgets: Arc<RetryBudgets>,
+    pub(crate) retry_budgets: Arc<RetryBudgets>,
     pub(crate) releaser: ResultReleaser,
     pub(crate) limits: Arc<UpstreamLimits>,
     pub(crate) backoffs: Arc<UpstreamBackoffs>,
--- a/crates/tc-gateway/src/lib.rs
+++ b/crates/tc-gateway/src/lib.rs
@@ -6,7 +6,6 @@
 //! crate that handles external interfaces.
 
 mod backoffs;
-mod budgets;
 mod call;
 mod codec;
 mod cold;
@@ -18,6 +17,7 @@
 mod join;
 mod limits;
 mod listeners;
+mod retry_budgets;
 mod routing;
 mod run;
 mod serve;
--- a/crates/tc-gateway/src/run/attempt.rs
+++ b/crates/tc-gateway/src/run/attempt.rs
@@ -19,7 +19,7 @@
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
 /// Number of times that upstreams may refuse a request before the gateway gives up. A refused request has not run, so
-/// it does not count towards the attempts that its route allows. Each repeat still uses retry budget that other
+/// it does not count towards the attempts that its route allows. Each retry still uses retry budget that other
 /// requests may need, and when one upstream is full its peers are likely to be full soon.
 const MAX_REFUSED_SENDS: u32 = 3;
 
@@ -119,7 +119,7 @@
         if !allowed || is_used_up || req.time_left() < MIN_TIME_LEFT {
             return false;
         }
-        !self.reached_upstream || cx.budgets.try_spend(&req.service, cx.instances())
+        !self.reached_upstream || cx.retry_budgets.try_spend(&req.service, cx.instances())
     }
 
     /// Returns the refusal for the caller when no further attempt is made.
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -27,7 +27,6 @@
 
 use crate::{
     backoffs::UpstreamBackoffs,
-    budgets::RetryBudgets,
     call::RequestHead,
     codec::PlatformCodec,
     cold::ColdSends,
@@ -35,6 +34,7 @@
     freeze::{SuspendedTime, TimeAllowed},
     homes::{BatchHomes, ResultReleaser},
     limits::LimitedSends,
+    retry_budgets::RetryBudgets,
     unknown_headers::UnknownHeaders,
     upstream_stats::UpstreamStats,
     world::WorldCell,
@@ -78,7 +78,7 @@
     pub(crate) limits: Arc<LimitedSends>,
     pub(crate) backoffs: Arc<UpstreamBackoffs>,
     pub(crate) unknown_headers: Arc<UnknownHeaders>,
-    pub(crate) budgets: Arc<RetryBudgets>,
+    pub(crate) retry_budgets: Arc<RetryBudgets>,
     pub(crate) outlooks: SharedOutlooks,
     pub(crate) prompt_times: SharedPromptTimes,
     pub(crate) client: UpstreamClient,
@@ -188,7 +188,8 @@
 
 /// Runs a request until its answer is complete or, for a stream, until its first event.
 pub(crate) async fn run(cx: Arc<RunContext>, mut req: RoutedRequest) -> Response<AnswerBody> {
-    cx.budgets.record_request(&req.service, cx.instances());
+    cx.retry_budgets
+        .record_request(&req.service, cx.instances());
     if let Err(refusal) = acquire_suspect_run(&cx, &mut req).await {
         refusal.log(&req);
         return refusal_answer(&cx.codec, &req.head.request, &refusal);
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -15,7 +15,6 @@
 
 use crate::{
     backoffs::UpstreamBackoffs,
-    budgets::RetryBudgets,
     codec::PlatformCodec,
     cold::ColdSends,
     engines::{EngineHomes, RunReportSender},
@@ -25,6 +24,7 @@
     join::{Discovery, Settled, sync_members},
     limits::LimitedSends,
     listeners::{Listeners, into_runtime},
+    retry_budgets::RetryBudgets,
     run::{AnswerBody, RunContext, SharedOutlooks, SharedPromptTimes},
     serve::{CallerService, ConnectionLimits, Connections, InfoService, MetricsRenderer, accept},
     settings::GatewaySettings,
@@ -198,7 +198,7 @@
         max_response_bytes: MAX_RESPONSE_BYTES,
         ..ClientSettings::default()
     });
-    let budgets = Arc::new(RetryBudgets::new(settings.retry_budget));
+    let retry_budgets = Arc::new(RetryBudgets::new(settings.retry_budget));
     let (releaser, release_queue) = ResultReleaser::new();
     let limits = Arc::<UpstreamLimits>::default();
     let unknown_headers = Arc::<UnknownHeaders>::default();
@@ -207,7 +207,7 @@
         codec,
         client: client.clone(),
         world: Arc::clone(&world),
-        budgets: Arc::clone(&budgets),
+        retry_budgets: Arc::clone(&retry_budgets),
         releaser: releaser.clone(),
         limits: Arc::clone(&limits),
         backoffs: Arc::clone(&backoffs),
@@ -249,7 +249,7 @@
         limits,
         backoffs,
         unknown_headers,
-        budgets,
+        retry_budgets,
         outlooks: SharedOutlooks::default(),
         prompt_times: SharedPromptTimes::default(),
         client,
--- a/crates/tc-gateway/src/upstream_stats.rs
+++ b/crates/tc-gateway/src/upstream_stats.rs
@@ -173,9 +173,9 @@
     }
 
     /// Drops upstreams that are no longer registered.
-    pub(crate) fn retain(&self, keep: impl Fn(&UpstreamId) -> bool) {
+    pub(crate) fn retain(&self, is_registered: impl Fn(&UpstreamId) -> bool) {
         self.lock()
-            .retain(|id, stats| stats.in_flight > 0 || keep(id));
+            .retain(|id, stats| stats.in_flight > 0 || is_registered(id));
     }
 }
 
