--- a/crates/tc-gateway/src/homes/calls.rs
+++ b/crates/tc-gateway/src/homes/calls.rs
@@ -76,41 +76,41 @@
 ///
 /// Upstreams in an evacuated failure domain are not told: no new piece may use the capacity that would be freed
 /// there.
-pub(super) fn free_at_makers(cx: &Arc<HomeContext>, handles: &[ResultHandle]) {
+pub(super) fn free_at_upstreams(cx: &Arc<HomeContext>, handles: &[ResultHandle]) {
     let world = cx.world.load();
     let is_evacuated = |handle: &ResultHandle| {
-        let maker = world.upstreams.upstream_of_result(handle);
-        maker.is_some_and(|maker| maker.evacuated)
+        let upstream = world.upstreams.upstream_of_result(handle);
+        upstream.is_some_and(|upstream| upstream.evacuated)
     };
-    let mut by_maker: HashMap<SocketAddr, Vec<ResultHandle>> = HashMap::new();
+    let mut by_upstream: HashMap<SocketAddr, Vec<ResultHandle>> = HashMap::new();
     for handle in handles.iter().filter(|handle| !is_evacuated(handle)) {
         match handle
             .upstream_address()
-            .and_then(|maker| maker.parse().ok())
+            .and_then(|address| address.parse().ok())
         {
-            Some(maker) => by_maker.entry(maker).or_default().push(handle.clone()),
+            Some(address) => by_upstream.entry(address).or_default().push(handle.clone()),
             None => log::warn!(result = &*handle.0; "result names no upstream; cannot be freed"),
         }
     }
-    for (maker, handles) in by_maker {
-        tokio::spawn(free_at_maker(Arc::clone(cx), maker, handles));
+    for (address, handles) in by_upstream {
+        tokio::spawn(free_at_upstream(Arc::clone(cx), address, handles));
     }
 }
 
-async fn free_at_maker(cx: Arc<HomeContext>, maker: SocketAddr, handles: Vec<ResultHandle>) {
+async fn free_at_upstream(cx: Arc<HomeContext>, address: SocketAddr, handles: Vec<ResultHandle>) {
     let remaining_backoff = || {
         let world = cx.world.load();
-        let maker = handles
+        let upstream = handles
             .first()
             .and_then(|handle| world.upstreams.upstream_of_result(handle));
-        maker.and_then(|maker| cx.backoffs.remaining(&maker.id))
+        upstream.and_then(|upstream| cx.backoffs.remaining(&upstream.id))
     };
     while let Some(remaining) = remaining_backoff() {
         sleep(remaining).await;
     }
     let raw = RawCall {
-        upstream: maker.to_string().into(),
-        address: maker,
+        upstream: address.to_string().into(),
+        address,
         request: (cx.codec.free_call)(&handles),
         remaining: FREE_TIMEOUT,
         reuse: true,
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -154,7 +154,7 @@
             }
             effects
         };
-        calls::free_at_makers(&self.cx, &effects.discarded_results);
+        calls::free_at_upstreams(&self.cx, &effects.discarded_results);
         self.release_inputs(&effects.released_inputs);
         effects.finished.len()
     }
@@ -166,11 +166,11 @@
         }
         let world = self.cx.world.load();
         for input in inputs {
-            let Some(maker) = world.upstreams.upstream_of_result(input) else {
+            let Some(upstream) = world.upstreams.upstream_of_result(input) else {
                 log::debug!(result = &*input.0; "the upstream that held a result is gone, and the result with it");
                 continue;
             };
-            self.cx.releaser.release(&maker.service, [input.clone()]);
+            self.cx.releaser.release(&upstream.service, [input.clone()]);
         }
     }
 
@@ -192,7 +192,7 @@
             }
             discarded
         };
-        calls::free_at_makers(&self.cx, &discarded);
+        calls::free_at_upstreams(&self.cx, &discarded);
     }
 
     fn update_from_world(&self) {
--- a/crates/tc-gateway/src/homes/mod.rs
+++ b/crates/tc-gateway/src/homes/mod.rs
@@ -101,7 +101,7 @@
         for home in homes {
             home.results_freed(handles);
         }
-        calls::free_at_makers(&self.cx, handles);
+        calls::free_at_upstreams(&self.cx, handles);
     }
 
     /// Hands over every service whose home is now another instance.
--- a/crates/tc-gateway/src/lib.rs
+++ b/crates/tc-gateway/src/lib.rs
@@ -11,6 +11,7 @@
 mod cold;
 mod engines;
 mod events;
+// Named `freeze` because a module path is the `target` of its log lines, which log filters match.
 mod freeze;
 mod handlers;
 mod homes;
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -262,13 +262,13 @@
     main_domain(cx, &held.by_stage[largest])
 }
 
-/// Returns the time until a stage must end so that what follows it, which takes `following`, can still meet the
+/// Returns the time until a stage must end so that the rest, which takes `time_after`, can still meet the
 /// latency target.
-fn until_latency_target(cx: &RunContext, req: &RoutedRequest, following: Duration) -> Duration {
+fn until_latency_target(cx: &RunContext, req: &RoutedRequest, time_after: Duration) -> Duration {
     req.route
         .latency_target
         .saturating_sub(req.arrived.elapsed())
-        .saturating_sub(following + cx.prompt_times.estimate(req))
+        .saturating_sub(time_after + cx.prompt_times.estimate(req))
 }
 
 /// Returns the bytes per failure domain of the results that the request itself reads.
@@ -280,11 +280,11 @@
     let world = cx.world.load();
     let mut bytes: HashMap<FailureDomain, u64> = HashMap::new();
     for (stage, (_, results)) in req.route.stages.iter().zip(&held.by_stage) {
-        for maker in results
+        for upstream in results
             .iter()
             .filter_map(|r| world.upstreams.upstream_of_result(r))
         {
-            *bytes.entry(maker.failure_domain.clone()).or_default() += stage.result_bytes;
+            *bytes.entry(upstream.failure_domain.clone()).or_default() += stage.result_bytes;
         }
     }
     bytes.into_iter().collect()
@@ -297,12 +297,12 @@
 ) -> Option<FailureDomain> {
     let world = cx.world.load();
     let mut counts: HashMap<&FailureDomain, usize> = HashMap::new();
-    for maker in results
+    for upstream in results
         .iter()
         .filter_map(|r| world.upstreams.upstream_of_result(r))
     {
-        *counts.entry(&maker.failure_domain).or_default() += 1;
+        *counts.entry(&upstream.failure_domain).or_default() += 1;
     }
-    let most = counts.into_iter().max_by_key(|(_, count)| *count);
-    most.map(|(domain, _)| domain.clone())
+    let largest = counts.into_iter().max_by_key(|(_, count)| *count);
+    largest.map(|(domain, _)| domain.clone())
 }
