--- a/crates/tc-fleet/src/mesh/actor.rs
+++ b/crates/tc-fleet/src/mesh/actor.rs
@@ -20,7 +20,7 @@
 
 use super::{limits::UpstreamLimits, peers::Peers};
 use crate::{
-    convert, generated::Datagram, gossip::GossipSocket, suspects::SUSPECTS_PER_DATAGRAM,
+    convert, generated::Datagram, gossip::GossipSocket, suspects::MAX_SUSPECTS_PER_DATAGRAM,
     suspects::SuspectTable,
 };
 
@@ -147,7 +147,7 @@
                 let _ = reply.send(self.membership.member_hashes());
             }
             MeshMsg::CallFailed(id) => {
-                self.args.peers.forget(&id);
+                self.args.peers.remove(&id);
                 self.membership.report_failed_call(now, &id);
                 self.tick(now);
             }
@@ -198,7 +198,7 @@
             datagram.suspects = self
                 .args
                 .suspects
-                .to_gossip(MonoTime::now(), SUSPECTS_PER_DATAGRAM);
+                .to_gossip(MonoTime::now(), MAX_SUSPECTS_PER_DATAGRAM);
             if datagram.encoded_len() <= MAX_BYTES_BEFORE_LIMITS {
                 datagram.limits = self.args.limits.to_gossip();
             }
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -372,7 +372,7 @@
             .add_service(service)
             .serve_with_incoming(incoming);
         if let Err(error) = served.await {
-            log::error!("fleet server stopped: {error}");
+            log::error!("fleet server failed: {error}");
         }
     });
 }
--- a/crates/tc-fleet/src/mesh/peers.rs
+++ b/crates/tc-fleet/src/mesh/peers.rs
@@ -61,7 +61,7 @@
     /// Drops the client for a member that does not answer. The next call uses a new connection.
     ///
     /// An established connection may stay unresponsive although a new one would work.
-    pub(super) fn forget(&self, id: &InstanceId) {
+    pub(super) fn remove(&self, id: &InstanceId) {
         self.known
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/tc-fleet/src/mesh/suspects.rs
+++ b/crates/tc-fleet/src/mesh/suspects.rs
@@ -32,10 +32,19 @@
         crashes_to_trial: CRASHES_TO_TRIAL,
         quarantine_duration: Some(QUARANTINE_DURATION),
     };
-    SuspectTable::new(me.clone(), policy, tell_home(me, published, peers), None)
+    SuspectTable::new(
+        me.clone(),
+        policy,
+        send_report_to_home(me, published, peers),
+        None,
+    )
 }
 
-fn tell_home(me: &InstanceId, published: &Arc<Published>, peers: &Arc<Peers>) -> SendReport {
+fn send_report_to_home(
+    me: &InstanceId,
+    published: &Arc<Published>,
+    peers: &Arc<Peers>,
+) -> SendReport {
     let (me, published, peers) = (me.clone(), Arc::clone(published), Arc::clone(peers));
     Box::new(move |key, report| {
         let members = published.members.load_full();
--- a/crates/tc-fleet/src/node/actor.rs
+++ b/crates/tc-fleet/src/node/actor.rs
@@ -261,7 +261,7 @@
         let paused = self.pause_detector.heartbeat(now);
         if let Some(gap) = paused {
             // State from before the pause may be outdated: others may have declared this instance dead.
-            log::warn!(gap_ms = gap.as_millis() as u64; "process was paused");
+            log::warn!(gap_ms = gap.as_millis() as u64; "this process was paused");
             metrics::counter!("tc_pauses_total").increment(1);
             self.membership.resumed(now);
             self.tick(now, None);
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -27,7 +27,7 @@
     limits::WorkspaceLimiter,
     peers::{PeerPool, ToHome},
     summary::SummaryTable,
-    suspects::{SUSPECTS_PER_DATAGRAM, SuspectTable},
+    suspects::{MAX_SUSPECTS_PER_DATAGRAM, SuspectTable},
 };
 
 /// Maximum number of summaries added to a datagram, for upstreams that have their home here.
@@ -120,7 +120,10 @@
                 datagram.summaries.push(summary);
             }
         }
-        datagram.suspects = self.parts.suspects.to_gossip(now, SUSPECTS_PER_DATAGRAM);
+        datagram.suspects = self
+            .parts
+            .suspects
+            .to_gossip(now, MAX_SUSPECTS_PER_DATAGRAM);
     }
 
     /// Applies the summaries and suspects piggybacked on a datagram.
@@ -220,11 +223,11 @@
     }
 
     fn handle_state_change(&mut self, id: &InstanceId, state: MemberState) {
-        log::info!(instance = id.as_str(); "instance is {state:?}");
+        log::info!(instance = id.as_str(), state = format!("{state:?}").as_str(); "instance state changed");
         match state {
             MemberState::Dead => {
                 self.parts.peers.fail_pending_requests(id);
-                self.parts.peers.forget(id);
+                self.parts.peers.remove(id);
                 self.config_puller.remove_peer(id);
                 let _ = self.parts.homes.cast(HomesMsg::RemoveEntry(id.clone()));
             }
--- a/crates/tc-fleet/src/peers/pool.rs
+++ b/crates/tc-fleet/src/peers/pool.rs
@@ -127,7 +127,7 @@
     }
 
     /// Drops the peer of a dead member, which ends its permit stream. Pending asks fail at once.
-    pub(crate) fn forget(&self, id: &InstanceId) {
+    pub(crate) fn remove(&self, id: &InstanceId) {
         self.peers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/tc-fleet/src/suspects/mod.rs
+++ b/crates/tc-fleet/src/suspects/mod.rs
@@ -9,5 +9,5 @@
 
 pub(crate) use crash_check::{CalledUpstream, CrashCheck};
 pub(crate) use home::Origin;
-pub(crate) use table::{ReportResult, SUSPECTS_PER_DATAGRAM, SendReport, SuspectTable};
+pub(crate) use table::{MAX_SUSPECTS_PER_DATAGRAM, ReportResult, SendReport, SuspectTable};
 pub(crate) use trial::TrialGuard;
--- a/crates/tc-fleet/src/suspects/table.rs
+++ b/crates/tc-fleet/src/suspects/table.rs
@@ -34,7 +34,7 @@
 const MAX_ORIGINS: usize = 4_096;
 
 /// Maximum number of suspect fingerprints per datagram.
-pub(crate) const SUSPECTS_PER_DATAGRAM: usize = 8;
+pub(crate) const MAX_SUSPECTS_PER_DATAGRAM: usize = 8;
 
 /// Sends the suspects to every live instance immediately.
 pub(crate) type AnnounceToAll = Box<dyn Fn() + Send + Sync>;
--- a/crates/tc-gateway/src/serve/accept.rs
+++ b/crates/tc-gateway/src/serve/accept.rs
@@ -23,12 +23,12 @@
 /// Delay after a failed accept, for instance when no file descriptor was free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Idle time before the kernel probes a caller's connection, and the interval between probes.
-const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Number of unanswered probes after which the connection is closed.
-const KEEPALIVE_RETRIES: u32 = 3;
-/// Maximum time for which data sent to a caller may stay unacknowledged. Without this limit, a
+const KEEP_ALIVE_RETRIES: u32 = 3;
+/// How long data sent to a caller may stay unacknowledged (`TCP_USER_TIMEOUT`). Without this limit, a
 /// caller that was disconnected would keep its request running at the upstream.
-const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(6);
+const USER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Limits on connections.
 #[derive(Clone, Copy, Debug)]
@@ -131,9 +131,9 @@
     socket.set_nodelay(true)?;
     let socket = SockRef::from(socket);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_INTERVAL)
-        .with_interval(KEEPALIVE_INTERVAL)
-        .with_retries(KEEPALIVE_RETRIES);
+        .with_time(KEEP_ALIVE_INTERVAL)
+        .with_interval(KEEP_ALIVE_INTERVAL)
+        .with_retries(KEEP_ALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
--- a/crates/tc-upstream/src/connection/idle.rs
+++ b/crates/tc-upstream/src/connection/idle.rs
@@ -12,7 +12,7 @@
 /// How long an idle connection is kept. Shorter than the usual timeout of servers, so that this side closes first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// How often expired connections are removed, also those to upstreams that are no longer called.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
+const REMOVAL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Traffic type of a connection. A connection is never reused for another type.
 ///
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct IdleTable {
     by_address: HashMap<(SocketAddr, Traffic), Vec<IdleConnection>>,
-    last_sweep: Instant,
+    last_removal: Instant,
 }
 
 /// The idle connections of a client.
@@ -53,7 +53,7 @@
         Self {
             table: Mutex::new(IdleTable {
                 by_address: HashMap::new(),
-                last_sweep: Instant::now(),
+                last_removal: Instant::now(),
             }),
             max_per_address,
         }
@@ -69,7 +69,7 @@
     pub(crate) fn put(&self, address: SocketAddr, traffic: Traffic, connection: Connection) {
         let now = Instant::now();
         let mut table = self.lock();
-        let expired = table.sweep(now);
+        let expired = table.remove_expired(now);
         let connections = table.by_address.entry((address, traffic)).or_default();
         if connections.len() < self.max_per_address {
             connections.push(IdleConnection {
@@ -88,11 +88,11 @@
 
 impl IdleTable {
     /// Removes the expired connections. The caller drops them after unlocking.
-    fn sweep(&mut self, now: Instant) -> Vec<IdleConnection> {
-        if now.duration_since(self.last_sweep) < SWEEP_INTERVAL {
+    fn remove_expired(&mut self, now: Instant) -> Vec<IdleConnection> {
+        if now.duration_since(self.last_removal) < REMOVAL_INTERVAL {
             return Vec::new();
         }
-        self.last_sweep = now;
+        self.last_removal = now;
         let mut expired = Vec::new();
         self.by_address.retain(|_, connections| {
             expired.extend(connections.extract_if(.., |idle| {
