--- a/crates/tc-fleet/src/lib.rs
+++ b/crates/tc-fleet/src/lib.rs
@@ -32,7 +32,7 @@
 pub use key::FleetKeys;
 pub use mesh::{
     ChooseEngine, EvacuatedDomains, Mesh, MeshError, MeshHandlers, MeshSettings, PiecesAnswer,
-    RegistryEntry, Removed, SuspectTrial, TellOutlook, TellRuns, UpstreamLimits, UpstreamNews,
-    WorldHave, WorldNews,
+    RecordRuns, RegistryEntry, Removed, ReportOutlook, StoreUpdate, SuspectTrial, UpstreamLimits,
+    UpstreamUpdate, WorldHave,
 };
 pub use settings::{FleetSettings, PermitPolicy};
--- a/crates/tc-fleet/src/mesh/engine_calls.rs
+++ b/crates/tc-fleet/src/mesh/engine_calls.rs
@@ -42,7 +42,7 @@
     }
 
     /// Reports the progress of runs to the home that chose their engines.
-    pub async fn tell_runs(
+    pub async fn report_runs(
         &self,
         home: &Member,
         service: &ServiceName,
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -30,8 +30,8 @@
     },
     peers::Peers,
     service::{MeshHandlers, Service},
+    store_update::{StoreUpdate, WorldHave, store_update_from_wire},
     suspects::suspect_table,
-    world_news::{WorldHave, WorldNews, world_news_from_wire},
 };
 use crate::{
     FleetError, FleetKeys,
@@ -314,25 +314,25 @@
         &self,
         from: &Member,
         have: WorldHave,
-    ) -> Result<BoxStream<'static, Result<WorldNews, MeshError>>, MeshError> {
+    ) -> Result<BoxStream<'static, Result<StoreUpdate, MeshError>>, MeshError> {
         let have = wire::WorldHave {
             config_version: have.config_version,
             upstreams_revision: have.upstreams_revision,
             evacuated_revision: have.evacuated_revision,
         };
         let mut client = self.inner.peers.client(from);
-        let news = client
+        let updates = client
             .follow_world(have)
             .await
             .map_err(|status| call_error(from, &status))?;
         let from = from.clone();
-        let from_wire = move |news: Result<wire::WorldNews, tonic::Status>| {
-            let news = news.map_err(|status| call_error(&from, &status))?;
-            world_news_from_wire(&news).ok_or_else(|| MeshError::Malformed {
+        let from_wire = move |update: Result<wire::WorldNews, tonic::Status>| {
+            let update = update.map_err(|status| call_error(&from, &status))?;
+            store_update_from_wire(&update).ok_or_else(|| MeshError::Malformed {
                 instance: from.id.clone(),
             })
         };
-        Ok(news.into_inner().map(from_wire).boxed())
+        Ok(updates.into_inner().map(from_wire).boxed())
     }
 }
 
--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -245,14 +245,14 @@
 
 /// Treats unknown kinds of progress, as a later version may send, as the end of the run. Otherwise the run would be
 /// counted as in progress forever.
-pub(super) fn run_report_from_wire(news: &wire::RunNews) -> RunReport {
-    let run_progress = match news.what {
-        0 => RunProgress::FirstEvent(convert::from_millis(news.took_ms)),
+pub(super) fn run_report_from_wire(report: &wire::RunNews) -> RunReport {
+    let run_progress = match report.what {
+        0 => RunProgress::FirstEvent(convert::from_millis(report.took_ms)),
         2 => RunProgress::Failed,
         _ => RunProgress::Ended,
     };
     RunReport {
-        run: news.run,
+        run: report.run,
         progress: run_progress,
     }
 }
--- a/crates/tc-fleet/src/mesh/mod.rs
+++ b/crates/tc-fleet/src/mesh/mod.rs
@@ -10,13 +10,13 @@
 mod messages;
 mod peers;
 mod service;
+mod store_update;
 mod suspects;
-mod world_news;
 
 pub use handle::{Mesh, MeshSettings, SuspectTrial};
 pub use limits::UpstreamLimits;
 pub use messages::{MeshError, PiecesAnswer};
-pub use service::{ChooseEngine, MeshHandlers, TellOutlook, TellRuns};
-pub use world_news::{
-    EvacuatedDomains, RegistryEntry, Removed, UpstreamNews, WorldHave, WorldNews,
+pub use service::{ChooseEngine, MeshHandlers, RecordRuns, ReportOutlook};
+pub use store_update::{
+    EvacuatedDomains, RegistryEntry, Removed, StoreUpdate, UpstreamUpdate, WorldHave,
 };
--- a/crates/tc-fleet/src/mesh/service.rs
+++ b/crates/tc-fleet/src/mesh/service.rs
@@ -19,7 +19,7 @@
         PiecesAnswer, choice_to_wire, engine_request_from_wire, outlook_to_wire,
         pieces_answer_to_wire, results_from_wire, run_report_from_wire, stage_request_from_wire,
     },
-    world_news::{WorldHave, WorldNews, world_news_to_wire},
+    store_update::{StoreUpdate, WorldHave, store_update_to_wire},
 };
 use crate::{
     convert,
@@ -27,7 +27,7 @@
         EngineAskMessage, EngineChoiceMessage, FreeResultsAnswer, FreeResultsMessage, Introduction,
         MemberList, OutlookAnswer, OutlookAsk, PiecesAnswer as WireAnswer, PiecesAskMessage,
         RunNewsAnswer, RunNewsMessage, SuspectAnswer, SuspectReport, WorldHave as WireHave,
-        WorldNews as WireNews, mesh_server::Mesh as MeshService,
+        WorldNews as WireUpdate, mesh_server::Mesh as MeshService,
     },
     suspects::SuspectTable,
 };
@@ -35,25 +35,25 @@
 /// Chooses an engine for a prompt. Returns `None` if no engine is known.
 pub type ChooseEngine = dyn Fn(&EngineRequest) -> Option<EngineChoice> + Send + Sync;
 /// Handles progress reports of runs of a service.
-pub type TellRuns = dyn Fn(&ServiceName, &[RunReport]) + Send + Sync;
+pub type RecordRuns = dyn Fn(&ServiceName, &[RunReport]) + Send + Sync;
 
 /// Returns the load of a service's home, or `None` if the home is not here.
-pub type TellOutlook = dyn Fn(&ServiceName) -> Option<HomeOutlook> + Send + Sync;
+pub type ReportOutlook = dyn Fn(&ServiceName) -> Option<HomeOutlook> + Send + Sync;
 
 /// Handlers of calls from other instances. Dropping a returned future cancels its operation.
 pub struct MeshHandlers {
     /// Processes the pieces of a stage as the home of its service.
     pub make_pieces: Box<dyn Fn(StageRequest) -> BoxFuture<'static, PiecesAnswer> + Send + Sync>,
     /// Returns the load of a service's home, if it is here.
-    pub outlook: Box<TellOutlook>,
+    pub outlook: Box<ReportOutlook>,
     /// Frees results that are no longer needed.
     pub free_results: Box<dyn Fn(Vec<ResultHandle>) + Send + Sync>,
     /// Chooses an engine as the home of its service.
     pub choose_engine: Box<ChooseEngine>,
     /// Handles progress reports of runs whose engines were chosen here.
-    pub tell_runs: Box<TellRuns>,
+    pub record_runs: Box<RecordRuns>,
     /// Streams the state of the store: first what is newer than the given revisions, then each change.
-    pub follow_world: Box<dyn Fn(WorldHave) -> BoxStream<'static, WorldNews> + Send + Sync>,
+    pub follow_world: Box<dyn Fn(WorldHave) -> BoxStream<'static, StoreUpdate> + Send + Sync>,
 }
 
 /// Implementation of the gRPC service, cheap to clone.
@@ -142,7 +142,7 @@
         let message = req.into_inner();
         self.limits.receive(&message.limits);
         let reports: Vec<RunReport> = message.news.iter().map(run_report_from_wire).collect();
-        (self.handlers.tell_runs)(&message.service.as_str().into(), &reports);
+        (self.handlers.record_runs)(&message.service.as_str().into(), &reports);
         Ok(Response::new(RunNewsAnswer {}))
     }
 
@@ -156,19 +156,19 @@
         Ok(Response::new(answer))
     }
 
-    type FollowWorldStream = BoxStream<'static, Result<WireNews, Status>>;
+    type FollowWorldStream = BoxStream<'static, Result<WireUpdate, Status>>;
 
     async fn follow_world(
         &self,
         req: Request<WireHave>,
     ) -> Result<Response<Self::FollowWorldStream>, Status> {
         let have = req.into_inner();
-        let news = (self.handlers.follow_world)(WorldHave {
+        let updates = (self.handlers.follow_world)(WorldHave {
             config_version: have.config_version,
             upstreams_revision: have.upstreams_revision,
             evacuated_revision: have.evacuated_revision,
         });
-        let news = news.map(|news| Ok(world_news_to_wire(&news)));
-        Ok(Response::new(news.boxed()))
+        let updates = updates.map(|update| Ok(store_update_to_wire(&update)));
+        Ok(Response::new(updates.boxed()))
     }
 }
--- a/crates/tc-fleet/src/mesh/world_news.rs
+++ b/crates/tc-fleet/src/mesh/store_update.rs
@@ -31,7 +31,7 @@
 
 /// A store update that one instance sends to another.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WorldNews {
+pub struct StoreUpdate {
     /// Time as of which the sender's state is confirmed, that is, includes every change that the store had accepted by
     /// then; in milliseconds relative to the receipt of the call that this answers. `None` if nothing is confirmed.
     ///
@@ -41,7 +41,7 @@
     /// Configuration and its store revision, if newer than the receiver's.
     pub config: Option<(Arc<Value>, u64)>,
     /// Changes of the upstream list, if any.
-    pub upstreams: Option<UpstreamNews>,
+    pub upstreams: Option<UpstreamUpdate>,
     /// All evacuated failure domains, if newer than the receiver's.
     pub evacuated: Option<EvacuatedDomains>,
 }
@@ -59,7 +59,7 @@
 
 /// Difference between an upstream list and an earlier one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UpstreamNews {
+pub struct UpstreamUpdate {
     /// Revision of the new list.
     pub revision: u64,
     /// Added or changed entries.
@@ -83,16 +83,16 @@
     AllExcept(Vec<Arc<str>>),
 }
 
-pub(super) fn world_news_to_wire(news: &WorldNews) -> wire::WorldNews {
-    let config = news.config.as_ref();
+pub(super) fn store_update_to_wire(update: &StoreUpdate) -> wire::WorldNews {
+    let config = update.config.as_ref();
     wire::WorldNews {
-        confirmed_ms: news.confirmed_ms,
+        confirmed_ms: update.confirmed_ms,
         config: config
             .map(|(value, _)| value.to_string().into_bytes())
             .unwrap_or_default(),
         config_revision: config.map_or(0, |(_, revision)| *revision),
-        upstreams: news.upstreams.as_ref().map(upstream_news_to_wire),
-        evacuated: news.evacuated.as_ref().map(evacuated_to_wire),
+        upstreams: update.upstreams.as_ref().map(upstream_update_to_wire),
+        evacuated: update.evacuated.as_ref().map(evacuated_to_wire),
     }
 }
 
@@ -112,8 +112,8 @@
     }
 }
 
-fn upstream_news_to_wire(news: &UpstreamNews) -> wire::UpstreamNews {
-    let (names, is_whole, since) = match &news.removed {
+fn upstream_update_to_wire(update: &UpstreamUpdate) -> wire::UpstreamNews {
+    let (names, is_whole, since) = match &update.removed {
         Removed::Named { since, names } => (names, false, *since),
         Removed::AllExcept(names) => (names, true, 0),
     };
@@ -123,8 +123,8 @@
         value: entry.value.to_string().into_bytes(),
     };
     wire::UpstreamNews {
-        revision: news.revision,
-        changed: news.changed.iter().map(entry_to_wire).collect(),
+        revision: update.revision,
+        changed: update.changed.iter().map(entry_to_wire).collect(),
         names: names.iter().map(ToString::to_string).collect(),
         is_whole,
         since,
@@ -132,26 +132,26 @@
 }
 
 /// Returns `None` if any part is malformed: applying the rest would make upstreams appear removed.
-pub(super) fn world_news_from_wire(news: &wire::WorldNews) -> Option<WorldNews> {
-    let config = if news.config.is_empty() {
+pub(super) fn store_update_from_wire(update: &wire::WorldNews) -> Option<StoreUpdate> {
+    let config = if update.config.is_empty() {
         None
     } else {
-        let value = serde_json::from_slice(&news.config).ok()?;
-        Some((Arc::new(value), news.config_revision))
+        let value = serde_json::from_slice(&update.config).ok()?;
+        Some((Arc::new(value), update.config_revision))
     };
-    let upstreams = match &news.upstreams {
-        Some(upstreams) => Some(upstream_news_from_wire(upstreams)?),
+    let upstreams = match &update.upstreams {
+        Some(upstreams) => Some(upstream_update_from_wire(upstreams)?),
         None => None,
     };
-    Some(WorldNews {
-        confirmed_ms: news.confirmed_ms,
+    Some(StoreUpdate {
+        confirmed_ms: update.confirmed_ms,
         config,
         upstreams,
-        evacuated: news.evacuated.as_ref().map(evacuated_from_wire),
+        evacuated: update.evacuated.as_ref().map(evacuated_from_wire),
     })
 }
 
-fn upstream_news_from_wire(news: &wire::UpstreamNews) -> Option<UpstreamNews> {
+fn upstream_update_from_wire(update: &wire::UpstreamNews) -> Option<UpstreamUpdate> {
     let entry_from_wire = |entry: &wire::RegistryEntry| {
         Some(RegistryEntry {
             name: entry.name.as_str().into(),
@@ -159,16 +159,20 @@
             value: Arc::new(serde_json::from_slice(&entry.value).ok()?),
         })
     };
-    let changed: Option<Vec<RegistryEntry>> = news.changed.iter().map(entry_from_wire).collect();
-    let names = news.names.iter().map(|name| name.as_str().into()).collect();
-    Some(UpstreamNews {
-        revision: news.revision,
+    let changed: Option<Vec<RegistryEntry>> = update.changed.iter().map(entry_from_wire).collect();
+    let names = update
+        .names
+        .iter()
+        .map(|name| name.as_str().into())
+        .collect();
+    Some(UpstreamUpdate {
+        revision: update.revision,
         changed: changed?,
-        removed: if news.is_whole {
+        removed: if update.is_whole {
             Removed::AllExcept(names)
         } else {
             Removed::Named {
-                since: news.since,
+                since: update.since,
                 names,
             }
         },
--- a/crates/tc-gateway/src/engines/reports.rs
+++ b/crates/tc-gateway/src/engines/reports.rs
@@ -69,7 +69,7 @@
 }
 
 async fn send_reports(mesh: Mesh, home: Member, service: ServiceName, reports: Vec<RunReport>) {
-    if let Err(error) = mesh.tell_runs(&home, &service, &reports).await {
+    if let Err(error) = mesh.report_runs(&home, &service, &reports).await {
         log::debug!(runs = reports.len(), error = error.to_string().as_str(); "sending run reports to the home failed");
     }
 }
--- a/crates/tc-gateway/src/handlers.rs
+++ b/crates/tc-gateway/src/handlers.rs
@@ -20,7 +20,7 @@
     world: &Arc<WorldCell>,
 ) -> Arc<MeshHandlers> {
     let engines_for_choice = Arc::clone(engines);
-    let engines_for_news = Arc::clone(engines);
+    let engines_for_reports = Arc::clone(engines);
     let homes_for_pieces = Arc::clone(homes);
     let homes_for_freeing = Arc::clone(homes);
     let homes_for_outlooks = Arc::clone(homes);
@@ -33,7 +33,7 @@
         outlook: Box::new(move |service| homes_for_outlooks.outlook(service)),
         free_results: Box::new(move |results| homes_for_freeing.free_results(&results)),
         choose_engine: Box::new(move |request| engines_for_choice.choose(request)),
-        tell_runs: Box::new(move |service, news| engines_for_news.record(service, news)),
+        record_runs: Box::new(move |service, reports| engines_for_reports.record(service, reports)),
         follow_world: Box::new(move |have| relay_world(&world, have, heartbeat_interval)),
     })
 }
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -228,8 +228,8 @@
     let heartbeat_interval = SourceTiming::within(propagation_limit(settings)).heartbeat_interval;
     let handlers = mesh_handlers(heartbeat_interval, &homes, &engines, &world);
     let mesh = Mesh::start(mesh_settings, handlers).await?;
-    let (run_reports, news_receiver) = RunReportSender::new();
-    traffic.spawn(news_receiver.forward(mesh.clone(), Arc::clone(&engines)));
+    let (run_reports, report_receiver) = RunReportSender::new();
+    traffic.spawn(report_receiver.forward(mesh.clone(), Arc::clone(&engines)));
     traffic.spawn(poll_outlooks(mesh.clone(), Arc::clone(&homes)));
     traffic.spawn(free_results(
         release_queue,
--- a/crates/tc-gateway/src/world/follow.rs
+++ b/crates/tc-gateway/src/world/follow.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use futures::{StreamExt, stream::BoxStream};
-use tc_fleet::{Mesh, MeshError, WorldNews};
+use tc_fleet::{Mesh, MeshError, StoreUpdate};
 use tc_membership::{SourceTiming, StoreSource};
 use tc_protocol::{InstanceId, MonoTime};
 use tokio::{
@@ -39,13 +39,13 @@
     }
 }
 
-type NewsStream = BoxStream<'static, Result<WorldNews, MeshError>>;
+type UpdateStream = BoxStream<'static, Result<StoreUpdate, MeshError>>;
 
-/// An open stream of news from another instance.
+/// An open stream of store updates from another instance.
 struct SourceStream {
     /// The instance that is followed.
     id: InstanceId,
-    news: NewsStream,
+    updates: UpdateStream,
     /// Start of the call; the times of confirmations are relative to it.
     store_read: StoreRead,
 }
@@ -86,9 +86,9 @@
     loop {
         follower.update_source().await;
         let wait = follower.source.next_check_in(MonoTime::now());
-        let news = next_event(&mut follower.stream, wait);
+        let event = next_event(&mut follower.stream, wait);
         tokio::select! {
-            event = news => follower.handle(event),
+            event = event => follower.handle(event),
             _ = members.changed() => follower.update_members(),
             Ok(_) = settled.wait_for(|settled| *settled), if !follower.is_settled => follower.mark_settled(),
             _ = pauses.changed() => follower.resumed(),
@@ -96,11 +96,11 @@
     }
 }
 
-/// Result of waiting for news.
+/// Result of waiting for a store update.
 enum SourceEvent {
-    /// No news within the wait.
+    /// No update within the wait.
     Timeout,
-    News(WorldNews),
+    Update(StoreUpdate),
     /// The stream has ended, for the given reason.
     Ended(String),
 }
@@ -110,8 +110,8 @@
         sleep(wait).await;
         return SourceEvent::Timeout;
     };
-    match timeout(wait, stream.news.next()).await {
-        Ok(Some(Ok(news))) => SourceEvent::News(news),
+    match timeout(wait, stream.updates.next()).await {
+        Ok(Some(Ok(update))) => SourceEvent::Update(update),
         Ok(Some(Err(error))) => SourceEvent::Ended(error.to_string()),
         Ok(None) => SourceEvent::Ended("the stream ended".to_owned()),
         Err(_) => SourceEvent::Timeout,
@@ -178,11 +178,11 @@
         let limit = self.timing.heartbeat_interval;
         let opened = timeout(limit, self.mesh.follow_world(member, have)).await;
         match opened {
-            Ok(Ok(news)) => {
+            Ok(Ok(updates)) => {
                 log::info!(from = source.as_str(), config = have.config_version, upstreams = have.upstreams_revision; "following another instance for store changes");
                 self.stream = Some(SourceStream {
                     id: source,
-                    news,
+                    updates,
                     store_read,
                 });
             }
@@ -199,18 +199,18 @@
         let store_read = stream.store_read;
         match event {
             SourceEvent::Timeout => {}
-            SourceEvent::News(news) => self.apply_news(&from, &store_read, &news),
+            SourceEvent::Update(update) => self.apply_update(&from, &store_read, &update),
             SourceEvent::Ended(problem) => self.source_failed(&from, &problem),
         }
     }
 
-    fn apply_news(&mut self, from: &InstanceId, store_read: &StoreRead, news: &WorldNews) {
+    fn apply_update(&mut self, from: &InstanceId, store_read: &StoreRead, update: &StoreUpdate) {
         let now = MonoTime::now();
-        let confirmed = news.confirmed_ms.map_or_else(MonoTime::default, |ms| {
+        let confirmed = update.confirmed_ms.map_or_else(MonoTime::default, |ms| {
             store_read.started_at.offset_by_millis(ms).min(now)
         });
         self.source.record_confirmation(now, from, confirmed);
-        if !self.cell.apply_news(news) {
+        if !self.cell.apply_update(update) {
             log::info!(from = from.as_str(); "relayed store changes do not apply to the local state; following the source again");
             self.stream = None;
             return;
--- a/crates/tc-gateway/src/world/mod.rs
+++ b/crates/tc-gateway/src/world/mod.rs
@@ -25,7 +25,7 @@
 
 use arc_swap::ArcSwap;
 use serde_json::Value;
-use tc_fleet::{EvacuatedDomains, RegistryEntry, WorldHave, WorldNews};
+use tc_fleet::{EvacuatedDomains, RegistryEntry, StoreUpdate, WorldHave};
 use tc_platform::ObjectEvent;
 use tc_protocol::{FailureDomain, MonoTime, ServiceName, UpstreamId};
 use tokio::sync::watch::{Receiver, Sender};
@@ -241,21 +241,21 @@
         self.confirmations.subscribe()
     }
 
-    /// Applies news from another instance. Returns false if they do not fit the local state, so
+    /// Applies an update from another instance. Returns false if it does not fit the local state, so
     /// that the other must be asked for the missing part instead.
-    pub(crate) fn apply_news(&self, news: &WorldNews) -> bool {
-        if let Some((raw, revision)) = &news.config {
+    pub(crate) fn apply_update(&self, update: &StoreUpdate) -> bool {
+        if let Some((raw, revision)) = &update.config {
             self.apply_config(raw, *revision);
         }
-        if let Some(evacuated) = &news.evacuated {
+        if let Some(evacuated) = &update.evacuated {
             self.apply_evacuated(evacuated);
         }
-        let Some(upstreams) = &news.upstreams else {
+        let Some(upstreams) = &update.upstreams else {
             return true;
         };
         let _guard = self.lock_writes();
         let world = self.load();
-        match world.upstreams.with_news(&self.codec, upstreams) {
+        match world.upstreams.with_update(&self.codec, upstreams) {
             ApplyOutcome::Updated(next) => self.publish_upstreams(&world, next),
             ApplyOutcome::Outdated => {}
             ApplyOutcome::BaseMismatch => return false,
--- a/crates/tc-gateway/src/world/relay.rs
+++ b/crates/tc-gateway/src/world/relay.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use futures::{StreamExt, stream, stream::BoxStream};
-use tc_fleet::{EvacuatedDomains, WorldHave, WorldNews};
+use tc_fleet::{EvacuatedDomains, StoreUpdate, WorldHave};
 use tc_protocol::MonoTime;
 use tokio::{sync::watch::Receiver, time::sleep};
 
@@ -20,7 +20,7 @@
     baseline: Baseline,
 }
 
-/// State that the next news are relative to.
+/// State that the next update is relative to.
 enum Baseline {
     /// Nothing was sent yet; the follower reported that it has this.
     Reported(WorldHave),
@@ -34,7 +34,7 @@
     cell: &Arc<WorldCell>,
     have: WorldHave,
     heartbeat_interval: Duration,
-) -> BoxStream<'static, WorldNews> {
+) -> BoxStream<'static, StoreUpdate> {
     let relay = Relay {
         cell: Arc::clone(cell),
         received_at: MonoTime::now(),
@@ -44,14 +44,14 @@
         baseline: Baseline::Reported(have),
     };
     stream::unfold(relay, |mut relay| async move {
-        let news = relay.next().await;
-        Some((news, relay))
+        let update = relay.next().await;
+        Some((update, relay))
     })
     .boxed()
 }
 
 impl Relay {
-    async fn next(&mut self) -> WorldNews {
+    async fn next(&mut self) -> StoreUpdate {
         if matches!(self.baseline, Baseline::Sent(_)) {
             // The snapshots are compared whichever of these ends the wait.
             tokio::select! {
@@ -66,34 +66,34 @@
         // sent with it.
         let confirmed = self.cell.confirmed();
         let world = self.cell.load();
-        let news = self.news(&world, confirmed);
+        let update = self.build_update(&world, confirmed);
         self.baseline = Baseline::Sent(world);
-        news
+        update
     }
 
-    fn news(&self, world: &Arc<World>, confirmed: MonoTime) -> WorldNews {
+    fn build_update(&self, world: &Arc<World>, confirmed: MonoTime) -> StoreUpdate {
         let (known_version, known_evacuated, upstreams) = match &self.baseline {
             Baseline::Reported(have) => {
                 let upstreams = &world.upstreams;
                 let is_known = upstreams.revision() > 0;
-                let news = is_known.then(|| upstreams.news_since(have.upstreams_revision));
-                (have.config_version, have.evacuated_revision, news)
+                let update = is_known.then(|| upstreams.update_since(have.upstreams_revision));
+                (have.config_version, have.evacuated_revision, update)
             }
             Baseline::Sent(last) => {
                 let same = Arc::ptr_eq(&last.upstreams, &world.upstreams);
-                let news = (!same).then(|| world.upstreams.news_after(&last.upstreams));
+                let update = (!same).then(|| world.upstreams.update_after(&last.upstreams));
                 let known_evacuated = if last.evacuated.domains == world.evacuated.domains {
                     world.evacuated.revision
                 } else {
                     last.evacuated.revision
                 };
-                (last.config_version(), known_evacuated, news.flatten())
+                (last.config_version(), known_evacuated, update.flatten())
             }
         };
         let config = world.config.as_ref();
         let config = config.filter(|config| config.routing.version > known_version);
         let is_newer = world.evacuated.revision > known_evacuated;
-        WorldNews {
+        StoreUpdate {
             confirmed_ms: (confirmed != MonoTime::default() && world.is_known())
                 .then(|| confirmed.millis_since(self.received_at)),
             config: config.map(|config| (Arc::clone(&config.raw), config.revision)),
--- a/crates/tc-gateway/src/world/upstreams.rs
+++ b/crates/tc-gateway/src/world/upstreams.rs
@@ -8,7 +8,7 @@
 };
 
 use serde_json::Value;
-use tc_fleet::{RegistryEntry, Removed, UpstreamNews};
+use tc_fleet::{RegistryEntry, Removed, UpstreamUpdate};
 use tc_platform::{ObjectEvent, StoredObject};
 use tc_protocol::{
     FailureDomain, MonoTime, ServiceName, UpstreamId,
@@ -20,14 +20,14 @@
 /// Minimum time for which the announcement of an unregistered upstream is kept.
 const LEAVING_RETENTION: Duration = Duration::from_mins(10);
 
-/// Result of applying news from another instance.
+/// Result of applying an update from another instance.
 #[derive(Clone, Debug)]
 pub enum ApplyOutcome {
-    /// The table with the news applied.
+    /// The table with the update applied.
     Updated(UpstreamTable),
-    /// The news are older than this table.
+    /// The update is older than this table.
     Outdated,
-    /// The news are relative to another table than this one: the missing part must be requested.
+    /// The update is relative to another table than this one: the missing part must be requested.
     ///
     /// Otherwise, an instance that continues with a source that is behind it would keep forever the
     /// entries that were both written and removed between the source's table and its own, and send
@@ -134,11 +134,11 @@
         upstreams(self) == upstreams(other)
     }
 
-    /// Returns the news for a table of an earlier revision: the changed entries and the names of
+    /// Returns the update for a table of an earlier revision: the changed entries and the names of
     /// all entries, which show what is gone.
     #[must_use]
-    pub fn news_since(&self, revision: u64) -> UpstreamNews {
-        UpstreamNews {
+    pub fn update_since(&self, revision: u64) -> UpstreamUpdate {
+        UpstreamUpdate {
             revision: self.revision,
             changed: self.objects(|_, entry| entry.revision > revision),
             removed: Removed::AllExcept(self.entries.keys().cloned().collect()),
@@ -147,7 +147,7 @@
 
     /// Returns the difference from an earlier table, or `None` if there is none.
     #[must_use]
-    pub fn news_after(&self, earlier: &Self) -> Option<UpstreamNews> {
+    pub fn update_after(&self, earlier: &Self) -> Option<UpstreamUpdate> {
         let is_new = |name: &str, entry: &Entry| {
             let known = earlier.entries.get(name);
             known.is_none_or(|known| known.revision != entry.revision)
@@ -156,7 +156,7 @@
         let gone = gone.filter(|name| !self.entries.contains_key(*name));
         let names: Vec<Arc<str>> = gone.cloned().collect();
         let differs = self.revision != earlier.revision || !names.is_empty();
-        differs.then(|| UpstreamNews {
+        differs.then(|| UpstreamUpdate {
             revision: self.revision,
             changed: self.objects(is_new),
             removed: Removed::Named {
@@ -179,15 +179,15 @@
             .collect()
     }
 
-    /// Applies news from another instance.
+    /// Applies an update from another instance.
     #[must_use]
-    pub fn with_news(&self, codec: &PlatformCodec, news: &UpstreamNews) -> ApplyOutcome {
-        if news.revision < self.revision {
+    pub fn with_update(&self, codec: &PlatformCodec, update: &UpstreamUpdate) -> ApplyOutcome {
+        if update.revision < self.revision {
             return ApplyOutcome::Outdated;
         }
-        let gone: Vec<Arc<str>> = match &news.removed {
+        let gone: Vec<Arc<str>> = match &update.removed {
             Removed::Named { since, .. } if *since != self.revision => {
-                let is_newer = news.revision > self.revision;
+                let is_newer = update.revision > self.revision;
                 return if is_newer {
                     ApplyOutcome::BaseMismatch
                 } else {
@@ -203,9 +203,9 @@
         };
         let removed = gone.into_iter().map(|name| ObjectEvent::Removed {
             name,
-            revision: news.revision,
+            revision: update.revision,
         });
-        let put = news.changed.iter().map(|object| {
+        let put = update.changed.iter().map(|object| {
             ObjectEvent::Put(StoredObject {
                 name: Arc::clone(&object.name),
                 revision: object.revision,
@@ -213,7 +213,7 @@
             })
         });
         let events: Vec<ObjectEvent> = put.chain(removed).collect();
-        ApplyOutcome::Updated(self.with_events(codec, &events, news.revision))
+        ApplyOutcome::Updated(self.with_events(codec, &events, update.revision))
     }
 
     /// Returns this table with changes applied.
