--- a/crates/tc-bench/src/soak/faults.rs
+++ b/crates/tc-bench/src/soak/faults.rs
@@ -54,14 +54,14 @@
                 } else {
                     WEB
                 },
-                repeat: kind.repeat,
+                kind: kind.repeat,
                 stage: kind.staged.then_some(STAGE),
             })
             .collect();
         routes.push(ConfiguredRoute {
             name: added_route(self.version),
             service: WEB,
-            repeat: RouteKind::Idempotent,
+            kind: RouteKind::Idempotent,
             stage: None,
         });
         let services = ServiceRoles {
--- a/crates/tc-fleet/src/mesh/messages.rs
+++ b/crates/tc-fleet/src/mesh/messages.rs
@@ -258,10 +258,10 @@
 }
 
 pub(super) fn outlook_to_wire(outlook: &HomeOutlook) -> wire::HomeOutlook {
-    let coming = |(service, coming): (&ServiceName, &DependentPieces)| wire::ComingPieces {
+    let to_wire = |(service, pieces): (&ServiceName, &DependentPieces)| wire::ComingPieces {
         service: service.to_string(),
-        in_time: coming.in_time.counts().to_vec(),
-        all: coming.total,
+        in_time: pieces.in_time.counts().to_vec(),
+        all: pieces.total,
     };
     wire::HomeOutlook {
         own_ms: convert::millis(outlook.base_latency),
@@ -269,17 +269,17 @@
         waiting: outlook.waiting,
         pieces_per_s: outlook.pieces_per_s as f32,
         free: outlook.spare_capacity as f32,
-        coming: outlook.dependent_pieces.iter().map(coming).collect(),
+        coming: outlook.dependent_pieces.iter().map(to_wire).collect(),
     }
 }
 
 pub(super) fn outlook_from_wire(outlook: &wire::HomeOutlook) -> HomeOutlook {
-    let coming = |coming: &wire::ComingPieces| {
+    let from_wire = |message: &wire::ComingPieces| {
         let pieces = DependentPieces {
-            in_time: DueHistogram::from_counts(&coming.in_time),
-            total: coming.all,
+            in_time: DueHistogram::from_counts(&message.in_time),
+            total: message.all,
         };
-        (coming.service.as_str().into(), pieces)
+        (message.service.as_str().into(), pieces)
     };
     HomeOutlook {
         base_latency: convert::from_millis(outlook.own_ms),
@@ -287,7 +287,7 @@
         waiting: outlook.waiting,
         pieces_per_s: f64::from(outlook.pieces_per_s),
         spare_capacity: f64::from(outlook.free),
-        dependent_pieces: outlook.coming.iter().map(coming).collect(),
+        dependent_pieces: outlook.coming.iter().map(from_wire).collect(),
     }
 }
 
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -156,7 +156,7 @@
                 true
             }
             Err(error) => {
-                log::error!(revision = object.revision; "configuration rejected, the last valid one stays in force: {error}");
+                log::error!(revision = object.revision; "configuration rejected; the last valid one stays in force: {error}");
                 metrics::counter!("tc_config_rejected_total").increment(1);
                 self.config_puller.reject(object.revision);
                 false
--- a/crates/tc-fleet/src/orders/planner.rs
+++ b/crates/tc-fleet/src/orders/planner.rs
@@ -215,9 +215,10 @@
         let Ok(value) = serde_json::to_value(&record) else {
             return Err(LeaseError::Unknown);
         };
-        let ours = record.clone();
+        let own_record = record.clone();
         let is_ours = move |stored: &serde_json::Value| {
-            serde_json::from_value::<PlanRecord>(stored.clone()).is_ok_and(|stored| stored == ours)
+            serde_json::from_value::<PlanRecord>(stored.clone())
+                .is_ok_and(|stored| stored == own_record)
         };
         let written = store
             .write_sure(
--- a/crates/tc-gateway/src/run/buffered.rs
+++ b/crates/tc-gateway/src/run/buffered.rs
@@ -69,8 +69,8 @@
     req: &RoutedRequest,
     attempts: &Attempts,
 ) -> Result<StageResults, Refusal> {
-    let made = make_stages(cx, req).await;
-    made.map_err(|refusal| {
+    let results = make_stages(cx, req).await;
+    results.map_err(|refusal| {
         if attempts.may_have_run {
             attempts.refusal(req, SendFailure::InputGone)
         } else {
--- a/crates/tc-gateway/src/run/mod.rs
+++ b/crates/tc-gateway/src/run/mod.rs
@@ -134,8 +134,8 @@
     /// shorter, what is left of the first-event timeout.
     fn time_to_first_event(&self) -> Duration {
         let left = self.time_left();
-        let patience = self.route.first_event_timeout.unwrap_or(left);
-        left.min(patience.saturating_sub(self.arrived.elapsed()))
+        let timeout = self.route.first_event_timeout.unwrap_or(left);
+        left.min(timeout.saturating_sub(self.arrived.elapsed()))
     }
 
     /// Logs and counts the first byte of an upstream's answer.
--- a/crates/tc-gateway/src/run/stages.rs
+++ b/crates/tc-gateway/src/run/stages.rs
@@ -108,7 +108,7 @@
             metrics::counter!("tc_stages_remade_total").increment(1);
             make_once(cx, req).await
         }
-        made => made,
+        result => result,
     }
 }
 
--- a/crates/tc-gateway/src/serve/callers.rs
+++ b/crates/tc-gateway/src/serve/callers.rs
@@ -231,7 +231,7 @@
 
 async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Refusal> {
     match timeout_at(deadline, Limited::new(body, max_bytes).collect()).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let reason = "the body is larger than the configuration allows";
             Err(Refusal::without_retry(
--- a/crates/tc-upstream/src/connection/http1.rs
+++ b/crates/tc-upstream/src/connection/http1.rs
@@ -276,12 +276,12 @@
         let Some(second) = poll_fn(|cx| self.poll_chunk(cx)).await else {
             return Ok(first);
         };
-        let mut whole = BytesMut::from(first);
-        whole.extend_from_slice(&second?);
+        let mut body = BytesMut::from(first);
+        body.extend_from_slice(&second?);
         while let Some(chunk) = poll_fn(|cx| self.poll_chunk(cx)).await {
-            whole.extend_from_slice(&chunk?);
+            body.extend_from_slice(&chunk?);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
     /// Returns whether the end of the body was read.
