--- a/crates/tc-fleet/src/peers/pool.rs
+++ b/crates/tc-fleet/src/peers/pool.rs
@@ -127,15 +127,15 @@
     }
 
     /// Drops the peer of a dead member, which ends its permit stream. Pending asks fail at once.
-    pub(crate) fn forget(&self, id: &InstanceId) {
+    pub(crate) fn remove(&self, id: &InstanceId) {
         self.peers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(id);
     }
 
-    /// Fails the pending asks at a member that stopped answering probes, but keeps its channel.
-    pub(crate) fn fail_pending_asks(&self, id: &InstanceId) {
+    /// Fails the pending requests at a member that stopped answering probes, but keeps its channel.
+    pub(crate) fn fail_pending_requests(&self, id: &InstanceId) {
         let peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = peers.get(id) {
             peer.send(ToHome::FailPending);
--- a/crates/tc-gateway/src/homes/home.rs
+++ b/crates/tc-gateway/src/homes/home.rs
@@ -42,7 +42,7 @@
 
 impl BatchHome {
     pub(super) fn start(cx: Arc<HomeContext>, service: ServiceName, spec: BatchSpec) -> Arc<Self> {
-        let retry_budget = RetryBudget::new(cx.budgets.home_share());
+        let retry_budget = RetryBudget::new(cx.retry_budgets.home_share());
         let home = Arc::new(Self {
             cx,
             service,
@@ -154,7 +154,7 @@
             }
             effects
         };
-        calls::free_at_makers(&self.cx, &effects.discarded_results);
+        calls::free_at_upstreams(&self.cx, &effects.discarded_results);
         self.release_inputs(&effects.released_inputs);
         effects.finished.len()
     }
@@ -166,19 +166,19 @@
         }
         let world = self.cx.world.load();
         for input in inputs {
-            let Some(maker) = world.upstreams.upstream_of_result(input) else {
+            let Some(upstream) = world.upstreams.upstream_of_result(input) else {
                 log::debug!(result = &*input.0; "the upstream that held a result is gone, and the result with it");
                 continue;
             };
-            self.cx.releaser.release(&maker.service, [input.clone()]);
+            self.cx.releaser.release(&upstream.service, [input.clone()]);
         }
     }
 
     /// Sends requests whose work has not started on to the new home of the service.
     pub(super) fn hand_over(&self) {
-        let asks = self.step(BatchPlanner::hand_over);
-        if asks > 0 {
-            log::info!(service = self.service.as_str(), asks = asks; "home of a batch service moved to another instance; pending requests handed over");
+        let requests = self.step(BatchPlanner::hand_over);
+        if requests > 0 {
+            log::info!(service = self.service.as_str(), asks = requests; "home of a batch service moved to another instance; pending requests handed over");
         }
     }
 
@@ -192,7 +192,7 @@
             }
             discarded
         };
-        calls::free_at_makers(&self.cx, &discarded);
+        calls::free_at_upstreams(&self.cx, &discarded);
     }
 
     fn update_from_world(&self) {
--- a/crates/tc-gateway/src/start.rs
+++ b/crates/tc-gateway/src/start.rs
@@ -15,7 +15,6 @@
 
 use crate::{
     backoffs::UpstreamBackoffs,
-    budgets::RetryBudgets,
     codec::PlatformCodec,
     cold::ColdSends,
     engines::{EngineHomes, RunReportSender},
@@ -25,6 +24,7 @@
     join::{Discovery, Settled, sync_members},
     limits::LimitedSends,
     listeners::{Listeners, into_runtime},
+    retry_budgets::RetryBudgets,
     run::{AnswerBody, RunContext, SharedOutlooks, SharedPromptTimes},
     serve::{CallerService, ConnectionLimits, Connections, InfoService, MetricsRenderer, accept},
     settings::GatewaySettings,
@@ -198,7 +198,7 @@
         max_response_bytes: MAX_RESPONSE_BYTES,
         ..ClientSettings::default()
     });
-    let budgets = Arc::new(RetryBudgets::new(settings.retry_budget));
+    let retry_budgets = Arc::new(RetryBudgets::new(settings.retry_budget));
     let (releaser, release_queue) = ResultReleaser::new();
     let limits = Arc::<UpstreamLimits>::default();
     let unknown_headers = Arc::<UnknownHeaders>::default();
@@ -207,7 +207,7 @@
         codec,
         client: client.clone(),
         world: Arc::clone(&world),
-        budgets: Arc::clone(&budgets),
+        retry_budgets: Arc::clone(&retry_budgets),
         releaser: releaser.clone(),
         limits: Arc::clone(&limits),
         backoffs: Arc::clone(&backoffs),
@@ -228,8 +228,8 @@
     let heartbeat_interval = SourceTiming::within(propagation_limit(settings)).heartbeat_interval;
     let handlers = mesh_handlers(heartbeat_interval, &homes, &engines, &world);
     let mesh = Mesh::start(mesh_settings, handlers).await?;
-    let (run_reports, news_receiver) = RunReportSender::new();
-    traffic.spawn(news_receiver.forward(mesh.clone(), Arc::clone(&engines)));
+    let (run_reports, report_receiver) = RunReportSender::new();
+    traffic.spawn(report_receiver.forward(mesh.clone(), Arc::clone(&engines)));
     traffic.spawn(poll_outlooks(mesh.clone(), Arc::clone(&homes)));
     traffic.spawn(free_results(
         release_queue,
@@ -249,7 +249,7 @@
         limits,
         backoffs,
         unknown_headers,
-        budgets,
+        retry_budgets,
         outlooks: SharedOutlooks::default(),
         prompt_times: SharedPromptTimes::default(),
         client,
@@ -374,6 +374,6 @@
         cx.upstream_stats.retain(|id| world.upstreams.contains(id));
         cx.cold.retain(|id| world.upstreams.contains(id));
         cx.limits.retain(|id| world.upstreams.contains(id));
-        cx.backoffs.expire();
+        cx.backoffs.remove_expired();
     }
 }
