--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -223,7 +223,7 @@
     }
 
     fn handle_state_change(&mut self, id: &InstanceId, state: MemberState) {
-        log::info!(instance = id.as_str(), state = format!("{state:?}").as_str(); "instance state changed");
+        log::info!(instance = id.as_str(); "instance is {state:?}");
         match state {
             MemberState::Dead => {
                 self.parts.peers.fail_pending_requests(id);
