--- a/crates/tc-config/src/folder.rs
+++ b/crates/tc-config/src/folder.rs
@@ -13,16 +13,16 @@
 
 /// What a folder holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Folder {
+pub struct FolderScan {
     /// Configuration files in order of name.
     pub files: Vec<SourceFile>,
     /// Everything else in it, in order of name.
-    pub ignored: Vec<Ignored>,
+    pub ignored: Vec<IgnoredEntry>,
 }
 
 /// An entry of the folder that is not a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ignored {
+pub struct IgnoredEntry {
     /// Its name.
     pub name: String,
     /// Why it is no configuration file.
@@ -34,7 +34,7 @@
 /// # Errors
 /// When the folder or a file cannot be read, when a `*.toml` entry is not a regular file or not UTF-8,
 /// and when the files are larger than [`MAX_FOLDER_BYTES`] together.
-pub fn scan_folder(folder: &Path) -> Result<Folder, ConfigError> {
+pub fn scan_folder(folder: &Path) -> Result<FolderScan, ConfigError> {
     let unreadable = |e: std::io::Error| ConfigError::Unreadable {
         path: folder.display().to_string(),
         problem: e.to_string(),
@@ -49,7 +49,7 @@
         .map_err(unreadable)?;
     entries.sort_by_key(DirEntry::file_name);
 
-    let mut scan = Folder::default();
+    let mut scan = FolderScan::default();
     let mut total = 0;
     for entry in entries {
         let name = entry.file_name();
@@ -60,7 +60,7 @@
         };
         if let Some(reason) = reason_to_ignore(name) {
             let name = name.to_owned();
-            scan.ignored.push(Ignored { name, reason });
+            scan.ignored.push(IgnoredEntry { name, reason });
             continue;
         }
         total += regular_file_size(&entry)?;
--- a/crates/tc-config/src/merge.rs
+++ b/crates/tc-config/src/merge.rs
@@ -35,7 +35,7 @@
 /// assert_eq!(config.workspaces["lintas"].weight, 4);
 /// ```
 pub fn merge(files: &[SourceFile], revision: u64) -> Result<FleetConfig, ConfigError> {
-    merge_noting(files, revision).map(|merged| merged.config)
+    merge_with_overrides(files, revision).map(|merged| merged.config)
 }
 
 /// Like [`merge`], and tells which keys were overridden.
@@ -44,16 +44,16 @@
 /// Those of [`merge`].
 ///
 /// ```
-/// use tc_config::{SourceFile, merge_noting};
+/// use tc_config::{SourceFile, merge_with_overrides};
 /// let token = format!("token_sha256 = \"{:064}\"", 7);
 /// let files = [
 ///     SourceFile::new("10-base.toml", &format!("[workspaces.lintas]\nweight = 2\n{token}")),
 ///     SourceFile::new("20-change.toml", "[workspaces.lintas]\nweight = 4"),
 /// ];
-/// let merged = merge_noting(&files, 1).unwrap();
+/// let merged = merge_with_overrides(&files, 1).unwrap();
 /// assert_eq!(merged.overrides.len(), 1);
 /// ```
-pub fn merge_noting(files: &[SourceFile], revision: u64) -> Result<Merged, ConfigError> {
+pub fn merge_with_overrides(files: &[SourceFile], revision: u64) -> Result<Merged, ConfigError> {
     let mut overrides = Vec::new();
     let root = merged_tree(files, &mut overrides)?;
     if root.is_empty() {
--- a/crates/tc-config/tests/config/fuzz.rs
+++ b/crates/tc-config/tests/config/fuzz.rs
@@ -2,7 +2,7 @@
 
 use crate::base::BASE;
 use bolero::generator::produce;
-use tc_config::{SourceFile, merge, merge_noting};
+use tc_config::{SourceFile, merge, merge_with_overrides};
 
 /// Whole tables that an operator may write.
 const SOUND: &[&str] = &[
@@ -86,7 +86,10 @@
         if turn & 0x80 != 0 {
             turned.reverse();
         }
-        match (merge_noting(&sorted, 1), merge_noting(&turned, 1)) {
+        match (
+            merge_with_overrides(&sorted, 1),
+            merge_with_overrides(&turned, 1),
+        ) {
             (Ok(a), Ok(b)) => assert_eq!(a, b),
             (Err(a), Err(b)) => assert_eq!(format!("{a:?}"), format!("{b:?}")),
             (a, b) => panic!("{a:?} and {b:?}"),
--- a/crates/tc-config/tests/config/merge.rs
+++ b/crates/tc-config/tests/config/merge.rs
@@ -1,7 +1,7 @@
 //! How files combine: order, overrides, defaults, differences.
 
 use crate::base::{BASE, files, with_change};
-use tc_config::{ConfigError, diff, merge, merge_noting};
+use tc_config::{ConfigError, diff, merge, merge_with_overrides};
 use tc_protocol::{
     FleetConfig, Limits, Model, Pipeline, Policy, Service, ServiceKind, Stage, Upstream, Workspace,
 };
@@ -30,7 +30,7 @@
 fn overrides_are_noted_with_both_places() {
     let change = "[pipelines.notices]\ndeadline_ms = 900\nworkspaces = [\"lintas\"]";
     let files = files(&[("10-base.toml", BASE), ("20-change.toml", change)]);
-    let notes = merge_noting(&files, 1).expect("valid").overrides;
+    let notes = merge_with_overrides(&files, 1).expect("valid").overrides;
     let notes: Vec<_> = notes.iter().map(ToString::to_string).collect();
     let line = 1 + BASE[..BASE.find("deadline_ms").expect("there")]
         .matches('\n')
--- a/crates/tc-operator/src/apply/attempt.rs
+++ b/crates/tc-operator/src/apply/attempt.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use tc_config::{Merged, merge_noting};
+use tc_config::{Merged, merge_with_overrides};
 use tc_platform::{ApplyResult, Backoff, Store, StoreError, Versioned, apply_config};
 use tc_protocol::{
     TcError,
@@ -88,7 +88,7 @@
     let reconciled = reconcile(&apply.base.files, apply.ours, &in_force(&current))
         .map_err(|files| both_changed(&files, &current))?;
     let revision = current.as_ref().map_or(0, |c| c.value.revision) + 1;
-    let merged = merge_noting(&sources(&reconciled.files), revision)?;
+    let merged = merge_with_overrides(&sources(&reconciled.files), revision)?;
     let mut accepted = Accepted {
         current,
         reconciled,
--- a/crates/tc-operator/src/commands/config/check.rs
+++ b/crates/tc-operator/src/commands/config/check.rs
@@ -2,7 +2,7 @@
 
 use miette::Diagnostic;
 use serde::Serialize;
-use tc_config::{ConfigError, Folder, Merged, Override, merge_noting, scan_folder};
+use tc_config::{ConfigError, FolderScan, Merged, Override, merge_with_overrides, scan_folder};
 
 use crate::{
     Exit,
@@ -52,7 +52,7 @@
 fn run(cx: &mut Context<'_>) -> Result<(), CommandError> {
     let folder = cx.path(cx.arguments.positional(0));
     let scan = scan_folder(&folder)?;
-    let merged = merge_noting(&scan.files, 0);
+    let merged = merge_with_overrides(&scan.files, 0);
     if cx.arguments.has(&JSON) {
         cx.output.json(&report(&scan, &merged))?;
         return merged.map(drop).map_err(CommandError::from);
@@ -72,14 +72,14 @@
     ))
 }
 
-fn notes(scan: &Folder, overrides: &[Override]) -> Vec<String> {
+fn notes(scan: &FolderScan, overrides: &[Override]) -> Vec<String> {
     let overrides = overrides.iter().map(ToString::to_string);
     let ignored = scan.ignored.iter();
     let ignored = ignored.map(|i| format!("{} is left out: {}", i.name, i.reason));
     overrides.chain(ignored).collect()
 }
 
-fn report(scan: &Folder, merged: &Result<Merged, ConfigError>) -> CheckReport {
+fn report(scan: &FolderScan, merged: &Result<Merged, ConfigError>) -> CheckReport {
     let mut report = CheckReport {
         valid: merged.is_ok(),
         files: scan.files.iter().map(|f| f.name.to_string()).collect(),
