--- a/crates/tc-config/src/check/pipelines.rs
+++ b/crates/tc-config/src/check/pipelines.rs
@@ -1,4 +1,4 @@
-//! Pipelines and their stages.
+//! Validation of pipelines and their stages.
 
 use std::collections::BTreeSet;
 
@@ -17,13 +17,13 @@
     let found = pipeline.deadline_ms;
     if !(MIN_DEADLINE_MS..=MAX_DEADLINE_MS).contains(&found) {
         let path = ["pipelines", name, "deadline_ms"];
-        cx.fault(&path, FaultKind::DeadlineOutOfRange { found });
+        cx.add_fault(&path, FaultKind::DeadlineOutOfRange { found });
     }
-    cx.priority(&["pipelines", name, "priority"], pipeline.priority);
+    cx.check_priority(&["pipelines", name, "priority"], pipeline.priority);
     for (index, workspace) in pipeline.workspaces.iter().enumerate() {
         let path = ["pipelines", name, "workspaces", &index.to_string()];
         let workspace = workspace.as_str();
-        cx.known(&path, "workspaces", workspace, |nearest, known| {
+        cx.check_reference(&path, "workspaces", workspace, |nearest, known| {
             FaultKind::UnknownWorkspace {
                 name: workspace.to_owned(),
                 nearest,
@@ -36,26 +36,29 @@
 
 fn check_stages(pipeline: &str, stages: &[Stage], cx: &mut Context<'_>) {
     if stages.is_empty() {
-        cx.fault(&["pipelines", pipeline, "stages"], FaultKind::NoStages);
+        cx.add_fault(&["pipelines", pipeline, "stages"], FaultKind::NoStages);
     }
     let mut seen = BTreeSet::new();
     for (index, stage) in stages.iter().enumerate() {
         let index = index.to_string();
-        let at = |key| ["pipelines", pipeline, "stages", &index, key];
+        let path_to = |key| ["pipelines", pipeline, "stages", &index, key];
         let name = stage.name.as_str();
-        cx.name(&at("name"), name);
+        cx.check_name(&path_to("name"), name);
         if !seen.insert(name) {
             let name = name.to_owned();
-            cx.fault(&at("name"), FaultKind::DuplicateStage { name });
+            cx.add_fault(&path_to("name"), FaultKind::DuplicateStage { name });
         }
         let service = stage.service.as_str();
-        cx.known(&at("service"), "services", service, |nearest, known| {
-            FaultKind::UnknownService {
+        cx.check_reference(
+            &path_to("service"),
+            "services",
+            service,
+            |nearest, known| FaultKind::UnknownService {
                 name: service.to_owned(),
                 nearest,
                 known,
-            }
-        });
-        cx.positive(&at("max_tokens"), f64::from(stage.max_tokens));
+            },
+        );
+        cx.check_positive(&path_to("max_tokens"), f64::from(stage.max_tokens));
     }
 }
--- a/crates/tc-config/src/check/services.rs
+++ b/crates/tc-config/src/check/services.rs
@@ -1,4 +1,4 @@
-//! Services, their upstreams and the models they run.
+//! Validation of services, their upstreams and their models.
 
 use std::{
     collections::BTreeMap,
@@ -14,7 +14,7 @@
     let mut services_by_id = BTreeMap::new();
     for (name, service) in &config.services {
         check_model(name.as_str(), service, cx);
-        cx.positive(
+        cx.check_positive(
             &["services", name.as_str(), "slots"],
             f64::from(service.slots),
         );
@@ -23,7 +23,7 @@
     for (name, model) in &config.models {
         if model.version.is_empty() {
             let path = ["models", name, "version"];
-            cx.name(&path, &model.version);
+            cx.check_name(&path, &model.version);
         }
     }
 }
@@ -31,9 +31,9 @@
 fn check_model(name: &str, service: &Service, cx: &mut Context<'_>) {
     let path = ["services", name, "model"];
     match (&service.model, service.kind) {
-        (None, ServiceKind::Engine) => cx.fault(&path, FaultKind::EngineWithoutModel),
+        (None, ServiceKind::Engine) => cx.add_fault(&path, FaultKind::EngineWithoutModel),
         (Some(model), ServiceKind::Engine) => {
-            cx.known(&path, "models", model, |nearest, known| {
+            cx.check_reference(&path, "models", model, |nearest, known| {
                 FaultKind::UnknownModel {
                     name: model.clone(),
                     nearest,
@@ -41,7 +41,7 @@
                 }
             });
         }
-        (Some(_), _) => cx.fault(&path, FaultKind::ModelWithoutEngine),
+        (Some(_), _) => cx.add_fault(&path, FaultKind::ModelWithoutEngine),
         (None, _) => {}
     }
 }
@@ -55,29 +55,29 @@
     let mut ids_by_address = BTreeMap::new();
     for (index, upstream) in service.upstreams.iter().enumerate() {
         let index = index.to_string();
-        let at = |key| ["services", name.as_str(), "upstreams", &index, key];
+        let path_to = |key| ["services", name.as_str(), "upstreams", &index, key];
         let id = &upstream.id;
-        cx.name(&at("id"), id.as_str());
-        cx.name(&at("failure_domain"), upstream.failure_domain.as_str());
-        cx.name(&at("region"), upstream.region.as_str());
+        cx.check_name(&path_to("id"), id.as_str());
+        cx.check_name(&path_to("failure_domain"), upstream.failure_domain.as_str());
+        cx.check_name(&path_to("region"), upstream.region.as_str());
         if let Some(other) = services_by_id.insert(id, name) {
             let kind = FaultKind::DuplicateUpstream {
                 id: id.to_string(),
                 other: other.to_string(),
             };
-            cx.fault(&at("id"), kind);
+            cx.add_fault(&path_to("id"), kind);
         }
         let address = upstream.address;
         if !is_usable(address) {
             let address = address.to_string();
-            cx.fault(&at("address"), FaultKind::UnusableAddress { address });
+            cx.add_fault(&path_to("address"), FaultKind::UnusableAddress { address });
         }
         if let Some(other) = ids_by_address.insert(address, id) {
             let kind = FaultKind::DuplicateAddress {
                 address: address.to_string(),
                 other: other.to_string(),
             };
-            cx.fault(&at("address"), kind);
+            cx.add_fault(&path_to("address"), kind);
         }
     }
 }
--- a/crates/tc-config/src/diff.rs
+++ b/crates/tc-config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations, key by key.
+//! Key-by-key difference between two configurations.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -8,35 +8,35 @@
 
 use crate::overlay::join;
 
-/// One key that differs.
+/// A key whose value differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Change {
-    /// The key with its tables, such as `pipelines.notices.deadline_ms`.
+    /// The full dotted key, such as `pipelines.notices.deadline_ms`.
     pub key: String,
-    /// How it differs.
+    /// Whether the key was added, removed or changed.
     #[serde(flatten)]
     pub kind: ChangeKind,
 }
 
-/// How a key differs; values are written as in a file.
+/// The kind of difference; values are formatted as TOML.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// Only the new configuration has it.
+    /// The key exists only in the new configuration.
     Added {
-        /// Its value.
+        /// The value.
         new: String,
     },
-    /// Only the old configuration has it.
+    /// The key exists only in the old configuration.
     Removed {
-        /// Its value.
+        /// The value.
         old: String,
     },
-    /// Both have it.
+    /// The key exists in both configurations with different values.
     Changed {
-        /// Its old value.
+        /// The old value.
         old: String,
-        /// Its new value.
+        /// The new value.
         new: String,
     },
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// All differences in order of key; the revision is not one. Values that are left out count as their
+/// Returns all differences sorted by key. The revision is not compared, and omitted values count as their
 /// defaults.
 ///
 /// ```
@@ -83,37 +83,39 @@
     changes
 }
 
+/// Returns the TOML text of every leaf value by its full dotted key, without the revision.
 fn leaves(config: &FleetConfig) -> BTreeMap<String, String> {
     let mut leaves = BTreeMap::new();
     let config = FleetConfig {
         revision: 0,
         ..config.clone()
     };
-    // A configuration that was merged holds no number beyond TOML's; without that this could fail.
+    // A number above TOML's maximum would fail to convert; a merged configuration holds none.
     if let Ok(value) = Value::try_from(&config) {
-        collect(&value, "", &mut leaves);
+        collect_leaves(&value, "", &mut leaves);
     }
     leaves
 }
 
-fn collect(value: &Value, path: &str, leaves: &mut BTreeMap<String, String>) {
+fn collect_leaves(value: &Value, path: &str, leaves: &mut BTreeMap<String, String>) {
     match value {
         Value::Table(table) => {
             for (key, value) in table {
-                collect(value, &join(path, key), leaves);
+                collect_leaves(value, &join(path, key), leaves);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_table) => {
             for (index, value) in items.iter().enumerate() {
-                collect(value, &join(path, &element(value, index)), leaves);
+                collect_leaves(value, &join(path, &element_name(value, index)), leaves);
             }
         }
         leaf => drop(leaves.insert(path.to_owned(), leaf.to_string())),
     }
 }
 
-/// Tables in arrays go by their own name, so that an insertion does not show as a change of all after it.
-fn element(value: &Value, index: usize) -> String {
+/// Returns the key of an array element: its `id` or `name` if it has one, otherwise its index. With the
+/// index alone, an insertion would show up as a change of every later element.
+fn element_name(value: &Value, index: usize) -> String {
     let own_name = ["id", "name"]
         .iter()
         .find_map(|key| value.get(key)?.as_str());
--- a/crates/tc-config/src/error.rs
+++ b/crates/tc-config/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration is refused as a whole.
+//! The error type of reading and merging a configuration.
 
 use miette::{Diagnostic, NamedSource};
 use tc_protocol::TcError;
@@ -6,7 +6,7 @@
 
 use crate::{Fault, MAX_FOLDER_BYTES};
 
-/// A folder that cannot be read, or a configuration that is not valid.
+/// An error from reading a configuration folder or from merging and validating its files.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ConfigError {
     /// The folder or a file in it cannot be read.
@@ -18,7 +18,7 @@
     Unreadable {
         /// The folder or file.
         path: String,
-        /// What the system said.
+        /// The error message of the operating system.
         problem: String,
     },
     /// The path is not a folder.
@@ -31,7 +31,7 @@
         /// The path.
         path: String,
     },
-    /// An entry is called `*.toml` and is no regular file.
+    /// An entry named `*.toml` is not a regular file.
     #[error("{path} is {what}, not a file")]
     #[diagnostic(
         code(tc::config::not_a_file),
@@ -40,9 +40,9 @@
         )
     )]
     NotAFile {
-        /// The entry.
+        /// The path of the entry.
         path: String,
-        /// What it is.
+        /// The type of the entry, such as `a symbolic link`.
         what: &'static str,
     },
     /// A file name is not UTF-8.
@@ -52,19 +52,19 @@
         help("rename the file, for example 10-models.toml")
     )]
     NameNotUtf8 {
-        /// The file, with its strange characters replaced.
+        /// The path of the file, with invalid UTF-8 replaced.
         path: String,
     },
-    /// A file's text is not UTF-8.
+    /// The content of a file is not UTF-8.
     #[error("{path} is not UTF-8 text: the byte at {offset} is wrong")]
     #[diagnostic(code(tc::config::text_not_utf8), help("save the file as UTF-8"))]
     TextNotUtf8 {
         /// The file.
         path: String,
-        /// Offset of the first wrong byte.
+        /// Offset of the first invalid byte.
         offset: usize,
     },
-    /// The files are too large together.
+    /// The total size of the files exceeds [`MAX_FOLDER_BYTES`].
     #[error("the files in {path} have {at_least} bytes or more; {MAX_FOLDER_BYTES} are allowed")]
     #[diagnostic(
         code(tc::config::folder_too_large),
@@ -75,10 +75,10 @@
     FolderTooLarge {
         /// The folder.
         path: String,
-        /// Bytes counted before reading stopped.
+        /// Total size counted until the limit was exceeded.
         at_least: u64,
     },
-    /// There is nothing to merge.
+    /// No file contains a key.
     #[error("there is no configuration: no *.toml file with a key in it")]
     #[diagnostic(
         code(tc::config::empty),
@@ -97,18 +97,18 @@
         /// The name.
         name: String,
     },
-    /// The files were read; this is everything that is wrong in them.
+    /// The files were read, but their content is not a valid configuration.
     #[error("the configuration has {} fault{}", faults.len(), if faults.len() == 1 { "" } else { "s" })]
     #[diagnostic(code(tc::config::invalid))]
     Invalid {
-        /// All faults, in order of file and place.
+        /// All faults, sorted by file name and position.
         #[related]
         faults: Vec<Fault>,
     },
 }
 
 impl ConfigError {
-    /// The faults inside the files, when they could be read.
+    /// Returns the faults found inside the files; empty for errors of other kinds.
     ///
     /// ```
     /// use tc_config::{SourceFile, merge};
@@ -143,7 +143,7 @@
     }
 }
 
-/// The first fault keeps its place; the others follow in its help text.
+/// Converts faults to a single error located at the first fault; its help text lists the other faults.
 fn from_faults(faults: Vec<Fault>) -> TcError {
     let mut faults = faults.into_iter();
     let Some(first) = faults.next() else {
--- a/crates/tc-config/src/fault.rs
+++ b/crates/tc-config/src/fault.rs
@@ -1,4 +1,4 @@
-//! One thing that is wrong inside the configuration files, and where.
+//! A validation error in the configuration files, with its location.
 
 use std::fmt;
 
@@ -8,10 +8,10 @@
 use crate::{
     SourceFile,
     check::{MAX_DEADLINE_MS, MAX_PRIORITY, MIN_DEADLINE_MS},
-    source::Place,
+    source::Location,
 };
 
-/// What is wrong, and the file, place and key it is wrong at.
+/// A validation error at a key of a configuration file.
 #[derive(Debug, Error)]
 pub struct Fault {
     pub(crate) file: SourceFile,
@@ -22,41 +22,41 @@
 }
 
 impl Fault {
-    pub(crate) fn new(place: &Place, key: &str, kind: FaultKind) -> Self {
+    pub(crate) fn new(location: &Location, key: &str, kind: FaultKind) -> Self {
         Self {
-            file: place.file.clone(),
-            span: place.span.clone().into(),
+            file: location.file.clone(),
+            span: location.span.clone().into(),
             key: key.to_owned(),
             kind,
-            source_code: NamedSource::new(&*place.file.name, place.file.text.clone()),
+            source_code: NamedSource::new(&*location.file.name, location.file.text.clone()),
         }
     }
 
-    /// The file's name.
+    /// Returns the name of the file.
     #[must_use]
     pub fn file(&self) -> &str {
         &self.file.name
     }
 
-    /// The line in the file, counted from 1.
+    /// Returns the line in the file, counted from 1.
     #[must_use]
     pub fn line(&self) -> usize {
         self.file.line(self.span.offset())
     }
 
-    /// File and line, as `10-base.toml:3`.
+    /// Returns the file and line in the form `10-base.toml:3`.
     #[must_use]
     pub fn location(&self) -> String {
         format!("{}:{}", self.file(), self.line())
     }
 
-    /// The key with its tables, such as `pipelines.notices.deadline_ms`; empty for a syntax fault.
+    /// Returns the full dotted key, such as `pipelines.notices.deadline_ms`; empty for a syntax fault.
     #[must_use]
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// What is wrong.
+    /// Returns the kind of fault.
     #[must_use]
     pub fn kind(&self) -> &FaultKind {
         &self.kind
@@ -92,44 +92,45 @@
     }
 }
 
-/// What can be wrong inside the files.
+/// The kinds of faults in configuration files.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum FaultKind {
-    /// The file is not TOML.
+    /// The file is not valid TOML.
     #[error("not valid TOML: {problem}")]
     #[diagnostic(code(tc::config::syntax), help("see https://toml.io for the syntax"))]
     Syntax {
-        /// What the parser said.
+        /// The error message of the parser.
         problem: String,
     },
-    /// No such key exists.
+    /// The schema has no such key.
     #[error("unknown key")]
     #[diagnostic(code(tc::config::unknown_key), help("{}", suggest(nearest.as_ref(), known)))]
     UnknownKey {
-        /// The known key most like it.
+        /// The most similar known key.
         nearest: Option<String>,
-        /// All keys known there.
+        /// All known keys of the table.
         known: String,
     },
     /// A value has the wrong type.
     #[error("{found} is not {expected}")]
     #[diagnostic(code(tc::config::wrong_type), help("write {expected}"))]
     WrongType {
-        /// What it must be.
+        /// Description of the expected type.
         expected: String,
-        /// What it is.
+        /// Description of the value found.
         found: String,
     },
-    /// A key that must be there is not.
+    /// A required key is missing.
     #[error("the key `{missing}` is missing")]
     #[diagnostic(code(tc::config::missing_key), help("add `{missing} = …`, {expected}"))]
     MissingKey {
         /// The key.
         missing: String,
-        /// What its value must be.
+        /// Description of the expected type.
         expected: String,
     },
-    /// A name cannot be used in paths and addresses.
+    /// A name that cannot be used in paths and addresses: it is empty, too long or has characters that are not
+    /// allowed.
     #[error("{name:?} cannot be a name")]
     #[diagnostic(
         code(tc::config::bad_name),
@@ -139,37 +140,37 @@
         /// The name.
         name: String,
     },
-    /// A service is named that is not configured.
+    /// A reference to a service that is not configured.
     #[error("there is no service {name:?}")]
     #[diagnostic(code(tc::config::unknown_service), help("{}", suggest(nearest.as_ref(), known)))]
     UnknownService {
         /// The name.
         name: String,
-        /// The service most like it.
+        /// The most similar service name.
         nearest: Option<String>,
-        /// All services.
+        /// All service names.
         known: String,
     },
-    /// A model is named that is not configured.
+    /// A reference to a model that is not configured.
     #[error("there is no model {name:?}")]
     #[diagnostic(code(tc::config::unknown_model), help("{}", suggest(nearest.as_ref(), known)))]
     UnknownModel {
         /// The name.
         name: String,
-        /// The model most like it.
+        /// The most similar model name.
         nearest: Option<String>,
-        /// All models.
+        /// All model names.
         known: String,
     },
-    /// A workspace is named that is not configured.
+    /// A reference to a workspace that is not configured.
     #[error("there is no workspace {name:?}")]
     #[diagnostic(code(tc::config::unknown_workspace), help("{}", suggest(nearest.as_ref(), known)))]
     UnknownWorkspace {
         /// The name.
         name: String,
-        /// The workspace most like it.
+        /// The most similar workspace name.
         nearest: Option<String>,
-        /// All workspaces.
+        /// All workspace names.
         known: String,
     },
     /// A pipeline has no stages.
@@ -209,17 +210,19 @@
         /// The priority.
         found: u8,
     },
-    /// A number must be above zero.
+    /// A number that must be finite and above zero is not.
     #[error("{found} is not above zero")]
     #[diagnostic(
         code(tc::config::not_positive),
-        help("use a finite number above zero; leave an optional key out when it shall not bind")
+        help(
+            "use a finite number above zero; leave an optional key out when no limit should apply"
+        )
     )]
     NotPositive {
         /// The number.
         found: String,
     },
-    /// A number must lie in a range.
+    /// A number is outside its allowed range.
     #[error("{found} is not {range}")]
     #[diagnostic(code(tc::config::out_of_range), help("use a number {range}"))]
     OutOfRange {
@@ -228,7 +231,7 @@
         /// The range in words.
         range: &'static str,
     },
-    /// A token hash is no SHA-256.
+    /// A token hash is not a SHA-256 hash in lower-case hexadecimal.
     #[error("not a SHA-256 in 64 lower-case hexadecimal digits")]
     #[diagnostic(
         code(tc::config::token_hash),
@@ -245,14 +248,14 @@
         /// The other workspace.
         other: String,
     },
-    /// Two upstreams have the same identifier.
+    /// Two upstreams have the same id.
     #[error("{id:?} is the id of another upstream in service {other:?} too")]
     #[diagnostic(
         code(tc::config::duplicate_upstream),
         help("upstream ids are unique over all services")
     )]
     DuplicateUpstream {
-        /// The identifier.
+        /// The upstream id.
         id: String,
         /// The service of the other upstream.
         other: String,
@@ -269,7 +272,7 @@
         /// The other upstream.
         other: String,
     },
-    /// An address nobody can connect to.
+    /// An address that cannot be connected to: unspecified, multicast or broadcast, or with port 0.
     #[error("nothing can be reached at {address}")]
     #[diagnostic(
         code(tc::config::unusable_address),
@@ -279,21 +282,21 @@
         /// The address.
         address: String,
     },
-    /// An engine service names no model.
+    /// An engine service without a model.
     #[error("an engine service needs a model")]
     #[diagnostic(
         code(tc::config::engine_without_model),
         help("add `model = \"…\"`, one of the [models] tables")
     )]
     EngineWithoutModel,
-    /// A service that is no engine names a model.
+    /// A model on a service whose kind is not `engine`.
     #[error("only services of kind \"engine\" have a model")]
     #[diagnostic(
         code(tc::config::model_without_engine),
         help("remove `model` or set `kind = \"engine\"`")
     )]
     ModelWithoutEngine,
-    /// Claims would be forgotten while their requests may still run.
+    /// Claims would expire while their requests may still run.
     #[error("{retention_s} s is shorter than the deadline of pipeline {pipeline:?}")]
     #[diagnostic(
         code(tc::config::retention_too_short),
@@ -306,18 +309,19 @@
         retention_s: u64,
         /// The pipeline with the longest deadline.
         pipeline: String,
-        /// Shortest retention that is safe, in seconds.
+        /// Shortest safe retention in seconds.
         needed_s: u64,
     },
-    /// The values fit the schema and the model still refuses them.
+    /// The values match the schema, but deserializing them into the configuration model failed.
     #[error("{problem}")]
     #[diagnostic(code(tc::config::refused), help("see docs/operators/configuration.md"))]
     Refused {
-        /// What the model said.
+        /// The error message of the deserializer.
         problem: String,
     },
 }
 
+/// Formats the help text for an unknown name: the most similar name, if any, and all known names.
 fn suggest(nearest: Option<&String>, known: &str) -> String {
     match nearest {
         Some(nearest) => format!("did you mean `{nearest}`? known here: {known}"),
--- a/crates/tc-config/src/folder.rs
+++ b/crates/tc-config/src/folder.rs
@@ -7,33 +7,33 @@
 
 use crate::{ConfigError, SourceFile};
 
-/// Most bytes the files of a folder may have together: the platform holds one object of a megabyte, and
-/// the files travel in it with some of their characters escaped.
+/// Maximum total size of the files in a folder, in bytes. The platform stores all files in one object of at
+/// most a megabyte, and escaping makes some of their characters longer there.
 pub const MAX_FOLDER_BYTES: u64 = 900_000;
 
-/// What a folder holds.
+/// The result of scanning a configuration folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FolderScan {
-    /// Configuration files in order of name.
+    /// Configuration files, sorted by name.
     pub files: Vec<SourceFile>,
-    /// Everything else in it, in order of name.
+    /// Entries that are not configuration files, sorted by name.
     pub ignored: Vec<IgnoredEntry>,
 }
 
 /// An entry of the folder that is not a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IgnoredEntry {
-    /// Its name.
+    /// The name of the entry.
     pub name: String,
-    /// Why it is no configuration file.
+    /// Why the entry is ignored.
     pub reason: &'static str,
 }
 
-/// Reads all `*.toml` files of a folder, sorted by name, and tells what it left out.
+/// Reads all `*.toml` files of a folder, sorted by name, and lists the entries it ignored.
 ///
 /// # Errors
-/// When the folder or a file cannot be read, when a `*.toml` entry is not a regular file or not UTF-8,
-/// and when the files are larger than [`MAX_FOLDER_BYTES`] together.
+/// Fails if the folder or a file cannot be read, if a `*.toml` entry is not a regular file or not UTF-8, if
+/// the name of an entry is not UTF-8, or if the total size of the files exceeds [`MAX_FOLDER_BYTES`].
 pub fn scan_folder(folder: &Path) -> Result<FolderScan, ConfigError> {
     let unreadable = |e: std::io::Error| ConfigError::Unreadable {
         path: folder.display().to_string(),
@@ -75,10 +75,10 @@
     Ok(scan)
 }
 
-/// The configuration files of a folder, sorted by name; see [`scan_folder`].
+/// Returns the configuration files of a folder, sorted by name; see [`scan_folder`].
 ///
 /// # Errors
-/// Those of [`scan_folder`].
+/// Returns the same errors as [`scan_folder`].
 ///
 /// ```
 /// # let folder = std::env::temp_dir().join(format!("tc-config-doc-{}", std::process::id()));
@@ -105,8 +105,8 @@
     }
 }
 
-/// Refuses links: the target may lie outside the folder, so that a change of it would be a change of the
-/// configuration which no diff of the folder shows.
+/// Returns the size of a regular file and rejects every other kind of entry. Symbolic links are rejected
+/// because the target may lie outside the folder, where a diff of the folder does not show its changes.
 fn regular_file_size(entry: &DirEntry) -> Result<u64, ConfigError> {
     let path = entry.path();
     let metadata = fs::symlink_metadata(&path).map_err(|e| ConfigError::Unreadable {
--- a/crates/tc-config/src/lib.rs
+++ b/crates/tc-config/src/lib.rs
@@ -1,9 +1,10 @@
 //! Merges a folder of configuration files in file-name order and validates the result.
 //!
-//! The way of a configuration through this crate: [`read_folder`] or [`object_files`] gives files,
-//! `tree` parses them with the place of every key, `overlay` lays them over each other, `decode`
-//! compares the outcome with the `schema`, `check` looks at what the values mean together. Each
-//! step collects every fault it finds, so that an operator sees them all in one run.
+//! A configuration is processed in these steps: [`read_folder`] or [`object_files`] provides the files,
+//! `tree` parses them and records the location of every key, `overlay` merges the parsed files, `decode`
+//! validates the result against the `schema`, and `check` validates the meaning of the values. Each
+//! step collects every fault it finds, so that an operator sees them all in one run. Files with syntax faults
+//! end the merge before `decode`; the faults of `decode` and `check` are reported together.
 
 mod check;
 mod decode;
--- a/crates/tc-config/src/merge.rs
+++ b/crates/tc-config/src/merge.rs
@@ -1,4 +1,4 @@
-//! From files to one valid configuration.
+//! Merges configuration files into one valid configuration.
 
 use tc_protocol::FleetConfig;
 
@@ -7,22 +7,22 @@
     tree::{self, Table},
 };
 
-/// A valid configuration and what an operator may want to know of its making.
+/// A valid configuration and the overrides that occurred while merging it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Merged {
     /// The configuration.
     pub config: FleetConfig,
-    /// Keys that a later file set to another value.
+    /// Keys that a later file set to a different value.
     pub overrides: Vec<Override>,
 }
 
-/// Merges files in order of their names and validates the result.
+/// Merges files in the order of their names and validates the result.
 ///
-/// The order in which the files are given does not matter.
+/// The order of `files` does not matter.
 ///
 /// # Errors
-/// [`ConfigError::Invalid`] with every fault found, [`ConfigError::Empty`], or
-/// [`ConfigError::SameFileName`].
+/// Returns [`ConfigError::Invalid`] with every fault found, [`ConfigError::Empty`] if no file contains a
+/// key, or [`ConfigError::SameFileName`] if two files have the same name.
 ///
 /// ```
 /// use tc_config::{SourceFile, merge};
@@ -38,10 +38,10 @@
     merge_with_overrides(files, revision).map(|merged| merged.config)
 }
 
-/// Like [`merge`], and tells which keys were overridden.
+/// Like [`merge`], but also returns which keys were overridden.
 ///
 /// # Errors
-/// Those of [`merge`].
+/// Returns the same errors as [`merge`].
 ///
 /// ```
 /// use tc_config::{SourceFile, merge_with_overrides};
@@ -93,8 +93,8 @@
 
 fn invalid(mut faults: Vec<Fault>) -> ConfigError {
     faults.sort_by(|a, b| {
-        let place = |f: &Fault| (f.file.name.clone(), f.span.offset());
-        place(a).cmp(&place(b))
+        let location = |f: &Fault| (f.file.name.clone(), f.span.offset());
+        location(a).cmp(&location(b))
     });
     ConfigError::Invalid { faults }
 }
--- a/crates/tc-config/src/nearest.rs
+++ b/crates/tc-config/src/nearest.rs
@@ -1,9 +1,9 @@
-//! Finds the word somebody meant.
+//! Finds the known word most similar to a mistyped one.
 
-/// Similarity from which a word is close enough to be suggested; below it, suggestions confuse.
+/// Minimum Jaro-Winkler similarity of a suggestion; less similar suggestions are confusing.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// The candidate most like `word`, if any is like it at all.
+/// Returns the candidate most similar to `word`, or `None` if no candidate is similar enough.
 ///
 /// ```
 /// assert_eq!(tc_config::nearest("dedline_ms", ["deadline_ms", "stages"]), Some("deadline_ms"));
--- a/crates/tc-config/src/overlay.rs
+++ b/crates/tc-config/src/overlay.rs
@@ -1,24 +1,24 @@
-//! Lays parsed files over each other: tables merge key by key, everything else is replaced.
+//! Merges parsed files: tables are merged key by key, and all other values, including arrays, are replaced.
 
 use std::fmt;
 
 use crate::{
-    source::Place,
+    source::Location,
     tree::{Item, Table, Value},
 };
 
-/// A key that a later file set to another value than an earlier one.
+/// A key that a later file set to a different value than an earlier file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Override {
-    /// The key with its tables, such as `pipelines.notices.deadline_ms`.
+    /// The full dotted key, such as `pipelines.notices.deadline_ms`.
     pub key: String,
-    /// The later file, whose value holds.
+    /// The later file, whose value takes effect.
     pub file: String,
-    /// Line in the later file.
+    /// Line in the later file, counted from 1.
     pub line: usize,
     /// The earlier file.
     pub earlier_file: String,
-    /// Line in the earlier file.
+    /// Line in the earlier file, counted from 1.
     pub earlier_line: usize,
 }
 
@@ -32,36 +32,40 @@
     }
 }
 
-/// Lays `later` over `base`, noting each value it changes.
-pub(crate) fn overlay(base: &mut Table, later: Table, notes: &mut Vec<Override>) {
-    overlay_at(base, later, "", notes);
+/// Merges `later` into `base` and adds an [`Override`] for each value that changes.
+pub(crate) fn overlay(base: &mut Table, later: Table, overrides: &mut Vec<Override>) {
+    overlay_tables(base, later, "", overrides);
 }
 
-fn overlay_at(base: &mut Table, later: Table, path: &str, notes: &mut Vec<Override>) {
+fn overlay_tables(base: &mut Table, later: Table, path: &str, overrides: &mut Vec<Override>) {
     for (key, item) in later {
         let path = join(path, &key);
         match base.get_mut(&key) {
             None => {
                 base.insert(key, item);
             }
-            Some(below) => replace(below, item, &path, notes),
+            Some(existing) => overlay_item(existing, item, &path, overrides),
         }
     }
 }
 
-fn replace(below: &mut Item, item: Item, path: &str, notes: &mut Vec<Override>) {
-    match (&mut below.value, item.value) {
-        (Value::Table(base), Value::Table(later)) => overlay_at(base, later, path, notes),
+fn overlay_item(existing: &mut Item, item: Item, path: &str, overrides: &mut Vec<Override>) {
+    match (&mut existing.value, item.value) {
+        (Value::Table(base), Value::Table(later)) => overlay_tables(base, later, path, overrides),
         (_, value) => {
-            if !below.value.same(&value) {
-                notes.push(note(path, &item.key_at, &below.key_at));
+            if !existing.value.has_same_content(&value) {
+                overrides.push(new_override(
+                    path,
+                    &item.key_location,
+                    &existing.key_location,
+                ));
             }
-            *below = Item { value, ..item };
+            *existing = Item { value, ..item };
         }
     }
 }
 
-fn note(path: &str, later: &Place, earlier: &Place) -> Override {
+fn new_override(path: &str, later: &Location, earlier: &Location) -> Override {
     Override {
         key: path.to_owned(),
         file: later.file.name.to_string(),
@@ -71,7 +75,7 @@
     }
 }
 
-/// One more step of a key path.
+/// Appends `key` to a dotted key path.
 pub(crate) fn join(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_owned()
--- a/crates/tc-config/src/source.rs
+++ b/crates/tc-config/src/source.rs
@@ -1,4 +1,4 @@
-//! A configuration file as text, and a place inside one.
+//! The text of a configuration file, and locations in it.
 
 use std::{ops::Range, sync::Arc};
 
@@ -7,14 +7,14 @@
 /// One configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceFile {
-    /// File name without its folder; decides the order of the merge.
+    /// File name without the folder; files are merged in the order of their names.
     pub name: Arc<str>,
-    /// Its text.
+    /// The content of the file.
     pub text: Arc<str>,
 }
 
 impl SourceFile {
-    /// A file from its name and text.
+    /// Creates a file from its name and text.
     ///
     /// ```
     /// let file = tc_config::SourceFile::new("10-models.toml", "[models.small]\nversion = \"1\"");
@@ -28,21 +28,21 @@
         }
     }
 
-    /// The line of the byte at `offset`, counted from 1.
+    /// Returns the line that contains the byte at `offset`, counted from 1.
     pub(crate) fn line(&self, offset: usize) -> usize {
         let before = self.text.as_bytes().iter().take(offset);
         before.filter(|byte| **byte == b'\n').count() + 1
     }
 }
 
-/// A range of bytes in a file.
+/// A byte range in a file.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
+pub(crate) struct Location {
     pub(crate) file: SourceFile,
     pub(crate) span: Range<usize>,
 }
 
-/// The files of the platform's configuration object, in order of name.
+/// Returns the files of the platform's configuration object, sorted by name.
 ///
 /// ```
 /// use tc_protocol::wire::{ConfigFile, ConfigObject};
--- a/crates/tc-config/src/tree.rs
+++ b/crates/tc-config/src/tree.rs
@@ -1,21 +1,21 @@
-//! Parsed files: values that know where they were written.
+//! Parses files into trees of values with their source locations.
 
 use std::{collections::BTreeMap, ops::Range};
 
 use toml::de::{DeTable, DeValue};
 
-use crate::{Fault, FaultKind, SourceFile, source::Place};
+use crate::{Fault, FaultKind, SourceFile, source::Location};
 
-/// Items by key.
+/// The items of a table by key.
 pub(crate) type Table = BTreeMap<String, Item>;
 
-/// A value and its places.
+/// A value with the locations of its key and of the value itself.
 #[derive(Clone, Debug)]
 pub(crate) struct Item {
-    /// Where the key is, or the value itself for an element of an array.
-    pub(crate) key_at: Place,
-    /// Where the value is.
-    pub(crate) at: Place,
+    /// Location of the key; for an array element, location of the value.
+    pub(crate) key_location: Location,
+    /// Location of the value.
+    pub(crate) value_location: Location,
     pub(crate) value: Value,
 }
 
@@ -25,14 +25,14 @@
     Integer(i64),
     Float(f64),
     Boolean(bool),
-    /// Dates, times and numbers beyond 64 bits: no key takes one.
+    /// Dates, times and numbers that cannot be represented in 64 bits; no key accepts them.
     Other(String),
     Array(Vec<Item>),
     Table(Table),
 }
 
 impl Value {
-    /// What it is, for messages.
+    /// Describes the value for fault messages.
     pub(crate) fn describe(&self) -> String {
         match self {
             Self::Text(text) => format!("the text {text:?}"),
@@ -45,27 +45,31 @@
         }
     }
 
-    /// Whether both say the same, wherever they were written.
-    pub(crate) fn same(&self, other: &Self) -> bool {
+    /// Returns whether both values are equal, ignoring their locations.
+    pub(crate) fn has_same_content(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Text(a), Self::Text(b)) | (Self::Other(a), Self::Other(b)) => a == b,
             (Self::Integer(a), Self::Integer(b)) => a == b,
             (Self::Float(a), Self::Float(b)) => a.to_bits() == b.to_bits(),
             (Self::Boolean(a), Self::Boolean(b)) => a == b,
             (Self::Array(a), Self::Array(b)) => {
-                a.len() == b.len() && a.iter().zip(b).all(|(a, b)| a.value.same(&b.value))
+                a.len() == b.len()
+                    && a.iter()
+                        .zip(b)
+                        .all(|(a, b)| a.value.has_same_content(&b.value))
             }
             (Self::Table(a), Self::Table(b)) => {
                 a.len() == b.len()
-                    && (a.iter().zip(b))
-                        .all(|((a_key, a), (b_key, b))| a_key == b_key && a.value.same(&b.value))
+                    && (a.iter().zip(b)).all(|((a_key, a), (b_key, b))| {
+                        a_key == b_key && a.value.has_same_content(&b.value)
+                    })
             }
             _ => false,
         }
     }
 }
 
-/// Parses one file; all its syntax faults are returned together.
+/// Parses a file, or returns all its syntax faults.
 pub(crate) fn parse(file: &SourceFile) -> Result<Table, Vec<Fault>> {
     let (root, errors) = DeTable::parse_recoverable(&file.text);
     if errors.is_empty() {
@@ -73,12 +77,12 @@
     }
     let faults = errors.iter().map(|e| {
         let end = file.text.len();
-        let place = Place {
+        let location = Location {
             file: file.clone(),
             span: e.span().unwrap_or(end..end),
         };
         let problem = e.message().to_owned();
-        Fault::new(&place, "", FaultKind::Syntax { problem })
+        Fault::new(&location, "", FaultKind::Syntax { problem })
     });
     Err(faults.collect())
 }
@@ -91,19 +95,24 @@
     items.collect()
 }
 
-fn item(file: &SourceFile, key: Range<usize>, at: Range<usize>, value: DeValue<'_>) -> Item {
-    let place = |span| Place {
+fn item(
+    file: &SourceFile,
+    key_span: Range<usize>,
+    value_span: Range<usize>,
+    value: DeValue<'_>,
+) -> Item {
+    let location = |span| Location {
         file: file.clone(),
         span,
     };
     Item {
-        key_at: place(key),
-        at: place(at),
-        value: convert(file, value),
+        key_location: location(key_span),
+        value_location: location(value_span),
+        value: convert_value(file, value),
     }
 }
 
-fn convert(file: &SourceFile, value: DeValue<'_>) -> Value {
+fn convert_value(file: &SourceFile, value: DeValue<'_>) -> Value {
     match value {
         DeValue::String(text) => Value::Text(text.into_owned()),
         DeValue::Integer(number) => {
@@ -127,14 +136,14 @@
     }
 }
 
-/// The item that a path leads to, or the last one on the way to it.
-pub(crate) fn deepest<'a>(root: &'a Table, path: &[&str]) -> Option<&'a Item> {
-    let (first, rest) = path.split_first()?;
+/// Returns the item at `path`, or the deepest existing item on the way to it.
+pub(crate) fn deepest_item<'a>(root: &'a Table, path: &[&str]) -> Option<&'a Item> {
+    let (first, remaining) = path.split_first()?;
     let mut found = root.get(*first)?;
-    for step in rest {
+    for segment in remaining {
         let next = match &found.value {
-            Value::Table(table) => table.get(*step),
-            Value::Array(items) => step.parse::<usize>().ok().and_then(|i| items.get(i)),
+            Value::Table(table) => table.get(*segment),
+            Value::Array(items) => segment.parse::<usize>().ok().and_then(|i| items.get(i)),
             _ => None,
         };
         let Some(next) = next else { break };
