--- a/crates/tc-config/tests/config/base.rs
+++ b/crates/tc-config/tests/config/base.rs
@@ -1,8 +1,8 @@
-//! A valid configuration for the tests to change.
+//! A valid base configuration and helpers to build variants of it.
 
 use tc_config::{ConfigError, SourceFile, merge};
 
-/// Three services, two workspaces, one pipeline.
+/// A valid configuration with one model, three services, two workspaces and one pipeline.
 pub(crate) const BASE: &str = r#"
 [models.draft]
 version = "7"
@@ -37,7 +37,7 @@
 ]
 "#;
 
-/// [`BASE`] with a later file over it.
+/// Merges [`BASE`] with a later file that contains `change`.
 pub(crate) fn with_change(change: &str) -> Result<tc_protocol::FleetConfig, ConfigError> {
     merge(
         &files(&[("10-base.toml", BASE), ("20-change.toml", change)]),
@@ -45,7 +45,7 @@
     )
 }
 
-/// Files from names and texts.
+/// Creates source files from pairs of name and text.
 pub(crate) fn files(texts: &[(&str, &str)]) -> Vec<SourceFile> {
     let files = texts.iter();
     files
--- a/crates/tc-config/tests/config/faults.rs
+++ b/crates/tc-config/tests/config/faults.rs
@@ -1,18 +1,18 @@
-//! Every kind of fault an operator can write, with the place and the help that come with it.
+//! Tests of the faults reported for invalid configurations: code, key, line and help text.
 
 use crate::base::with_change;
 use miette::Diagnostic;
 use tc_config::{ConfigError, Fault};
 use tc_protocol::TcError;
 
-/// A change over the base configuration, and the one fault it must bring.
+/// A change to the base configuration and the single fault it must cause.
 struct Case {
     change: &'static str,
     code: &'static str,
     key: &'static str,
     line: usize,
-    /// A part of the message with its help.
-    says: &'static str,
+    /// Text that the message or its help must contain.
+    expected_text: &'static str,
 }
 
 const fn case(
@@ -20,14 +20,14 @@
     code: &'static str,
     key: &'static str,
     line: usize,
-    says: &'static str,
+    expected_text: &'static str,
 ) -> Case {
     Case {
         change,
         code,
         key,
         line,
-        says,
+        expected_text,
     }
 }
 
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn each_fault_points_at_its_file_line_and_key() {
+fn each_fault_has_its_code_key_line_and_help() {
     for case in CASES {
         let faults = faults(case.change);
         assert_eq!(faults.len(), 1, "{}: {faults:?}", case.change);
@@ -117,7 +117,7 @@
         assert_eq!(fault.line(), case.line, "{}", case.change);
         let help = fault.help().expect("a help text");
         let text = format!("{fault}\n{help}");
-        assert!(text.contains(case.says), "{}: {text}", case.change);
+        assert!(text.contains(case.expected_text), "{}: {text}", case.change);
     }
 }
 
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn the_central_error_keeps_place_and_all_faults() {
+fn conversion_to_tc_error_keeps_the_location_and_all_faults() {
     let error = with_change("[policy]\nshard_size = 0\nhedge_ratio = 9").expect_err("faults");
     let TcError::Config {
         problem, at, help, ..
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_token_is_named_by_its_hash_only() {
+fn a_shared_token_fault_does_not_show_the_token_hash() {
     let shared = format!("[workspaces.trinacria]\ntoken_sha256 = \"{TOKEN_OF_LINTAS}\"");
     let message = faults(&shared)[0].to_string();
     assert!(!message.contains(TOKEN_OF_LINTAS), "{message}");
--- a/crates/tc-config/tests/config/folder.rs
+++ b/crates/tc-config/tests/config/folder.rs
@@ -1,4 +1,4 @@
-//! Reading a folder: what is taken, what is left out, what is refused.
+//! Tests of reading a folder: which entries are read, ignored or rejected.
 
 use std::{
     fs,
@@ -7,7 +7,7 @@
 
 use tc_config::{ConfigError, read_folder, scan_folder};
 
-/// A folder that is removed with its content when dropped.
+/// A temporary folder that is deleted when dropped.
 struct TempFolder(PathBuf);
 
 impl TempFolder {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn files_are_sorted_and_the_rest_is_left_out_with_a_reason() {
+fn files_are_sorted_and_other_entries_are_ignored_with_a_reason() {
     let folder = TempFolder::new("sorted");
     folder
         .write("b.toml", "")
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn entries_that_cannot_be_merged_are_refused() {
+fn folders_that_cannot_be_merged_are_rejected() {
     type Prepare = fn(&TempFolder) -> PathBuf;
     let cases: &[(&str, Prepare, &str)] = &[
         ("missing", |f| f.0.join("no-such-folder"), "cannot read"),
@@ -76,7 +76,7 @@
         (
             "link",
             |f| {
-                link(&f.write("real", "").0.join("real"), &f.0.join("a.toml"));
+                create_symlink(&f.write("real", "").0.join("real"), &f.0.join("a.toml"));
                 f.0.clone()
             },
             "is a symbolic link, not a file",
@@ -102,10 +102,10 @@
             "900000 are allowed",
         ),
     ];
-    for (name, prepare, says) in cases {
+    for (name, prepare, expected_text) in cases {
         let folder = TempFolder::new(name);
         let error = read_folder(&prepare(&folder)).expect_err(name);
-        assert!(error.to_string().contains(says), "{name}: {error}");
+        assert!(error.to_string().contains(expected_text), "{name}: {error}");
         assert!(
             miette::Diagnostic::help(&error).is_some(),
             "{name} has no help"
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_name_that_is_not_utf8_is_refused() {
+fn a_name_that_is_not_utf8_is_rejected() {
     use std::{ffi::OsStr, os::unix::ffi::OsStrExt};
     let folder = TempFolder::new("name");
     fs::write(folder.0.join(OsStr::from_bytes(b"a\xff.toml")), "").expect("written");
@@ -125,6 +125,6 @@
     );
 }
 
-fn link(target: &Path, link: &Path) {
+fn create_symlink(target: &Path, link: &Path) {
     std::os::unix::fs::symlink(target, link).expect("linked");
 }
--- a/crates/tc-config/tests/config/fuzz.rs
+++ b/crates/tc-config/tests/config/fuzz.rs
@@ -1,11 +1,11 @@
-//! Properties of the merge under arbitrary input.
+//! Property tests of the merge with arbitrary input.
 
 use crate::base::BASE;
 use bolero::generator::produce;
 use tc_config::{SourceFile, merge, merge_with_overrides};
 
-/// Whole tables that an operator may write.
-const SOUND: &[&str] = &[
+/// Valid fragments that do not depend on other fragments.
+const VALID_FRAGMENTS: &[&str] = &[
     "[models.draft]\nversion = \"7\"\n",
     "[models.draft]\nversion = \"8\"\nfloor = 3\n",
     "[services.encode]\nkind = \"pool\"\n",
@@ -18,8 +18,8 @@
     "[policy]\nshard_size = 7\nclaim_retention_s = 9223372036854775807\n",
 ];
 
-/// Tables that are wrong, or only right beside another one.
-const DOUBTFUL: &[&str] = &[
+/// Fragments that are invalid, or valid only together with another fragment.
+const FALLIBLE_FRAGMENTS: &[&str] = &[
     "[pipelines.p]\ndeadline_ms = 100\nstages = [{ name = \"s\", service = \"encode\" }]\n",
     "[pipelines.p]\ndeadline_ms = 200\n",
     "[pipelines]\np = 3\n",
@@ -30,23 +30,23 @@
     "[\n",
 ];
 
-/// Bytes from here up pick a doubtful table.
-const FIRST_DOUBTFUL: u8 = 0xe0;
+/// Bytes from this value up select a fragment from [`FALLIBLE_FRAGMENTS`].
+const FIRST_FALLIBLE: u8 = 0xe0;
 
-/// Enough files for every kind of override.
+/// Maximum number of files in a merge; enough to produce every kind of override.
 const MAX_FILES: usize = 8;
 
-/// One file for each byte, its fragment chosen by the byte.
-fn pick(picks: &[u8]) -> Vec<SourceFile> {
-    let picks = picks.iter().take(MAX_FILES).enumerate();
-    picks
-        .map(|(i, pick)| {
-            let tables = if *pick < FIRST_DOUBTFUL {
-                SOUND
+/// Creates one file per byte, up to [`MAX_FILES`], with the fragment that the byte selects.
+fn files_from_bytes(selectors: &[u8]) -> Vec<SourceFile> {
+    let selectors = selectors.iter().take(MAX_FILES).enumerate();
+    selectors
+        .map(|(i, selector)| {
+            let fragments = if *selector < FIRST_FALLIBLE {
+                VALID_FRAGMENTS
             } else {
-                DOUBTFUL
+                FALLIBLE_FRAGMENTS
             };
-            let text = tables[usize::from(*pick) % tables.len()];
+            let text = fragments[usize::from(*selector) % fragments.len()];
             SourceFile::new(&format!("{i}.toml"), text)
         })
         .collect()
@@ -64,9 +64,9 @@
 fn damaged_configurations_never_panic() {
     tc_fuzz::check(2000, produce::<Vec<(u16, u8)>>(), |damage| {
         let mut bytes = BASE.as_bytes().to_vec();
-        for (at, byte) in damage {
-            let at = usize::from(*at) % bytes.len();
-            bytes[at] = *byte;
+        for (offset, byte) in damage {
+            let offset = usize::from(*offset) % bytes.len();
+            bytes[offset] = *byte;
         }
         let text = String::from_utf8_lossy(&bytes);
         if let Err(error) = merge(&[SourceFile::new("a.toml", &text)], 1) {
@@ -79,16 +79,16 @@
 
 #[test]
 fn the_order_in_which_files_are_given_does_not_matter() {
-    tc_fuzz::check(2000, produce::<(Vec<u8>, u8)>(), |(picks, turn)| {
-        let sorted = pick(picks);
-        let mut turned = sorted.clone();
-        turned.rotate_left(usize::from(*turn) % sorted.len().max(1));
-        if turn & 0x80 != 0 {
-            turned.reverse();
+    tc_fuzz::check(2000, produce::<(Vec<u8>, u8)>(), |(selectors, rotation)| {
+        let sorted = files_from_bytes(selectors);
+        let mut reordered = sorted.clone();
+        reordered.rotate_left(usize::from(*rotation) % sorted.len().max(1));
+        if rotation & 0x80 != 0 {
+            reordered.reverse();
         }
         match (
             merge_with_overrides(&sorted, 1),
-            merge_with_overrides(&turned, 1),
+            merge_with_overrides(&reordered, 1),
         ) {
             (Ok(a), Ok(b)) => assert_eq!(a, b),
             (Err(a), Err(b)) => assert_eq!(format!("{a:?}"), format!("{b:?}")),
@@ -102,7 +102,7 @@
     let starts: Vec<usize> = BASE.match_indices("\n[").map(|(at, _)| at).collect();
     let whole = merge(&[SourceFile::new("a.toml", BASE)], 1).expect("valid");
     tc_fuzz::check(500, produce::<(u8, u8)>(), |(first, second)| {
-        let cut = |pick: &u8| starts[usize::from(*pick) % starts.len()];
+        let cut = |selector: &u8| starts[usize::from(*selector) % starts.len()];
         let (low, high) = (cut(first).min(cut(second)), cut(first).max(cut(second)));
         let parts = [
             SourceFile::new("c.toml", &BASE[..low]),
--- a/crates/tc-config/tests/config/main.rs
+++ b/crates/tc-config/tests/config/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the merge by feature.
+//! Tests of reading, merging and validating configuration files.
 
 mod base;
 mod faults;
--- a/crates/tc-config/tests/config/merge.rs
+++ b/crates/tc-config/tests/config/merge.rs
@@ -1,4 +1,4 @@
-//! How files combine: order, overrides, defaults, differences.
+//! Tests of merging files: order, overrides, defaults and differences.
 
 use crate::base::{BASE, files, with_change};
 use tc_config::{ConfigError, diff, merge, merge_with_overrides};
@@ -27,28 +27,28 @@
 }
 
 #[test]
-fn overrides_are_noted_with_both_places() {
+fn overrides_name_both_locations() {
     let change = "[pipelines.notices]\ndeadline_ms = 900\nworkspaces = [\"lintas\"]";
     let files = files(&[("10-base.toml", BASE), ("20-change.toml", change)]);
-    let notes = merge_with_overrides(&files, 1).expect("valid").overrides;
-    let notes: Vec<_> = notes.iter().map(ToString::to_string).collect();
+    let overrides = merge_with_overrides(&files, 1).expect("valid").overrides;
+    let overrides: Vec<_> = overrides.iter().map(ToString::to_string).collect();
     let line = 1 + BASE[..BASE.find("deadline_ms").expect("there")]
         .matches('\n')
         .count();
     let expected =
         format!("20-change.toml:2 overrides pipelines.notices.deadline_ms of 10-base.toml:{line}");
-    assert_eq!(notes, [expected], "an equal value is no override");
+    assert_eq!(overrides, [expected], "an equal value is not an override");
 }
 
 #[test]
-fn names_decide_the_order() {
+fn files_are_merged_in_name_order() {
     let (ten, nine) = ("[policy]\nshard_size = 10", "[policy]\nshard_size = 9");
     let config = merge(&files(&[("9.toml", nine), ("10.toml", ten)]), 1).expect("valid");
     assert_eq!(config.policy.shard_size, 9, "10.toml sorts before 9.toml");
 }
 
 #[test]
-fn nothing_to_merge_is_an_error() {
+fn empty_configurations_and_duplicate_file_names_are_rejected() {
     for texts in [&[][..], &[("a.toml", "# only a comment\n")]] {
         let error = merge(&files(texts), 1).expect_err("empty");
         assert!(matches!(error, ConfigError::Empty), "{error:?}");
@@ -60,10 +60,10 @@
     );
 }
 
-/// Every key of the model with a value that is not its default.
+/// Returns a configuration in which every key of the model has a value other than its default.
 ///
-/// A key added to the model stops this from compiling; one that the schema lacks fails the test below.
-fn everything() -> FleetConfig {
+/// A key added to the model breaks compilation here; a key that the schema lacks fails the test below.
+fn config_with_every_key() -> FleetConfig {
     let upstream = Upstream {
         id: "e1".into(),
         address: "10.0.0.1:9000".parse().expect("an address"),
@@ -128,7 +128,7 @@
 
 #[test]
 fn every_key_of_the_model_can_be_written() {
-    let config = everything();
+    let config = config_with_every_key();
     let mut table = toml::Table::try_from(&config).expect("serialises");
     table.remove("revision");
     let text = table.to_string();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn keys_left_out_have_the_models_defaults() {
+fn omitted_keys_have_the_defaults_of_the_model() {
     let config = with_change("").expect("valid");
     assert_eq!(config.policy, Policy::default());
     assert_eq!(config.services["encode"].slots, 8);
