--- a/crates/tc-fuzz/src/lib.rs
+++ b/crates/tc-fuzz/src/lib.rs
@@ -50,10 +50,10 @@
 /// ```
 /// use bolero::generator::produce;
 /// let mut seen = Vec::new();
-/// tc_fuzz::check_again(&[7, 7], produce::<u64>(), |value| seen.push(*value));
+/// tc_fuzz::replay(&[7, 7], produce::<u64>(), |value| seen.push(*value));
 /// assert_eq!(seen[0], seen[1]);
 /// ```
-pub fn check_again<G>(seeds: &[u128], generator: G, test: impl FnMut(&G::Output))
+pub fn replay<G>(seeds: &[u128], generator: G, test: impl FnMut(&G::Output))
 where
     G: ValueGenerator,
     G::Output: Debug,
--- a/crates/tc-policy/tests/home_fuzz/main.rs
+++ b/crates/tc-policy/tests/home_fuzz/main.rs
@@ -65,5 +65,5 @@
 #[test]
 fn regression_inputs_pass() {
     let ops = produce::<Vec<Op>>().with().len(0..200_usize);
-    tc_fuzz::check_again(&REGRESSIONS, ops, |ops| run(ops));
+    tc_fuzz::replay(&REGRESSIONS, ops, |ops| run(ops));
 }
--- a/crates/tc-telemetry/src/error.rs
+++ b/crates/tc-telemetry/src/error.rs
@@ -21,7 +21,7 @@
     /// Something of this process has set up the same before.
     #[error("{what} are already set up: {problem}")]
     #[diagnostic(code(tc::telemetry::twice))]
-    Twice {
+    AlreadyInitialized {
         /// Logs, metrics or traces.
         what: &'static str,
         /// What the library said.
--- a/crates/tc-telemetry/src/lib.rs
+++ b/crates/tc-telemetry/src/lib.rs
@@ -8,7 +8,9 @@
 mod traces;
 
 pub use error::TelemetryError;
-pub use logs::{GateVerdict, QueueWriter, RateGate, init_logs, init_logs_on_stdout, json_logger};
+pub use logs::{
+    LogDecision, LogRateLimiter, QueueWriter, init_logs, init_logs_on_stdout, json_logger,
+};
 pub use metric_table::{Label, LabelBound, METRICS, Metric, MetricKind, MetricUnit};
 pub use recorder::{MetricsHandle, init_metrics};
 pub use trace_context::TraceContext;
--- a/crates/tc-telemetry/src/logs/mod.rs
+++ b/crates/tc-telemetry/src/logs/mod.rs
@@ -1,12 +1,12 @@
 //! Logs as JSON lines.
 
-mod gate;
 mod line;
 mod mask;
 mod queue;
+mod rate_limiter;
 
-pub use gate::{GateVerdict, RateGate};
 pub use queue::QueueWriter;
+pub use rate_limiter::{LogDecision, LogRateLimiter};
 
 use std::{
     hash::Hasher,
@@ -33,7 +33,7 @@
     builder(level)?
         .target(Target::Stderr)
         .try_init()
-        .map_err(|e| TelemetryError::Twice {
+        .map_err(|e| TelemetryError::AlreadyInitialized {
             what: "logs",
             problem: e.to_string(),
         })
@@ -43,7 +43,7 @@
 ///
 /// Fails as [`init_logs`] does, and when the thread that writes cannot be started.
 pub fn init_logs_on_stdout(level: &str) -> Result<(), TelemetryError> {
-    let twice = |problem: String| TelemetryError::Twice {
+    let twice = |problem: String| TelemetryError::AlreadyInitialized {
         what: "logs",
         problem,
     };
@@ -69,7 +69,7 @@
 
 fn builder(level: &str) -> Result<Builder, TelemetryError> {
     check_level(level)?;
-    let gate = Arc::new(RateGate::new(LINES_PER_SECOND));
+    let gate = Arc::new(LogRateLimiter::new(LINES_PER_SECOND));
     let mut builder = Builder::new();
     builder
         .parse_filters(level)
@@ -92,16 +92,16 @@
 }
 
 fn write_gated(
-    gate: &RateGate,
+    gate: &LogRateLimiter,
     buf: &mut env_logger::fmt::Formatter,
     record: &Record<'_>,
 ) -> io::Result<()> {
     match gate.admit(call_site(record), MonoTime::now()) {
-        GateVerdict::Suppress => {
+        LogDecision::Suppress => {
             metrics::counter!("tc_log_lines_suppressed_total").increment(1);
             Ok(())
         }
-        GateVerdict::Write { suppressed } => {
+        LogDecision::Write { suppressed } => {
             let time = buf.timestamp_millis().to_string();
             line::write_line(buf, &time, record, suppressed)
         }
--- a/crates/tc-telemetry/src/logs/gate.rs
+++ b/crates/tc-telemetry/src/logs/rate_limiter.rs
@@ -20,22 +20,22 @@
 ///
 /// ```
 /// use tc_protocol::MonoTime;
-/// use tc_telemetry::{GateVerdict, RateGate};
-/// let gate = RateGate::new(1);
-/// assert_eq!(gate.admit(7, MonoTime::from_millis(0)), GateVerdict::Write { suppressed: 0 });
-/// assert_eq!(gate.admit(7, MonoTime::from_millis(1)), GateVerdict::Suppress);
-/// assert_eq!(gate.admit(8, MonoTime::from_millis(2)), GateVerdict::Write { suppressed: 0 });
-/// assert_eq!(gate.admit(7, MonoTime::from_millis(1_000)), GateVerdict::Write { suppressed: 1 });
+/// use tc_telemetry::{LogDecision, LogRateLimiter};
+/// let gate = LogRateLimiter::new(1);
+/// assert_eq!(gate.admit(7, MonoTime::from_millis(0)), LogDecision::Write { suppressed: 0 });
+/// assert_eq!(gate.admit(7, MonoTime::from_millis(1)), LogDecision::Suppress);
+/// assert_eq!(gate.admit(8, MonoTime::from_millis(2)), LogDecision::Write { suppressed: 0 });
+/// assert_eq!(gate.admit(7, MonoTime::from_millis(1_000)), LogDecision::Write { suppressed: 1 });
 /// ```
 #[derive(Debug)]
-pub struct RateGate {
+pub struct LogRateLimiter {
     lines_per_window: u32,
     sites: Mutex<HashMap<u64, Window>>,
 }
 
 /// Whether a line may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GateVerdict {
+pub enum LogDecision {
     /// Write it.
     Write {
         /// Lines of the same place that were suppressed since the last one written.
@@ -52,7 +52,7 @@
     suppressed: u64,
 }
 
-impl RateGate {
+impl LogRateLimiter {
     /// Lets each place write `lines_per_second` lines in a second.
     #[must_use]
     pub fn new(lines_per_second: u32) -> Self {
@@ -63,7 +63,7 @@
     }
 
     /// Decides on one line of `site` at `now`.
-    pub fn admit(&self, site: u64, now: MonoTime) -> GateVerdict {
+    pub fn admit(&self, site: u64, now: MonoTime) -> LogDecision {
         let mut sites = self.sites.lock().unwrap_or_else(PoisonError::into_inner);
         let known = sites.len() < MAX_SITES || sites.contains_key(&site);
         let site = if known { site } else { SHARED_SITE };
@@ -78,10 +78,10 @@
         }
         if window.lines >= self.lines_per_window {
             window.suppressed += 1;
-            return GateVerdict::Suppress;
+            return LogDecision::Suppress;
         }
         window.lines += 1;
-        GateVerdict::Write {
+        LogDecision::Write {
             suppressed: std::mem::take(&mut window.suppressed),
         }
     }
--- a/crates/tc-telemetry/src/metric_table.rs
+++ b/crates/tc-telemetry/src/metric_table.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LabelBound {
     /// Words of the code, at most so many.
-    Words(u32),
+    FixedSet(u32),
     /// Services of the configuration.
     Services,
     /// Stage names of the configuration, and its plain services.
@@ -59,7 +59,7 @@
     /// Its labels, in the order of the code that reports it.
     pub labels: &'static [Label],
     /// What it tells.
-    pub meaning: &'static str,
+    pub summary: &'static str,
 }
 
 const KIND: Label = words("kind", 19);
@@ -93,7 +93,7 @@
 const fn words(name: &'static str, most: u32) -> Label {
     Label {
         name,
-        bound: LabelBound::Words(most),
+        bound: LabelBound::FixedSet(most),
     }
 }
 
@@ -155,39 +155,39 @@
     count("tc_upstreams_leaving_total", &[], "Upstreams that announced in an answer here that they are leaving."),
 ];
 
-const fn count(name: &'static str, labels: &'static [Label], meaning: &'static str) -> Metric {
+const fn count(name: &'static str, labels: &'static [Label], summary: &'static str) -> Metric {
     Metric {
         name,
         kind: MetricKind::Counter,
         unit: MetricUnit::Count,
         labels,
-        meaning,
+        summary,
     }
 }
 
-const fn gauge(name: &'static str, labels: &'static [Label], meaning: &'static str) -> Metric {
+const fn gauge(name: &'static str, labels: &'static [Label], summary: &'static str) -> Metric {
     Metric {
         kind: MetricKind::Gauge,
-        ..count(name, labels, meaning)
+        ..count(name, labels, summary)
     }
 }
 
 const fn gauge_millis(
     name: &'static str,
     labels: &'static [Label],
-    meaning: &'static str,
+    summary: &'static str,
 ) -> Metric {
     Metric {
         unit: MetricUnit::Milliseconds,
-        ..gauge(name, labels, meaning)
+        ..gauge(name, labels, summary)
     }
 }
 
-const fn millis(name: &'static str, labels: &'static [Label], meaning: &'static str) -> Metric {
+const fn millis(name: &'static str, labels: &'static [Label], summary: &'static str) -> Metric {
     Metric {
         kind: MetricKind::Histogram,
         unit: MetricUnit::Milliseconds,
-        ..count(name, labels, meaning)
+        ..count(name, labels, summary)
     }
 }
 
@@ -202,10 +202,10 @@
     pub fn description(&self) -> String {
         let labels: Vec<&str> = self.labels.iter().map(|label| label.name).collect();
         match labels.as_slice() {
-            [] => self.meaning.to_owned(),
+            [] => self.summary.to_owned(),
             labels => format!(
                 "{}, by {}.",
-                self.meaning.trim_end_matches('.'),
+                self.summary.trim_end_matches('.'),
                 labels.join(" and ")
             ),
         }
--- a/crates/tc-telemetry/src/recorder.rs
+++ b/crates/tc-telemetry/src/recorder.rs
@@ -47,7 +47,7 @@
         })?
         .build_recorder();
     let prometheus = Arc::new(recorder.handle());
-    metrics::set_global_recorder(recorder).map_err(|e| TelemetryError::Twice {
+    metrics::set_global_recorder(recorder).map_err(|e| TelemetryError::AlreadyInitialized {
         what: "metrics",
         problem: e.to_string(),
     })?;
--- a/crates/tc-telemetry/src/traces.rs
+++ b/crates/tc-telemetry/src/traces.rs
@@ -60,9 +60,11 @@
     let subscriber = tracing_subscriber::registry()
         .with(filter_fn(is_own))
         .with(layer);
-    tracing::subscriber::set_global_default(subscriber).map_err(|e| TelemetryError::Twice {
-        what: "traces",
-        problem: e.to_string(),
+    tracing::subscriber::set_global_default(subscriber).map_err(|e| {
+        TelemetryError::AlreadyInitialized {
+            what: "traces",
+            problem: e.to_string(),
+        }
     })?;
     Ok(TraceGuard {
         provider: Some(provider),
--- a/crates/tc-telemetry/tests/logs.rs
+++ b/crates/tc-telemetry/tests/logs.rs
@@ -9,7 +9,7 @@
 use log::{Level, Log, Record};
 use serde_json::{Value, json};
 use tc_protocol::MonoTime;
-use tc_telemetry::{GateVerdict, RateGate, json_logger};
+use tc_telemetry::{LogDecision, LogRateLimiter, json_logger};
 
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<u8>>>);
@@ -135,7 +135,7 @@
 fn the_gate_holds_for_any_sequence() {
     const SHARE: u64 = 3;
     tc_fuzz::check(2_000, produce::<Vec<(u8, u16)>>(), |steps| {
-        let gate = RateGate::new(SHARE as u32);
+        let gate = LogRateLimiter::new(SHARE as u32);
         let mut now = 0;
         let mut written: Vec<Vec<u64>> = vec![Vec::new(); 4];
         let mut left_out = [0; 4];
@@ -143,8 +143,8 @@
             let site = usize::from(site % 4);
             now += u64::from(*pause % 700);
             match gate.admit(site as u64 + 1, MonoTime::from_millis(now)) {
-                GateVerdict::Suppress => left_out[site] += 1,
-                GateVerdict::Write { suppressed } => {
+                LogDecision::Suppress => left_out[site] += 1,
+                LogDecision::Write { suppressed } => {
                     assert_eq!(suppressed, std::mem::take(&mut left_out[site]));
                     written[site].push(now);
                 }
--- a/crates/tc-telemetry/tests/metrics.rs
+++ b/crates/tc-telemetry/tests/metrics.rs
@@ -65,7 +65,7 @@
     const STAGES: u64 = 60;
     const MOST_SERIES: u64 = 20_000;
     let values = |bound| match bound {
-        LabelBound::Words(most) => u64::from(most),
+        LabelBound::FixedSet(most) => u64::from(most),
         LabelBound::Services => SERVICES,
         LabelBound::Stages => STAGES,
         LabelBound::Workspaces => WORKSPACES,
@@ -116,7 +116,7 @@
     format!(
         "| `{name}` | {kind} | {unit} | {} | {} |",
         labels.join(", "),
-        metric.meaning
+        metric.summary
     )
 }
 
--- a/crates/tc-telemetry/tests/traces.rs
+++ b/crates/tc-telemetry/tests/traces.rs
@@ -78,7 +78,7 @@
     let guard = init_traces(Some(&endpoint), &"kl-a-1".into()).unwrap();
     assert!(matches!(
         init_traces(Some(&endpoint), &"kl-a-1".into()),
-        Err(TelemetryError::Twice { .. })
+        Err(TelemetryError::AlreadyInitialized { .. })
     ));
 
     let span = tracing::info_span!(target: "tc_caller", "request");
