--- a/crates/tc-telemetry/src/error.rs
+++ b/crates/tc-telemetry/src/error.rs
@@ -1,49 +1,49 @@
-//! What can go wrong while telemetry is set up.
+//! Errors of telemetry initialization.
 
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Logs, metrics or traces could not be set up.
+/// Why logs, metrics or traces could not be initialized.
 #[derive(Debug, Error, Diagnostic)]
 pub enum TelemetryError {
-    /// A part of the log level is not understood.
-    #[error("log level {directive:?} is not understood")]
+    /// A directive of the log level is invalid.
+    #[error("invalid log level directive {directive:?}")]
     #[diagnostic(
         code(tc::telemetry::log_level),
         help(
-            "use off, error, warn, info, debug or trace; for one module `tc_caller=debug`; join by commas"
+            "use off, error, warn, info, debug or trace; for one module `tc_caller=debug`; separate with commas"
         )
     )]
     LogLevel {
-        /// The part that is wrong.
+        /// The invalid directive.
         directive: String,
     },
-    /// Something of this process has set up the same before.
-    #[error("{what} are already set up: {problem}")]
+    /// The process has already initialized this part of telemetry.
+    #[error("{what} are already initialized: {problem}")]
     #[diagnostic(code(tc::telemetry::twice))]
     AlreadyInitialized {
-        /// Logs, metrics or traces.
+        /// `logs`, `metrics` or `traces`.
         what: &'static str,
-        /// What the library said.
+        /// Error of the library.
         problem: String,
     },
-    /// The settings of the metrics are wrong.
-    #[error("metrics cannot be set up: {problem}")]
+    /// The metrics recorder could not be built or its upkeep thread could not be started.
+    #[error("cannot initialize metrics: {problem}")]
     #[diagnostic(code(tc::telemetry::metrics))]
     Metrics {
-        /// What the library said.
+        /// Error of the library.
         problem: String,
     },
-    /// The exporter of traces could not be built.
-    #[error("traces cannot be sent to {endpoint}: {problem}")]
+    /// The trace exporter could not be built.
+    #[error("cannot export traces to {endpoint}: {problem}")]
     #[diagnostic(
         code(tc::telemetry::traces),
-        help("give the collector's OTLP address over gRPC, such as http://127.0.0.1:4317")
+        help("set the collector's OTLP/gRPC address, such as http://127.0.0.1:4317")
     )]
     Traces {
-        /// The collector's address as given.
+        /// Configured address of the collector.
         endpoint: String,
-        /// What is wrong.
+        /// Error of the runtime or the exporter.
         problem: String,
     },
 }
--- a/crates/tc-telemetry/src/lib.rs
+++ b/crates/tc-telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sets up JSON-line logs, metrics and traces.
+//! Initializes JSON logging, metrics and traces.
 
 mod error;
 mod logs;
--- a/crates/tc-telemetry/src/logs/line.rs
+++ b/crates/tc-telemetry/src/logs/line.rs
@@ -1,4 +1,4 @@
-//! One log record as one JSON object on one line.
+//! Formats a log record as a JSON object on one line.
 
 use std::{
     borrow::Cow,
@@ -13,14 +13,15 @@
 
 use super::mask::{is_secret_key, mask_secrets};
 
-/// Bytes of one message or value; the rest is cut, so that one line cannot be as large as a request.
+/// Maximum length of a message or value in bytes. Longer text is truncated, so that a line cannot be as large as a
+/// request.
 const MAX_TEXT_BYTES: usize = 4_096;
 const MASK: &str = "***";
-/// Keys the line itself uses; the same name in a record gets [`RENAMED`] before it.
-const OWN_KEYS: [&str; 5] = ["ts", "level", "target", "message", "suppressed"];
-const RENAMED: &str = "field_";
+/// Keys of the line itself; a record field with such a name gets the prefix [`FIELD_PREFIX`].
+const RESERVED_KEYS: [&str; 5] = ["ts", "level", "target", "message", "suppressed"];
+const FIELD_PREFIX: &str = "field_";
 
-/// Writes `ts`, `level`, `target`, `message`, the record's fields, and how many lines before it were suppressed.
+/// Writes `ts`, `level`, `target`, `message`, the record's fields, and the number of lines suppressed before it.
 pub(super) fn write_line(
     out: &mut impl Write,
     time: &str,
@@ -32,14 +33,14 @@
     map.serialize_entry("ts", time)?;
     map.serialize_entry("level", record.level().as_str())?;
     map.serialize_entry("target", record.target())?;
-    map.serialize_entry("message", &clean(&record.args().to_string()))?;
+    map.serialize_entry("message", &mask_and_truncate(&record.args().to_string()))?;
     let mut fields = Fields {
         map: &mut map,
-        failed: None,
+        error: None,
     };
-    // The visit only fails with the error kept in `failed`.
+    // The visit fails only with the error stored in `error`.
     let _ = record.key_values().visit(&mut fields);
-    if let Some(e) = fields.failed {
+    if let Some(e) = fields.error {
         return Err(e.into());
     }
     if suppressed > 0 {
@@ -51,7 +52,7 @@
 
 struct Fields<'a, M: SerializeMap> {
     map: &'a mut M,
-    failed: Option<M::Error>,
+    error: Option<M::Error>,
 }
 
 impl<'kvs, M: SerializeMap> VisitSource<'kvs> for Fields<'_, M> {
@@ -63,8 +64,8 @@
             write_value(self.map, &name, &value)
         };
         written.map_err(|e| {
-            self.failed = Some(e);
-            KvError::msg("the line cannot be written")
+            self.error = Some(e);
+            KvError::msg("cannot write the log line")
         })
     }
 }
@@ -83,20 +84,20 @@
     } else if let Some(flag) = value.to_bool() {
         map.serialize_entry(name, &flag)
     } else {
-        map.serialize_entry(name, &clean(&value.to_string()))
+        map.serialize_entry(name, &mask_and_truncate(&value.to_string()))
     }
 }
 
 fn field_name(key: &str) -> Cow<'_, str> {
-    if OWN_KEYS.contains(&key) {
-        Cow::Owned(format!("{RENAMED}{key}"))
+    if RESERVED_KEYS.contains(&key) {
+        Cow::Owned(format!("{FIELD_PREFIX}{key}"))
     } else {
         Cow::Borrowed(key)
     }
 }
 
-/// Masks what looks like a secret, then cuts: cutting first could leave half a secret unrecognised.
-fn clean(text: &str) -> String {
+/// Masks secrets, then truncates the text. Truncating first could leave part of a secret that is no longer recognized.
+fn mask_and_truncate(text: &str) -> String {
     let mut text = mask_secrets(text, MASK);
     if text.len() > MAX_TEXT_BYTES {
         text.truncate(text.floor_char_boundary(MAX_TEXT_BYTES));
--- a/crates/tc-telemetry/src/logs/mask.rs
+++ b/crates/tc-telemetry/src/logs/mask.rs
@@ -1,12 +1,12 @@
-//! Keeps secrets out of the log.
+//! Masks secrets in log lines.
 //!
-//! A bearer token in a log line is readable by everyone who may read logs, and is noticed only when it is misused. The
-//! code logs none on purpose; this catches what slips in with a quoted header or a peer's error text.
+//! A bearer token in a log line can be read by everyone with access to the logs, and the leak goes unnoticed until the
+//! token is misused. No code logs secrets on purpose; masking covers those in quoted headers or error texts of peers.
 
-/// Fields whose value is never written, wherever the name contains one of these.
+/// Substrings of field names whose value is always masked.
 const SECRET_KEYS: [&str; 5] = ["token", "authorization", "secret", "password", "credential"];
-/// Texts after which a secret follows, in lower case.
-const SECRET_MARKS: [&str; 8] = [
+/// Lowercase texts that precede a secret.
+const SECRET_PREFIXES: [&str; 8] = [
     "bearer ",
     "basic ",
     "token=",
@@ -17,43 +17,47 @@
     "authorization: ",
 ];
 
-/// Whether a field of this name holds a secret. Counts of tokens (`tokens_in`, `max_tokens`) do not.
+/// Returns whether a field with this name holds a secret. Token counts (`tokens_in`, `max_tokens`) do not.
 pub(super) fn is_secret_key(key: &str) -> bool {
     let key = key.to_ascii_lowercase();
     !key.contains("tokens") && SECRET_KEYS.iter().any(|secret| key.contains(secret))
 }
 
-/// Replaces every secret in `text` by `mask`.
+/// Replaces every secret in `text` with `mask`.
 pub(super) fn mask_secrets(text: &str, mask: &str) -> String {
     let lower = text.to_ascii_lowercase();
     let mut masked = String::with_capacity(text.len());
-    let mut kept_to = 0;
-    while let Some(start) = next_secret(&lower, kept_to) {
-        masked.push_str(&text[kept_to..start]);
+    let mut copied_to = 0;
+    while let Some(start) = next_secret(&lower, copied_to) {
+        masked.push_str(&text[copied_to..start]);
         masked.push_str(mask);
-        kept_to = start + secret_len(&text[start..]);
+        copied_to = start + secret_len(&text[start..]);
     }
-    masked.push_str(&text[kept_to..]);
+    masked.push_str(&text[copied_to..]);
     masked
 }
 
-/// Where the next secret begins. Of marks that follow each other (`authorization: bearer x`) the last one counts.
+/// Returns the start of the next secret, after the last of consecutive prefixes (`authorization: bearer x`).
 fn next_secret(lower: &str, from: usize) -> Option<usize> {
-    let mut start = first_mark_end(lower, from)?;
-    while let Some(end) = SECRET_MARKS.iter().find_map(|mark| {
+    let mut start = first_prefix_end(lower, from)?;
+    while let Some(end) = SECRET_PREFIXES.iter().find_map(|prefix| {
         lower[start..]
-            .starts_with(mark)
-            .then_some(start + mark.len())
+            .starts_with(prefix)
+            .then_some(start + prefix.len())
     }) {
         start = end;
     }
     Some(start)
 }
 
-fn first_mark_end(lower: &str, from: usize) -> Option<usize> {
-    SECRET_MARKS
+fn first_prefix_end(lower: &str, from: usize) -> Option<usize> {
+    SECRET_PREFIXES
         .iter()
-        .filter_map(|mark| lower[from..].find(mark).map(|at| from + at + mark.len()))
+        .filter_map(|prefix| {
+            lower[from..]
+                .find(prefix)
+                .map(|at| from + at + prefix.len())
+        })
         .min()
 }
 
--- a/crates/tc-telemetry/src/logs/mod.rs
+++ b/crates/tc-telemetry/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines.
+//! Logging as JSON lines.
 
 mod line;
 mod mask;
@@ -22,13 +22,13 @@
 
 use crate::error::TelemetryError;
 
-/// Lines one place in the code may log in a second.
+/// Maximum number of lines per second for each call site.
 const LINES_PER_SECOND: u32 = 20;
 
-/// Logs to standard error from now on, one JSON object a line.
+/// Installs a logger that writes one JSON object per line to standard error.
 ///
-/// `level` is a level, or levels by module: `info,tc_caller=debug`. Fails when a level is not understood or a logger
-/// is set already.
+/// `level` is a level or a list of levels by module, such as `info,tc_caller=debug`. Returns an error if a level is
+/// invalid or a logger is already installed.
 pub fn init_logs(level: &str) -> Result<(), TelemetryError> {
     builder(level)?
         .target(Target::Stderr)
@@ -39,22 +39,23 @@
         })
 }
 
-/// Logs the same lines to standard output, never blocking whoever logs: lines that nobody reads are dropped.
+/// Installs a logger that writes the same lines to standard output without blocking the logging thread. Lines are
+/// dropped while the output is not read.
 ///
-/// Fails as [`init_logs`] does, and when the thread that writes cannot be started.
+/// Returns an error in the same cases as [`init_logs`], and if the writer thread cannot be started.
 pub fn init_logs_on_stdout(level: &str) -> Result<(), TelemetryError> {
-    let twice = |problem: String| TelemetryError::AlreadyInitialized {
+    let init_error = |problem: String| TelemetryError::AlreadyInitialized {
         what: "logs",
         problem,
     };
-    let writer = QueueWriter::start(io::stdout()).map_err(|e| twice(e.to_string()))?;
+    let writer = QueueWriter::start(io::stdout()).map_err(|e| init_error(e.to_string()))?;
     builder(level)?
         .target(Target::Pipe(Box::new(writer)))
         .try_init()
-        .map_err(|e| twice(e.to_string()))
+        .map_err(|e| init_error(e.to_string()))
 }
 
-/// A logger that writes the same lines to `out`, without making it the process's logger.
+/// Returns a logger that writes the same lines to `out`, without installing it as the process's logger.
 ///
 /// ```
 /// use log::{Level, Log, Record};
@@ -69,16 +70,18 @@
 
 fn builder(level: &str) -> Result<Builder, TelemetryError> {
     check_level(level)?;
-    let gate = Arc::new(LogRateLimiter::new(LINES_PER_SECOND));
+    let limiter = Arc::new(LogRateLimiter::new(LINES_PER_SECOND));
     let mut builder = Builder::new();
     builder
         .parse_filters(level)
-        .format(move |buf, record| write_gated(&gate, buf, record));
+        .format(move |buf, record| write_rate_limited(&limiter, buf, record));
     Ok(builder)
 }
 
-/// The logging library only prints what it does not understand, and logs nothing: a mistyped level would be noticed
-/// when the lines are missed.
+/// Returns an error if a directive has an invalid level.
+///
+/// The logging library only prints a warning about an invalid directive and then logs nothing, so a mistyped level
+/// would go unnoticed until the lines are needed.
 fn check_level(level: &str) -> Result<(), TelemetryError> {
     for directive in level.split(',') {
         let name = directive.rsplit('=').next().unwrap_or_default().trim();
@@ -91,12 +94,12 @@
     Ok(())
 }
 
-fn write_gated(
-    gate: &LogRateLimiter,
+fn write_rate_limited(
+    limiter: &LogRateLimiter,
     buf: &mut env_logger::fmt::Formatter,
     record: &Record<'_>,
 ) -> io::Result<()> {
-    match gate.admit(call_site(record), MonoTime::now()) {
+    match limiter.admit(call_site(record), MonoTime::now()) {
         LogDecision::Suppress => {
             metrics::counter!("tc_log_lines_suppressed_total").increment(1);
             Ok(())
@@ -108,7 +111,7 @@
     }
 }
 
-/// Identifies the place in the code that logs.
+/// Returns a hash that identifies the call site of a record.
 fn call_site(record: &Record<'_>) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.write(record.target().as_bytes());
--- a/crates/tc-telemetry/src/logs/queue.rs
+++ b/crates/tc-telemetry/src/logs/queue.rs
@@ -1,8 +1,8 @@
-//! Lines go to standard output through a bounded queue and a thread of their own.
+//! Bounded queue and writer thread for log output.
 //!
-//! Whoever reads the output may stop. A write straight to the pipe would then block the thread that logs, seen as a
-//! process that hangs with every request; a queue without a bound would fill the memory. So lines beyond the bound are
-//! dropped and counted.
+//! The reader of the output may stop reading. A direct write to the pipe would then block the logging thread, and the
+//! process would hang on every request; an unbounded queue would exhaust memory. Lines that exceed the queue's capacity
+//! are dropped and counted.
 
 use std::{
     io::{self, Write},
@@ -10,10 +10,11 @@
     thread,
 };
 
-/// Lines that may wait: some seconds' worth at the most lines a process writes, and well under a megabyte.
-const WAITING_LINES: usize = 2_048;
+/// Maximum number of queued lines: a few seconds of output at the highest log rate of a process, and well below one
+/// megabyte.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// Puts whole lines into the queue; each write of the logger is one line. A write never blocks.
+/// Writer that queues log lines without blocking. Each write by the logger is one whole line.
 ///
 /// ```
 /// use std::io::Write;
@@ -25,19 +26,19 @@
 }
 
 impl QueueWriter {
-    /// Starts the thread that writes to `out`.
+    /// Starts a thread that writes the queued lines to `out`.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<Self> {
-        let (lines, waiting) = sync_channel(WAITING_LINES);
+        let (lines, queued) = sync_channel(QUEUE_CAPACITY);
         thread::Builder::new()
             .name("logs".to_owned())
-            .spawn(move || write_lines(&waiting, out))?;
+            .spawn(move || write_lines(&queued, out))?;
         Ok(Self { lines })
     }
 }
 
-fn write_lines(waiting: &Receiver<Vec<u8>>, mut out: impl Write) {
-    while let Ok(line) = waiting.recv() {
-        // Whoever read the output may be gone; the process serves on without its log.
+fn write_lines(queued: &Receiver<Vec<u8>>, mut out: impl Write) {
+    while let Ok(line) = queued.recv() {
+        // The reader may have closed the output; the process keeps serving without a log.
         let _ = out.write_all(&line);
         let _ = out.flush();
     }
--- a/crates/tc-telemetry/src/logs/rate_limiter.rs
+++ b/crates/tc-telemetry/src/logs/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Bounds how many lines one place in the code may log.
+//! Rate limit for the log lines of each call site.
 
 use std::{
     collections::HashMap,
@@ -9,39 +9,40 @@
 use tc_protocol::MonoTime;
 
 const WINDOW: Duration = Duration::from_secs(1);
-/// Places counted on their own; more share one budget, so that memory stays bounded whatever targets are made up.
-const MAX_SITES: usize = 4_096;
-const SHARED_SITE: u64 = 0;
+/// Maximum number of call sites with their own budget. Further call sites share one, so that memory stays bounded for
+/// any number of targets.
+const MAX_CALL_SITES: usize = 4_096;
+const SHARED_CALL_SITE: u64 = 0;
 
-/// Lets each place log so many lines a second, and counts the rest.
+/// Limits the number of lines per second for each call site and counts the suppressed lines.
 ///
-/// Under overload the same few places log for every refused call. Without a bound the log pipe fills, the write
-/// blocks, and the threads that should serve wait for the log, noticed as latency that grows with the log volume.
+/// Under overload, the same few call sites log for every refused call. Without a limit, the log pipe fills, writes
+/// block, and serving threads wait for the log: latency grows with the log volume.
 ///
 /// ```
 /// use tc_protocol::MonoTime;
 /// use tc_telemetry::{LogDecision, LogRateLimiter};
-/// let gate = LogRateLimiter::new(1);
-/// assert_eq!(gate.admit(7, MonoTime::from_millis(0)), LogDecision::Write { suppressed: 0 });
-/// assert_eq!(gate.admit(7, MonoTime::from_millis(1)), LogDecision::Suppress);
-/// assert_eq!(gate.admit(8, MonoTime::from_millis(2)), LogDecision::Write { suppressed: 0 });
-/// assert_eq!(gate.admit(7, MonoTime::from_millis(1_000)), LogDecision::Write { suppressed: 1 });
+/// let limiter = LogRateLimiter::new(1);
+/// assert_eq!(limiter.admit(7, MonoTime::from_millis(0)), LogDecision::Write { suppressed: 0 });
+/// assert_eq!(limiter.admit(7, MonoTime::from_millis(1)), LogDecision::Suppress);
+/// assert_eq!(limiter.admit(8, MonoTime::from_millis(2)), LogDecision::Write { suppressed: 0 });
+/// assert_eq!(limiter.admit(7, MonoTime::from_millis(1_000)), LogDecision::Write { suppressed: 1 });
 /// ```
 #[derive(Debug)]
 pub struct LogRateLimiter {
     lines_per_window: u32,
-    sites: Mutex<HashMap<u64, Window>>,
+    call_sites: Mutex<HashMap<u64, Window>>,
 }
 
 /// Whether a line may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogDecision {
-    /// Write it.
+    /// Write the line.
     Write {
-        /// Lines of the same place that were suppressed since the last one written.
+        /// Lines of the same call site suppressed since the last written line.
         suppressed: u64,
     },
-    /// Leave it out; it is counted.
+    /// Suppress the line and count it.
     Suppress,
 }
 
@@ -53,21 +54,29 @@
 }
 
 impl LogRateLimiter {
-    /// Lets each place write `lines_per_second` lines in a second.
+    /// Creates a limiter that allows `lines_per_second` lines per second for each call site.
     #[must_use]
     pub fn new(lines_per_second: u32) -> Self {
         Self {
             lines_per_window: lines_per_second,
-            sites: Mutex::default(),
+            call_sites: Mutex::default(),
         }
     }
 
-    /// Decides on one line of `site` at `now`.
-    pub fn admit(&self, site: u64, now: MonoTime) -> LogDecision {
-        let mut sites = self.sites.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = sites.len() < MAX_SITES || sites.contains_key(&site);
-        let site = if known { site } else { SHARED_SITE };
-        let window = sites.entry(site).or_insert(Window {
+    /// Decides whether a line of `call_site` may be written at `now`.
+    pub fn admit(&self, call_site: u64, now: MonoTime) -> LogDecision {
+        let mut call_sites = self
+            .call_sites
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let has_own_budget =
+            call_sites.len() < MAX_CALL_SITES || call_sites.contains_key(&call_site);
+        let call_site = if has_own_budget {
+            call_site
+        } else {
+            SHARED_CALL_SITE
+        };
+        let window = call_sites.entry(call_site).or_insert(Window {
             started: now,
             lines: 0,
             suppressed: 0,
--- a/crates/tc-telemetry/src/metric_table.rs
+++ b/crates/tc-telemetry/src/metric_table.rs
@@ -1,22 +1,22 @@
-//! Every metric of the system, with its unit, meaning and labels.
+//! Definitions of all metrics, with their units, summaries and labels.
 
 use metrics::{Unit, describe_counter, describe_gauge, describe_histogram};
 
-/// How a metric behaves.
+/// Type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MetricKind {
-    /// Only rises.
+    /// Value that only increases.
     Counter,
-    /// Rises and falls.
+    /// Value that can increase and decrease.
     Gauge,
-    /// A distribution.
+    /// Distribution of values.
     Histogram,
 }
 
-/// What one step of a metric is.
+/// Unit of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricUnit {
-    /// Things.
+    /// Number of items or events.
     Count,
     /// Bytes.
     Bytes,
@@ -24,52 +24,54 @@
     Milliseconds,
 }
 
-/// What bounds the values of a label. A label that a caller can fill is none of these: every value that somebody
-/// thinks of would be a series for ever, noticed as memory that rises with the variety of requests.
+/// Limit of the number of values of a label.
+///
+/// No label may take values that a caller can choose: each new value would create a series that is never removed, and
+/// memory would grow with the variety of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LabelBound {
-    /// Words of the code, at most so many.
+    /// Values fixed in the code, at most this many.
     FixedSet(u32),
-    /// Services of the configuration.
+    /// Names of the configured services.
     Services,
-    /// Stage names of the configuration, and its plain services.
+    /// Names of the configured stages and plain services.
     Stages,
-    /// Workspaces of the configuration, 1,000 at most; the rest share `other`.
+    /// Names of the configured workspaces, at most 1,000; the others share the value `other`.
     Workspaces,
 }
 
-/// One label of a metric.
+/// Label of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Label {
-    /// Its name.
+    /// Name of the label.
     pub name: &'static str,
-    /// What bounds its values.
+    /// Limit of the number of its values.
     pub bound: LabelBound,
 }
 
-/// One metric.
+/// Definition of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Metric {
-    /// Its name.
+    /// Name of the metric.
     pub name: &'static str,
-    /// How it behaves.
+    /// Type of the metric.
     pub kind: MetricKind,
-    /// What one step is.
+    /// Unit of its values.
     pub unit: MetricUnit,
-    /// Its labels, in the order of the code that reports it.
+    /// Its labels, in the order in which the code reports them.
     pub labels: &'static [Label],
-    /// What it tells.
+    /// Help text without the labels.
     pub summary: &'static str,
 }
 
-const KIND: Label = words("kind", 19);
-const UPSTREAM_KIND: Label = words("kind", 6);
-const OUTCOME: Label = words("outcome", 7);
-const PURPOSE: Label = words("purpose", 8);
-const RESULT: Label = words("result", 8);
-/// The problems, and `answered`, `late` and `caller-left`.
-const REQUEST_RESULT: Label = words("result", 22);
-const ROLE: Label = words("role", 2);
+const KIND: Label = fixed_set("kind", 19);
+const UPSTREAM_KIND: Label = fixed_set("kind", 6);
+const OUTCOME: Label = fixed_set("outcome", 7);
+const PURPOSE: Label = fixed_set("purpose", 8);
+const RESULT: Label = fixed_set("result", 8);
+/// The problem codes, and `answered`, `late` and `caller-left`.
+const REQUEST_RESULT: Label = fixed_set("result", 22);
+const ROLE: Label = fixed_set("role", 2);
 const SERVICE: Label = Label {
     name: "service",
     bound: LabelBound::Services,
@@ -78,26 +80,26 @@
     name: "stage",
     bound: LabelBound::Stages,
 };
-/// Statuses that the admin interface answers with.
-const STATUS: Label = words("status", 8);
-/// Statuses that the gateway itself answers with, and why.
-const REFUSAL_STATUS: Label = words("status", 10);
-const REASON: Label = words("reason", 24);
-const VERDICT: Label = words("verdict", 6);
-const WAY: Label = words("way", 2);
+/// Response statuses of the admin interface.
+const STATUS: Label = fixed_set("status", 8);
+/// Response statuses of the gateway itself. [`REASON`] gives their cause.
+const REFUSAL_STATUS: Label = fixed_set("status", 10);
+const REASON: Label = fixed_set("reason", 24);
+const VERDICT: Label = fixed_set("verdict", 6);
+const WAY: Label = fixed_set("way", 2);
 const WORKSPACE: Label = Label {
     name: "workspace",
     bound: LabelBound::Workspaces,
 };
 
-const fn words(name: &'static str, most: u32) -> Label {
+const fn fixed_set(name: &'static str, max_values: u32) -> Label {
     Label {
         name,
-        bound: LabelBound::FixedSet(most),
+        bound: LabelBound::FixedSet(max_values),
     }
 }
 
-/// All metrics, in order of name.
+/// All metrics, sorted by name.
 #[rustfmt::skip]
 pub const METRICS: &[Metric] = &[
     count("tc_admin_requests_total", &[STATUS], "Requests to the admin interface."),
@@ -192,7 +194,7 @@
 }
 
 impl Metric {
-    /// What it tells, and its labels.
+    /// Returns the help text: the summary and the names of the labels.
     ///
     /// ```
     /// let retries = tc_telemetry::METRICS.iter().find(|m| m.name == "tc_retries_total").unwrap();
@@ -212,7 +214,7 @@
     }
 }
 
-/// Tells the recorder about all of them.
+/// Registers the descriptions of all metrics with the recorder.
 pub(crate) fn describe_all() {
     for metric in METRICS {
         let unit = match metric.unit {
--- a/crates/tc-telemetry/src/recorder.rs
+++ b/crates/tc-telemetry/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Metrics in the Prometheus text format, rendered on demand.
+//! Metrics recorder that renders the Prometheus text format on demand.
 
 use std::{
     sync::{Arc, Weak},
@@ -10,24 +10,25 @@
 
 use crate::{error::TelemetryError, metric_table::describe_all};
 
-/// How often samples of histograms are folded into their buckets.
-const UPKEEP_EVERY: Duration = Duration::from_secs(5);
-/// Histograms whose name ends so are in milliseconds.
+/// Interval at which histogram samples are aggregated into buckets.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// Name suffix of histograms in milliseconds.
 const MILLISECONDS_SUFFIX: &str = "_ms";
-/// Upper bounds of their buckets: from a control message to the longest pipeline.
+/// Upper bounds of the buckets of millisecond histograms. They span the durations from a control message to the
+/// longest pipeline.
 const MILLISECOND_BUCKETS: [f64; 17] = [
     0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1_000.0, 2_000.0,
     5_000.0, 20_000.0,
 ];
 
-/// Renders the metrics of this process. Cheap to clone.
+/// Handle that renders the metrics of this process. Cheap to clone.
 #[derive(Clone)]
 pub struct MetricsHandle {
     prometheus: Arc<PrometheusHandle>,
 }
 
 impl MetricsHandle {
-    /// All metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         self.prometheus.run_upkeep();
@@ -35,7 +36,9 @@
     }
 }
 
-/// Records what the `metrics` macros report from now on. Fails when a recorder is set already.
+/// Installs the global recorder of the `metrics` macros.
+///
+/// Returns an error if a recorder is already installed.
 pub fn init_metrics() -> Result<MetricsHandle, TelemetryError> {
     let recorder = PrometheusBuilder::new()
         .set_buckets_for_metric(
@@ -56,8 +59,10 @@
     Ok(MetricsHandle { prometheus })
 }
 
-/// Samples of histograms are kept one by one until they are folded. Without this thread a process that nobody asks
-/// for its metrics grows by every call, noticed as memory that rises with traffic and falls at each scrape.
+/// Starts a thread that periodically aggregates histogram samples into buckets.
+///
+/// The recorder stores every sample until it is aggregated. Without this thread, memory grows with each call and
+/// shrinks only at a scrape, so a process that is never scraped grows without bound.
 fn start_upkeep(prometheus: Weak<PrometheusHandle>) -> Result<(), TelemetryError> {
     thread::Builder::new()
         .name("metrics-upkeep".to_owned())
@@ -65,7 +70,7 @@
             while let Some(prometheus) = prometheus.upgrade() {
                 prometheus.run_upkeep();
                 drop(prometheus);
-                thread::sleep(UPKEEP_EVERY);
+                thread::sleep(UPKEEP_INTERVAL);
             }
         })
         .map(drop)
--- a/crates/tc-telemetry/src/trace_context.rs
+++ b/crates/tc-telemetry/src/trace_context.rs
@@ -1,13 +1,13 @@
-//! W3C trace context, passed on whether or not traces are exported.
+//! W3C trace context, propagated whether or not traces are exported.
 
-const HEX: u32 = 16;
+const HEX_RADIX: u32 = 16;
 const TRACE_ID_DIGITS: usize = 32;
 const SPAN_ID_DIGITS: usize = 16;
 const BYTE_DIGITS: usize = 2;
 const SAMPLED_FLAG: u8 = 1;
-const FORBIDDEN_VERSION: u8 = 0xff;
+const INVALID_VERSION: u8 = 0xff;
 
-/// What a `traceparent` header says.
+/// Decoded `traceparent` header.
 ///
 /// ```
 /// use tc_telemetry::TraceContext;
@@ -21,25 +21,25 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TraceContext {
-    /// The trace; never zero.
+    /// Trace id; never zero.
     pub trace_id: u128,
-    /// The span that is the parent of what receives the header; never zero.
+    /// Id of the parent span for the receiver of the header; never zero.
     pub span_id: u64,
-    /// Whether the trace is recorded.
+    /// Whether the trace is sampled.
     pub sampled: bool,
 }
 
 impl TraceContext {
-    /// Reads a header; `None` when it is not valid, in which case a new trace is to be started.
+    /// Parses a header. Returns `None` if it is invalid; the caller should then start a new trace.
     #[must_use]
     pub fn parse(header: &str) -> Option<Self> {
         let mut parts = header.split('-');
-        let version = digits(parts.next()?, BYTE_DIGITS)? as u8;
-        let trace_id = digits(parts.next()?, TRACE_ID_DIGITS)?;
-        let span_id = digits(parts.next()?, SPAN_ID_DIGITS)? as u64;
-        let flags = digits(parts.next()?, BYTE_DIGITS)? as u8;
-        let more = parts.next().is_some();
-        let valid = version != FORBIDDEN_VERSION && (version > 0 || !more);
+        let version = parse_hex(parts.next()?, BYTE_DIGITS)? as u8;
+        let trace_id = parse_hex(parts.next()?, TRACE_ID_DIGITS)?;
+        let span_id = parse_hex(parts.next()?, SPAN_ID_DIGITS)? as u64;
+        let flags = parse_hex(parts.next()?, BYTE_DIGITS)? as u8;
+        let has_extra_fields = parts.next().is_some();
+        let valid = version != INVALID_VERSION && (version > 0 || !has_extra_fields);
         (valid && trace_id != 0 && span_id != 0).then_some(Self {
             trace_id,
             span_id,
@@ -47,7 +47,7 @@
         })
     }
 
-    /// The first span of a new trace, from random numbers.
+    /// Creates the root span of a new trace from random numbers.
     #[must_use]
     pub fn root(random_trace: u128, random_span: u64, sampled: bool) -> Self {
         Self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A new span of the same trace, from a random number.
+    /// Creates a new span of the same trace from a random number.
     #[must_use]
     pub fn child(&self, random: u64) -> Self {
         Self {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The header to send.
+    /// Formats the `traceparent` header.
     #[must_use]
     pub fn to_header(&self) -> String {
         let flags = u8::from(self.sampled);
@@ -77,14 +77,14 @@
     }
 }
 
-/// Exactly so many lower-case hexadecimal digits.
-fn digits(text: &str, count: usize) -> Option<u128> {
+/// Parses exactly `count` lowercase hexadecimal digits.
+fn parse_hex(text: &str, count: usize) -> Option<u128> {
     let valid = text.len() == count
         && text
             .bytes()
             .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
     if valid {
-        u128::from_str_radix(text, HEX).ok()
+        u128::from_str_radix(text, HEX_RADIX).ok()
     } else {
         None
     }
--- a/crates/tc-telemetry/src/traces.rs
+++ b/crates/tc-telemetry/src/traces.rs
@@ -1,4 +1,4 @@
-//! Traces: spans exported to a collector when one is set, trace context passed on in any case.
+//! Export of spans to a collector, if one is configured, and propagation of the trace context.
 
 use std::time::Duration;
 
@@ -21,13 +21,13 @@
 use crate::{error::TelemetryError, trace_context::TraceContext};
 
 const SERVICE_NAME: &str = "tanagercroft";
-const OWN_TARGETS: [&str; 2] = ["tc_", "tanagercroft"];
+const TARGET_PREFIXES: [&str; 2] = ["tc_", "tanagercroft"];
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time a stopping process waits for its last spans.
+/// Maximum time a process waits at shutdown to export its remaining spans.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Keeps the export of traces running; dropping it sends what is left, for at most two seconds.
-#[must_use = "traces end when the guard is dropped"]
+/// Guard that keeps the trace export running. Dropping it exports the remaining spans within at most two seconds.
+#[must_use = "trace export stops when the guard is dropped"]
 #[derive(Debug)]
 pub struct TraceGuard {
     provider: Option<SdkTracerProvider>,
@@ -39,15 +39,15 @@
             return;
         };
         if let Err(e) = provider.shutdown_with_timeout(FLUSH_TIMEOUT) {
-            log::warn!(problem = e.to_string().as_str(); "the last spans were not sent");
+            log::warn!(problem = e.to_string().as_str(); "cannot export the remaining spans");
         }
     }
 }
 
-/// Exports the spans of this process to an OTLP collector; without an `endpoint` spans cost next to nothing.
+/// Starts the export of this process's spans to an OTLP collector. Without an `endpoint`, spans have almost no cost.
 ///
-/// Must be called on a tokio runtime with more than one thread when an endpoint is given: the exporter's connection
-/// lives on it, and dropping the guard waits for it.
+/// With an endpoint, it must be called on a multi-threaded tokio runtime: the exporter's connection runs on it, and
+/// dropping the guard blocks until the export is done.
 pub fn init_traces(
     endpoint: Option<&str>,
     instance: &InstanceId,
@@ -58,7 +58,7 @@
     let provider = build_provider(endpoint, instance)?;
     let layer = tracing_opentelemetry::layer().with_tracer(provider.tracer(SERVICE_NAME));
     let subscriber = tracing_subscriber::registry()
-        .with(filter_fn(is_own))
+        .with(filter_fn(is_exported))
         .with(layer);
     tracing::subscriber::set_global_default(subscriber).map_err(|e| {
         TelemetryError::AlreadyInitialized {
@@ -71,33 +71,34 @@
     })
 }
 
-/// Whether a span is of our own crates and not for debugging.
+/// Returns whether a span belongs to one of our own crates and has at least the level `INFO`.
 ///
-/// The exporter's own HTTP spans would be exported too, and cause more of them. They are off for the whole process
-/// and not only for the exporter: inside a span that is not exported the current trace context cannot be told.
-fn is_own(metadata: &Metadata<'_>) -> bool {
-    let own = OWN_TARGETS
+/// Without this filter, the HTTP spans of the exporter itself would be exported and cause further spans. They are
+/// disabled for the whole process and not only for the export layer, because the current trace context is unknown
+/// inside a span that is not exported.
+fn is_exported(metadata: &Metadata<'_>) -> bool {
+    let is_own_target = TARGET_PREFIXES
         .iter()
-        .any(|own| metadata.target().starts_with(own));
-    own && *metadata.level() <= Level::INFO
+        .any(|prefix| metadata.target().starts_with(prefix));
+    is_own_target && *metadata.level() <= Level::INFO
 }
 
 fn build_provider(
     endpoint: &str,
     instance: &InstanceId,
 ) -> Result<SdkTracerProvider, TelemetryError> {
-    let failed = |problem: String| TelemetryError::Traces {
+    let export_error = |problem: String| TelemetryError::Traces {
         endpoint: endpoint.to_owned(),
         problem,
     };
-    // Without a runtime the exporter panics at its first span instead of failing here.
-    tokio::runtime::Handle::try_current().map_err(|e| failed(e.to_string()))?;
+    // Without a runtime, the exporter would panic at its first span instead of returning an error here.
+    tokio::runtime::Handle::try_current().map_err(|e| export_error(e.to_string()))?;
     let exporter = SpanExporter::builder()
         .with_tonic()
         .with_endpoint(endpoint)
         .with_timeout(EXPORT_TIMEOUT)
         .build()
-        .map_err(|e| failed(e.to_string()))?;
+        .map_err(|e| export_error(e.to_string()))?;
     let resource = Resource::builder()
         .with_service_name(SERVICE_NAME)
         .with_attribute(KeyValue::new("service.instance.id", instance.to_string()))
@@ -109,7 +110,7 @@
         .build())
 }
 
-/// The `traceparent` that makes what is called next a child of the current span; `None` when traces are not exported.
+/// Returns the `traceparent` header for calls made within the current span, or `None` if traces are not exported.
 #[must_use]
 pub fn traceparent_of_current_span() -> Option<String> {
     let cx = Span::current().context();
@@ -125,9 +126,9 @@
     })
 }
 
-/// Makes `span` a child of the span that a `traceparent` header names; an invalid header leaves it a root.
+/// Makes `span` a child of the span in a `traceparent` header. With an invalid header, it stays a root span.
 ///
-/// Has to come before the span is entered: the library ignores a parent that comes later.
+/// Must be called before the span is entered: the library ignores a parent that is set later.
 pub fn set_parent(span: &Span, traceparent: &str) {
     let Some(parent) = TraceContext::parse(traceparent) else {
         return;
@@ -144,6 +145,6 @@
         true,
         TraceState::default(),
     );
-    // It fails where traces are not exported, and then there is no parent to set.
+    // This fails only if traces are not exported, and then no parent is needed.
     let _ = span.set_parent(Context::new().with_remote_span_context(parent));
 }
--- a/crates/tc-telemetry/tests/logs.rs
+++ b/crates/tc-telemetry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: one JSON object each, no secrets, bounded volume.
+//! Tests of log lines: one JSON object each, masked secrets, limited volume.
 
 use std::{
     io::{self, Write},
@@ -67,9 +67,8 @@
     assert!(line["ts"].as_str().unwrap().ends_with('Z'));
 }
 
-/// Symptom: a caller's token can be read in the log.
-/// Sequence: a header, an URL or a peer's answer is quoted in a message or a field.
-/// Cause: text from outside is logged as it came.
+/// Guards against a caller's token in the log, because a message or field quotes a header, a URL or a peer's response
+/// unmasked.
 #[test]
 fn secrets_are_masked() {
     for text in [
@@ -101,9 +100,8 @@
     );
 }
 
-/// Symptom: under overload the log fills its pipe and traffic waits for it.
-/// Sequence: one place logs 50,000 lines as fast as it can, and one line of a megabyte.
-/// Cause: each refused call logs.
+/// Guards against a log that fills its pipe under overload and blocks traffic, because each refused call logs. One call
+/// site logs 50,000 lines at full speed, and one line of a megabyte.
 #[test]
 fn volume_is_bounded() {
     let started = std::time::Instant::now();
@@ -127,34 +125,33 @@
     assert!(json_logger("warn, tc_caller=debug", Box::new(io::sink())).is_ok());
 }
 
-/// Symptom: a place logs more than its share, or suppressed lines are not told.
-/// Sequence: any places log at any times.
-/// Cause: overload. Oracle: no second holds more lines of a place than its share, counted from the first line after
-/// a pause, and written plus suppressed lines are all lines.
+/// Guards against a call site that exceeds its limit under overload, and against suppressed lines that are not
+/// reported. Any call sites log at any times. In any second, counted from the first line after a pause, there may be
+/// no more lines of a call site than its limit allows, and written plus suppressed lines must be all lines.
 #[test]
-fn the_gate_holds_for_any_sequence() {
-    const SHARE: u64 = 3;
+fn the_rate_limit_holds_for_any_sequence() {
+    const LIMIT: u64 = 3;
     tc_fuzz::check(2_000, produce::<Vec<(u8, u16)>>(), |steps| {
-        let gate = LogRateLimiter::new(SHARE as u32);
+        let limiter = LogRateLimiter::new(LIMIT as u32);
         let mut now = 0;
         let mut written: Vec<Vec<u64>> = vec![Vec::new(); 4];
-        let mut left_out = [0; 4];
-        for (site, pause) in steps {
-            let site = usize::from(site % 4);
+        let mut suppressed_lines = [0; 4];
+        for (call_site, pause) in steps {
+            let call_site = usize::from(call_site % 4);
             now += u64::from(*pause % 700);
-            match gate.admit(site as u64 + 1, MonoTime::from_millis(now)) {
-                LogDecision::Suppress => left_out[site] += 1,
+            match limiter.admit(call_site as u64 + 1, MonoTime::from_millis(now)) {
+                LogDecision::Suppress => suppressed_lines[call_site] += 1,
                 LogDecision::Write { suppressed } => {
-                    assert_eq!(suppressed, std::mem::take(&mut left_out[site]));
-                    written[site].push(now);
+                    assert_eq!(suppressed, std::mem::take(&mut suppressed_lines[call_site]));
+                    written[call_site].push(now);
                 }
             }
         }
         for times in written {
-            // Two windows may meet within one second, so the share holds twice at most.
+            // One second can span two windows, so it has at most twice the limit.
             for (n, time) in times.iter().enumerate() {
                 let in_second = times[n..].iter().take_while(|t| **t < time + 1_000).count();
-                assert!(in_second as u64 <= 2 * SHARE);
+                assert!(in_second as u64 <= 2 * LIMIT);
             }
         }
     });
--- a/crates/tc-telemetry/tests/metrics.rs
+++ b/crates/tc-telemetry/tests/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics: rendered, described, the same in the table, the code and the pages, and bounded in number.
+//! Tests that metrics are rendered and described, that the table, the code and the operator pages agree, and that the
+//! number of series is bounded.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,54 +26,60 @@
     }
     assert!(
         init_metrics().is_err(),
-        "a second recorder would lose what the first one has"
+        "a second recorder would lose the values of the first one"
     );
 }
 
 #[test]
-fn the_table_is_sorted_and_has_no_doubles() {
+fn the_table_is_sorted_and_has_no_duplicates() {
     assert!(METRICS.is_sorted_by(|a, b| a.name < b.name));
 }
 
-/// What a metric is in the code: its kind, and its labels.
-type Reported = (MetricKind, BTreeSet<String>);
+/// Kind and labels of a metric.
+type Signature = (MetricKind, BTreeSet<String>);
 
 #[test]
 fn the_table_and_the_code_have_the_same_metrics_with_the_same_labels() {
     let in_code = metrics_in_code();
-    let in_table: BTreeMap<String, BTreeSet<Reported>> = METRICS
+    let in_table: BTreeMap<String, BTreeSet<Signature>> = METRICS
         .iter()
-        .map(|m| (m.name.to_owned(), BTreeSet::from([reported(m)])))
+        .map(|m| (m.name.to_owned(), BTreeSet::from([signature(m)])))
         .collect();
-    for (name, reported) in &in_code {
-        assert_eq!(in_table.get(name), Some(reported), "{name} in the table");
+    for (name, signatures) in &in_code {
+        assert_eq!(in_table.get(name), Some(signatures), "{name} in the table");
     }
     for name in in_table.keys() {
         assert!(in_code.contains_key(name), "no code reports {name}");
     }
 }
 
-fn reported(metric: &Metric) -> Reported {
+fn signature(metric: &Metric) -> Signature {
     let labels = metric.labels.iter().map(|label| label.name.to_owned());
     (metric.kind, labels.collect())
 }
 
-/// The largest fleet that the users name: its series must stay a small part of an instance's memory.
+/// Guards against series that take more than a small part of an instance's memory, in the largest fleet that users
+/// described.
 #[test]
 fn series_stay_bounded_at_the_largest_configuration() {
     const WORKSPACES: u64 = 610;
     const SERVICES: u64 = 40;
     const STAGES: u64 = 60;
-    const MOST_SERIES: u64 = 20_000;
-    let values = |bound| match bound {
-        LabelBound::FixedSet(most) => u64::from(most),
+    const MAX_SERIES: u64 = 20_000;
+    let max_values = |bound| match bound {
+        LabelBound::FixedSet(count) => u64::from(count),
         LabelBound::Services => SERVICES,
         LabelBound::Stages => STAGES,
         LabelBound::Workspaces => WORKSPACES,
     };
-    let of_metric = |m: &Metric| m.labels.iter().map(|l| values(l.bound)).product::<u64>();
-    let series: u64 = METRICS.iter().map(of_metric).sum();
-    assert!(series < MOST_SERIES, "{series} series");
+    let series_of_metric = |m: &Metric| {
+        m.labels
+            .iter()
+            .map(|l| max_values(l.bound))
+            .product::<u64>()
+    };
+    let series: u64 = METRICS.iter().map(series_of_metric).sum();
+    assert!(series < MAX_SERIES, "{series} series");
     for metric in METRICS {
         let by_workspace = metric
             .labels
@@ -103,7 +110,7 @@
     );
 }
 
-/// A metric's row on the page.
+/// Formats the row of a metric on the page.
 fn row(metric: &Metric) -> String {
     let kind = format!("{:?}", metric.kind).to_lowercase();
     let unit = format!("{:?}", metric.unit).to_lowercase();
@@ -126,7 +133,7 @@
     let mut expressions = 0;
     for block in page.split("```promql\n").skip(1) {
         let expression = block.split("```").next().unwrap();
-        let found = uses(expression);
+        let found = referenced_metrics(expression);
         assert!(!found.is_empty(), "no metric in {expression}");
         for (name, labels) in found {
             let base = ["_bucket", "_sum", "_count"]
@@ -148,8 +155,8 @@
     assert!(expressions >= 10, "{expressions} expressions");
 }
 
-/// Metrics that an expression reads, each with the labels that it selects by.
-fn uses(expression: &str) -> Vec<(String, Vec<String>)> {
+/// Returns the metrics that an expression reads, each with the labels in its selector.
+fn referenced_metrics(expression: &str) -> Vec<(String, Vec<String>)> {
     let is_name = |c: char| c.is_ascii_alphanumeric() || c == '_';
     let mut found = Vec::new();
     for (at, _) in expression.match_indices("tc_") {
@@ -179,8 +186,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// What the macros in the sources of the binary and its crates report.
-fn metrics_in_code() -> BTreeMap<String, BTreeSet<Reported>> {
+/// Returns the metrics that macros report in the sources of the binary and the crates.
+fn metrics_in_code() -> BTreeMap<String, BTreeSet<Signature>> {
     let mut found = BTreeMap::new();
     read_sources(&workspace().join("src"), &mut found);
     for entry in fs::read_dir(workspace().join("crates")).unwrap() {
@@ -190,7 +197,7 @@
     found
 }
 
-fn read_sources(path: &Path, found: &mut BTreeMap<String, BTreeSet<Reported>>) {
+fn read_sources(path: &Path, found: &mut BTreeMap<String, BTreeSet<Signature>>) {
     if path.is_dir() {
         for entry in fs::read_dir(path).unwrap() {
             read_sources(&entry.unwrap().path(), found);
@@ -204,9 +211,9 @@
         ];
         for (call, kind) in macros {
             for (at, _) in text.match_indices(call) {
-                // describe_counter! and the like report nothing.
+                // describe_counter! and the other describe macros report no value.
                 if !text[..at].ends_with('_') {
-                    let (name, labels) = arguments(&text[at + call.len()..]);
+                    let (name, labels) = parse_arguments(&text[at + call.len()..]);
                     let name = name.unwrap_or_else(|| {
                         panic!("a metric without a literal name in {}", path.display())
                     });
@@ -217,8 +224,8 @@
     }
 }
 
-/// Name and labels of a macro's arguments: the literal at the start, and those before an arrow.
-fn arguments(text: &str) -> (Option<String>, BTreeSet<String>) {
+/// Returns the name and labels in a macro's arguments: the leading literal, and the literals before each arrow.
+fn parse_arguments(text: &str) -> (Option<String>, BTreeSet<String>) {
     let mut depth = 1;
     let end = text.find(|c| {
         depth += match c {
--- a/crates/tc-telemetry/tests/queue.rs
+++ b/crates/tc-telemetry/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue before the log's output.
+//! Tests of the queue for log output.
 
 use std::{
     io::{self, Write},
@@ -8,10 +8,10 @@
 
 use tc_telemetry::QueueWriter;
 
-/// An output whose reader stopped: a write returns only when it is let go.
-struct Stuck(Receiver<()>);
+/// Output whose reader has stopped: a write blocks until the sender is dropped.
+struct BlockedOutput(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let _ = self.0.recv();
         Ok(buf.len())
@@ -22,12 +22,12 @@
     }
 }
 
-/// Symptom: a process hangs with every request. Sequence: whoever reads its log stops; the pipe fills; the next line
-/// blocks the thread that logs. Cause: lines written straight to the output.
+/// Guards against a process that hangs on every request because the reader of its log stopped: with lines written
+/// directly to the output, the pipe fills and the next line blocks the logging thread.
 #[test]
-fn a_reader_that_stops_does_not_stop_whoever_logs() {
-    let (release, stuck) = channel();
-    let mut lines = QueueWriter::start(Stuck(stuck)).expect("it starts");
+fn logging_does_not_block_when_the_reader_stops() {
+    let (release, blocked) = channel();
+    let mut lines = QueueWriter::start(BlockedOutput(blocked)).expect("the writer thread starts");
     let started = Instant::now();
     for _ in 0..10_000 {
         lines.write_all(b"{}\n").expect("a write never fails");
--- a/crates/tc-telemetry/tests/traces.rs
+++ b/crates/tc-telemetry/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Trace context with and without export.
+//! Tests of the trace context with and without export.
 
 use std::{io::Read, net::TcpListener, time::Duration};
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn any_context_survives_its_header() {
+fn any_context_round_trips_through_its_header() {
     tc_fuzz::check(
         1_000,
         produce::<(u128, u64, u64, bool)>(),
@@ -57,9 +57,9 @@
     });
 }
 
-/// One test, as the exporter is set once for the whole process.
+/// A single test, because the exporter can be installed only once per process.
 #[test]
-fn spans_carry_the_context_on_and_are_exported() {
+fn spans_propagate_the_context_and_are_exported() {
     assert!(matches!(
         init_traces(Some("http://127.0.0.1:1"), &"kl-a-1".into()),
         Err(TelemetryError::Traces { .. })
@@ -85,14 +85,14 @@
     set_parent(&span, PARENT);
     span.in_scope(|| {
         let parent = TraceContext::parse(PARENT).unwrap();
-        let here = TraceContext::parse(&traceparent_of_current_span().unwrap()).unwrap();
-        assert_eq!((here.trace_id, here.sampled), (parent.trace_id, true));
-        assert_ne!(here.span_id, parent.span_id);
-        let hop = tracing::info_span!(target: "tc_upstream", "upstream_call");
-        let below =
-            hop.in_scope(|| TraceContext::parse(&traceparent_of_current_span().unwrap()).unwrap());
-        assert_eq!(below.trace_id, parent.trace_id);
-        assert_ne!(below.span_id, here.span_id);
+        let current = TraceContext::parse(&traceparent_of_current_span().unwrap()).unwrap();
+        assert_eq!((current.trace_id, current.sampled), (parent.trace_id, true));
+        assert_ne!(current.span_id, parent.span_id);
+        let child = tracing::info_span!(target: "tc_upstream", "upstream_call");
+        let child_context = child
+            .in_scope(|| TraceContext::parse(&traceparent_of_current_span().unwrap()).unwrap());
+        assert_eq!(child_context.trace_id, parent.trace_id);
+        assert_ne!(child_context.span_id, current.span_id);
         let foreign = tracing::info_span!(target: "h2::client", "send");
         assert_eq!(
             foreign.in_scope(traceparent_of_current_span),
@@ -111,7 +111,7 @@
     drop(guard);
     assert!(
         started.elapsed() < Duration::from_secs(20),
-        "a collector that never answers must not hold up a stop"
+        "a collector that never responds must not delay shutdown"
     );
     assert_eq!(&receiver.join().unwrap(), b"PRI * HTTP/2.0");
 }
