--- a/crates/tc-fuzz/src/lib.rs
+++ b/crates/tc-fuzz/src/lib.rs
@@ -1,15 +1,15 @@
-//! Fuzzed tests whose inputs are the same in every run.
+//! Fuzz tests with the same inputs in every run.
 //!
-//! The fuzzing library draws its inputs from the operating system's entropy; its seed variable only adds one input
-//! before them. A check in CI would then fail in one run and pass in the next with nobody having changed a thing. Here
-//! the inputs follow from a fixed seed and a fixed count, whatever the machine's load.
+//! The fuzzing library takes its inputs from the operating system's entropy; its seed variable only adds one input
+//! before them. A check in CI could then fail in one run and pass in the next without any change. Here the inputs
+//! depend only on a fixed seed and a fixed count, not on the machine's load.
 //!
 //! | variable | effect |
 //! |---|---|
-//! | `TC_FUZZ_SEED` | other inputs: the seed from which each input's own is drawn |
-//! | `TC_FUZZ_TIMES` | so many times as many inputs |
-//! | `TC_FUZZ_ONLY` | only the input of this seed, as a failure names it |
-//! | `TC_FUZZ_REPORT` | a file that gets a line for each test: its name, how many inputs, and their digest |
+//! | `TC_FUZZ_SEED` | seed of the generator of the input seeds, for other inputs |
+//! | `TC_FUZZ_TIMES` | factor by which the number of inputs is multiplied |
+//! | `TC_FUZZ_ONLY` | run only the input with this seed, which a failing test prints |
+//! | `TC_FUZZ_REPORT` | file to which each test appends a line: its name, the number of inputs, and their digest |
 
 mod report;
 mod seeds;
@@ -28,13 +28,13 @@
 use report::Report;
 use seeds::Seeds;
 
-/// Plays `inputs` values of a generator to a test. A failure prints the value and its seed and goes on unwinding.
+/// Runs a test with `inputs` values of a generator. On a panic, prints the value and its seed and resumes the panic.
 ///
 /// ```
 /// use bolero::generator::produce;
-/// let mut played = 0;
-/// tc_fuzz::check(10, produce::<(bool, u8)>(), |_| played += 1);
-/// assert_eq!(played, 10);
+/// let mut runs = 0;
+/// tc_fuzz::check(10, produce::<(bool, u8)>(), |_| runs += 1);
+/// assert_eq!(runs, 10);
 /// ```
 pub fn check<G>(inputs: usize, generator: G, test: impl FnMut(&G::Output))
 where
@@ -42,10 +42,10 @@
     G::Output: Debug,
 {
     let seeds = Seeds::from_env(inputs);
-    check_seeds(seeds, generator, test);
+    run_seeds(seeds, generator, test);
 }
 
-/// Plays the inputs of given seeds, for cases that failed once.
+/// Runs a test with the inputs of the given seeds, such as those that failed earlier.
 ///
 /// ```
 /// use bolero::generator::produce;
@@ -58,10 +58,10 @@
     G: ValueGenerator,
     G::Output: Debug,
 {
-    check_seeds(seeds.iter().copied(), generator, test);
+    run_seeds(seeds.iter().copied(), generator, test);
 }
 
-fn check_seeds<G>(
+fn run_seeds<G>(
     seeds: impl IntoIterator<Item = u128>,
     generator: G,
     mut test: impl FnMut(&G::Output),
@@ -71,21 +71,23 @@
 {
     let mut report = Report::from_env();
     for seed in seeds {
-        let Some(value) = value_of(seed, &generator) else {
+        let Some(value) = generate(seed, &generator) else {
             continue;
         };
-        report.note(&value);
-        let played = catch_unwind(AssertUnwindSafe(|| test(&value)));
-        if let Err(panic) = played {
-            eprintln!("failed; again with TC_FUZZ_ONLY={seed}\ninput: {value:#?}");
+        report.add_input(&value);
+        let result = catch_unwind(AssertUnwindSafe(|| test(&value)));
+        if let Err(panic) = result {
+            eprintln!(
+                "test failed; to rerun this input, set TC_FUZZ_ONLY={seed}\ninput: {value:#?}"
+            );
             resume_unwind(panic);
         }
     }
     report.write();
 }
 
-/// The value that the fuzzing library itself would generate from this seed.
-fn value_of<G: ValueGenerator>(seed: u128, generator: &G) -> Option<G::Output> {
+/// Generates the same value from this seed as the fuzzing library itself. Returns `None` if the generator yields none.
+fn generate<G: ValueGenerator>(seed: u128, generator: &G) -> Option<G::Output> {
     let rng = Xoroshiro128PlusPlus::from_seed(seed.to_le_bytes());
     let mut driver = Rng::new(rng, &Options::default());
     generator.generate(&mut driver)
--- a/crates/tc-fuzz/src/report.rs
+++ b/crates/tc-fuzz/src/report.rs
@@ -1,12 +1,12 @@
-//! What was played, for a comparison of runs.
+//! Report of the inputs of a run, to compare runs.
 
 use std::{env, fmt::Debug, fs::OpenOptions, io::Write, path::PathBuf, thread};
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Digest of the inputs of one test, written to the file that the environment names.
+/// Number and digest of the inputs of a test, appended to the file in `TC_FUZZ_REPORT`.
 pub(crate) struct Report {
-    /// `None` when no report is asked for: writing each input down takes longer than many a test.
+    /// `None` if no report is requested, because formatting each input takes longer than many tests.
     file: Option<PathBuf>,
     inputs: usize,
     digest: Xxh3,
@@ -21,15 +21,15 @@
         }
     }
 
-    /// Takes up one input.
-    pub(crate) fn note(&mut self, value: &impl Debug) {
+    /// Adds an input to the digest.
+    pub(crate) fn add_input(&mut self, value: &impl Debug) {
         if self.file.is_some() {
             self.inputs += 1;
             self.digest.update(format!("{value:?}").as_bytes());
         }
     }
 
-    /// Adds the test's line to the file. Tests run side by side, so each line is written in one go.
+    /// Appends the test's line to the file in a single write, because tests run in parallel.
     pub(crate) fn write(self) {
         let Some(path) = self.file else { return };
         let thread = thread::current();
@@ -38,7 +38,7 @@
         let file = OpenOptions::new().create(true).append(true).open(&path);
         let written = file.and_then(|mut f| f.write_all(line.as_bytes()));
         if let Err(error) = written {
-            panic!("the report {} cannot be written: {error}", path.display());
+            panic!("cannot write the report {}: {error}", path.display());
         }
     }
 }
--- a/crates/tc-fuzz/src/seeds.rs
+++ b/crates/tc-fuzz/src/seeds.rs
@@ -1,4 +1,4 @@
-//! The seeds of a run's inputs.
+//! Seeds of the inputs of a run.
 
 use std::{env, str::FromStr};
 
@@ -7,25 +7,25 @@
     rand_core::{RngCore, SeedableRng},
 };
 
-/// Seed of the inputs that every run plays unless it is told otherwise.
-const USUAL_SEED: u64 = 1;
+/// Seed of the input seeds unless `TC_FUZZ_SEED` is set.
+const DEFAULT_SEED: u64 = 1;
 
-/// Seeds of inputs, one after the other.
+/// Iterator over the seeds of the inputs.
 pub(crate) struct Seeds {
     rng: Xoroshiro128PlusPlus,
-    left: usize,
-    only: Option<u128>,
+    remaining: usize,
+    single_seed: Option<u128>,
 }
 
 impl Seeds {
-    /// As many as a test asks for, or what the environment says.
+    /// Creates `inputs` seeds, adjusted by the environment variables.
     pub(crate) fn from_env(inputs: usize) -> Self {
-        let seed = read("TC_FUZZ_SEED").unwrap_or(USUAL_SEED);
-        let times = read("TC_FUZZ_TIMES").unwrap_or(1);
+        let seed = read_number("TC_FUZZ_SEED").unwrap_or(DEFAULT_SEED);
+        let factor = read_number("TC_FUZZ_TIMES").unwrap_or(1);
         Self {
             rng: Xoroshiro128PlusPlus::seed_from_u64(seed),
-            left: inputs.saturating_mul(times),
-            only: read("TC_FUZZ_ONLY"),
+            remaining: inputs.saturating_mul(factor),
+            single_seed: read_number("TC_FUZZ_ONLY"),
         }
     }
 }
@@ -34,18 +34,20 @@
     type Item = u128;
 
     fn next(&mut self) -> Option<u128> {
-        if let Some(only) = self.only.take() {
-            self.left = 0;
-            return Some(only);
+        if let Some(seed) = self.single_seed.take() {
+            self.remaining = 0;
+            return Some(seed);
         }
-        self.left = self.left.checked_sub(1)?;
+        self.remaining = self.remaining.checked_sub(1)?;
         let high = u128::from(self.rng.next_u64()) << 64;
         Some(high | u128::from(self.rng.next_u64()))
     }
 }
 
-/// A number from the environment. One that cannot be read ends the test: the run would not be the one asked for.
-fn read<T: FromStr>(name: &str) -> Option<T> {
+/// Reads a number from an environment variable.
+///
+/// An invalid number fails the test, because the run would not be the requested one.
+fn read_number<T: FromStr>(name: &str) -> Option<T> {
     let text = env::var(name).ok()?;
     let value = text.parse().ok();
     assert!(value.is_some(), "{name} is {text:?}, not a number");
--- a/crates/tc-fuzz/tests/same_inputs.rs
+++ b/crates/tc-fuzz/tests/same_inputs.rs
@@ -1,18 +1,18 @@
-//! Inputs are the same in every run.
+//! Tests that the inputs are the same in every run.
 
 use bolero::generator::produce;
 
-/// Symptom: CI fails on a clone and passes on the next run of the same commit.
-/// Sequence: the same test is run twice with the same seed variable.
-/// Cause: the inputs came from the operating system's entropy; the variable added one input only.
+/// Guards against CI that fails on a clone and passes on the next run of the same commit: with inputs from the
+/// operating system's entropy, to which the seed variable added only one input, two runs with the same seed had
+/// different inputs.
 #[test]
-fn two_runs_play_the_same_inputs() {
+fn two_runs_have_the_same_inputs() {
     let run = || {
-        let mut played = Vec::new();
+        let mut inputs = Vec::new();
         tc_fuzz::check(100, produce::<Vec<u8>>(), |value| {
-            played.push(value.clone());
+            inputs.push(value.clone());
         });
-        played
+        inputs
     };
     let first = run();
     assert_eq!(first.len(), 100);
@@ -23,7 +23,7 @@
 #[test]
 fn a_failing_input_ends_the_test() {
     let failed = std::panic::catch_unwind(|| {
-        tc_fuzz::check(10, produce::<u8>(), |_| panic!("as it should"));
+        tc_fuzz::check(10, produce::<u8>(), |_| panic!("expected failure"));
     });
     assert!(failed.is_err());
 }
