--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The shipped binary: a thin shell around `tc_operator`, where the commands live.
+//! Entry point of the `tanagercroft` binary. The commands are implemented in `tc_operator`.
 
 use std::process::ExitCode;
 
--- a/tests/proofs.rs
+++ b/tests/proofs.rs
@@ -1,4 +1,4 @@
-//! `docs/PROOFS.md` names only tests and scenarios that exist, and says of each promise what is not proved.
+//! Checks that `docs/PROOFS.md` names only existing tests and scenarios, and that every row states what is not proved.
 
 use std::{
     collections::BTreeSet,
@@ -6,48 +6,59 @@
     path::{Path, PathBuf},
 };
 
-/// Promises and failures of the users' brief.
-const ROWS: usize = 17;
+/// Number of guarantees and failures listed in the users' brief, one row each.
+const EXPECTED_ROWS: usize = 17;
 
 struct Row {
-    what: String,
+    subject: String,
     tests: Vec<String>,
     scenarios: Vec<String>,
     not_proved: String,
 }
 
 #[test]
-fn every_promise_and_failure_has_its_checks() {
-    let rows = rows();
-    assert_eq!(rows.len(), ROWS);
+fn every_row_names_tests_scenarios_and_what_is_not_proved() {
+    let rows = parse_rows();
+    assert_eq!(rows.len(), EXPECTED_ROWS);
     for row in &rows {
-        assert!(!row.tests.is_empty(), "no test: {}", row.what);
-        assert!(!row.scenarios.is_empty(), "no scenario: {}", row.what);
+        assert!(!row.tests.is_empty(), "row names no test: {}", row.subject);
+        assert!(
+            !row.scenarios.is_empty(),
+            "row names no scenario: {}",
+            row.subject
+        );
         assert!(
             !row.not_proved.is_empty(),
-            "not said what is open: {}",
-            row.what
+            "row does not state what is not proved: {}",
+            row.subject
         );
     }
 }
 
-// Symptom: a promise looks proved by a test that nobody runs.
-// Sequence: a test or scenario is renamed, or goes; the page keeps its name.
-// Cause: a page that nothing compares with the code.
+// Guards against a guarantee that appears covered by a test that no longer runs. This happens when a test or scenario is
+// renamed or removed and the page, which nothing else compares with the code, keeps the old name.
 #[test]
-fn every_named_check_exists() {
-    let scenarios = scenarios();
-    for row in rows() {
+fn every_named_test_and_scenario_exists() {
+    let scenarios = scenario_names();
+    for row in parse_rows() {
         for test in &row.tests {
-            assert!(is_test(test), "{test} does not exist: {}", row.what);
+            assert!(
+                is_active_test(test),
+                "test {test} does not exist or is ignored, named by row: {}",
+                row.subject
+            );
         }
         for name in &row.scenarios {
-            assert!(scenarios.contains(name), "no scenario {name}: {}", row.what);
+            assert!(
+                scenarios.contains(name),
+                "scenario {name} does not exist, named by row: {}",
+                row.subject
+            );
         }
     }
 }
 
-fn root() -> &'static Path {
+fn workspace_root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
@@ -55,80 +66,80 @@
     fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The rows of the page's tables, without their heads.
-fn rows() -> Vec<Row> {
-    let page = read(&root().join("docs/PROOFS.md"));
+/// Parses the rows of the page's tables, without the header rows.
+fn parse_rows() -> Vec<Row> {
+    let page = read(&workspace_root().join("docs/PROOFS.md"));
     let lines = page.lines().filter(|line| line.starts_with("| "));
     lines
         .filter(|line| !line.ends_with("| not proved |"))
         .map(|line| {
             let cells: Vec<&str> = line.trim_matches('|').split('|').map(str::trim).collect();
-            let [what, tests, scenarios, not_proved] = cells[..] else {
-                panic!("not four cells: {line}");
+            let [subject, tests, scenarios, not_proved] = cells[..] else {
+                panic!("table row does not have four cells: {line}");
             };
             Row {
-                what: what.to_owned(),
-                tests: quoted(tests),
-                scenarios: quoted(scenarios),
+                subject: subject.to_owned(),
+                tests: backticked_names(tests),
+                scenarios: backticked_names(scenarios),
                 not_proved: not_proved.to_owned(),
             }
         })
         .collect()
 }
 
-/// The words of a cell, each in backticks; anything else in it is a mistake.
-fn quoted(cell: &str) -> Vec<String> {
+/// Splits a cell into its backticked names. Panics on a word that is not in backticks.
+fn backticked_names(cell: &str) -> Vec<String> {
     cell.split_whitespace()
         .map(|word| {
             let name = word.strip_prefix('`').and_then(|w| w.strip_suffix('`'));
-            name.unwrap_or_else(|| panic!("not in backticks: {word}"))
+            name.unwrap_or_else(|| panic!("word is not in backticks: {word}"))
                 .to_owned()
         })
         .collect()
 }
 
-/// Whether `crate/tests/file.rs::name` is a function that the test harness runs.
-fn is_test(test: &str) -> bool {
+/// Returns whether `crate/tests/file.rs::name` is a test function that is not ignored.
+fn is_active_test(test: &str) -> bool {
     let Some((path, name)) = test.split_once("::") else {
         return false;
     };
-    let path = root().join("crates").join(path);
+    let path = workspace_root().join("crates").join(path);
     if !path.is_file() {
         return false;
     }
     let code = read(&path);
     let signature = format!("fn {name}()");
-    let Some(at) = code.find(&signature) else {
+    let Some(position) = code.find(&signature) else {
         return false;
     };
-    // The last line is what stands before `fn` on its own line.
-    let attributes: Vec<&str> = code[..at]
+    // Skips the text before `fn` on the line of the signature, such as `async`.
+    let attributes: Vec<&str> = code[..position]
         .lines()
         .rev()
-        .skip(usize::from(!code[..at].ends_with('\n')))
+        .skip(usize::from(!code[..position].ends_with('\n')))
         .take_while(|line| line.starts_with("#["))
         .collect();
-    let runs = |line: &&str| line.starts_with("#[test]") || line.starts_with("#[tokio::test");
-    let ignored = |line: &&str| line.contains("ignore");
-    attributes.iter().any(runs) && !attributes.iter().any(ignored)
+    let marks_test = |line: &&str| line.starts_with("#[test]") || line.starts_with("#[tokio::test");
+    let marks_ignored = |line: &&str| line.contains("ignore");
+    attributes.iter().any(marks_test) && !attributes.iter().any(marks_ignored)
 }
 
-/// Names of the scenarios that `tc-bench` lists.
-fn scenarios() -> BTreeSet<String> {
-    let folder = root().join("crates/tc-bench/src/scenario");
-    let list = read(&folder.join("mod.rs"));
+/// Returns the names of the scenarios registered in `tc-bench`.
+fn scenario_names() -> BTreeSet<String> {
+    let scenario_dir = workspace_root().join("crates/tc-bench/src/scenario");
+    let list = read(&scenario_dir.join("mod.rs"));
     let modules = list
         .lines()
         .filter_map(|line| line.trim().strip_suffix("::SCENARIO,"));
     modules
         .map(|module| {
-            let file: PathBuf = folder.join(format!("{module}.rs"));
+            let file: PathBuf = scenario_dir.join(format!("{module}.rs"));
             let text = read(&file);
             let name = text
                 .lines()
                 .find_map(|line| line.trim().strip_prefix("name: \""));
             let name = name.and_then(|rest| rest.strip_suffix("\","));
-            name.unwrap_or_else(|| panic!("{}: no name", file.display()))
+            name.unwrap_or_else(|| panic!("{}: scenario name not found", file.display()))
                 .to_owned()
         })
         .collect()
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,11 +1,11 @@
-//! A short soak of gateway processes: the plan of each seed is always the same, and no promise may break.
+//! Short soak tests of gateway processes. Each seed always gives the same fault plan, and no guarantee may be violated.
 
 use std::{path::Path, time::Duration};
 
 use tc_bench::{SoakShape, SystemBinary, soak};
 
-/// Long enough for a dozen overlapping faults, short enough for every run of the tests.
-const SHAPE: SoakShape = SoakShape {
+/// Long enough for a dozen overlapping faults, short enough to be part of every test run.
+const BASE_SHAPE: SoakShape = SoakShape {
     instances: 3,
     upstreams: 3,
     callers: 12,
@@ -15,9 +15,11 @@
     notices: false,
 };
 
-async fn keeps_its_promises(seed: u64, shape: SoakShape) {
+async fn assert_guarantees_hold(seed: u64, shape: SoakShape) {
     let binary = SystemBinary::at(Path::new(env!("CARGO_BIN_EXE_tanagercroft")));
-    let outcome = soak(&binary, seed, shape).await.expect("it can be played");
+    let outcome = soak(&binary, seed, shape)
+        .await
+        .expect("the soak runs to its end");
     assert!(
         outcome.broken.is_empty(),
         "{}\n{}\n{:#?}\nlogs: {}",
@@ -36,36 +38,37 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_soak_breaks_no_promise() {
-    keeps_its_promises(2, SHAPE).await;
+async fn a_soak_violates_no_guarantee() {
+    assert_guarantees_hold(2, BASE_SHAPE).await;
 }
 
-/// Its plan stops one instance while the only engines left are silent: what they still work on at the end of the grace is
-/// cut, and nothing else is.
+/// The plan of this seed stops one instance while the only remaining engines do not respond. Requests that are still in
+/// progress on them when the grace period ends are cut off; no other request may be.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_beside_silent_upstreams_cuts_nothing_in_its_time() {
-    keeps_its_promises(1, SHAPE).await;
+async fn a_planned_stop_with_unresponsive_upstreams_cuts_nothing_within_the_grace_period() {
+    assert_guarantees_hold(1, BASE_SHAPE).await;
 }
 
-/// Its plan evacuates a failure domain while instances are killed and the store misbehaves: what is new goes elsewhere in time.
+/// The plan of this seed evacuates a failure domain while instances are killed and the object store has faults. New requests
+/// must go to other failure domains in time.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_domain_is_left_alone_beside_other_faults() {
+async fn an_evacuated_domain_gets_no_new_requests_during_other_faults() {
     let shape = SoakShape {
         length: Duration::from_secs(10),
         evacuations: true,
-        ..SHAPE
+        ..BASE_SHAPE
     };
-    keeps_its_promises(8, shape).await;
+    assert_guarantees_hold(8, shape).await;
 }
 
-/// Guards against requests beyond announced rate limits while instances are killed, stopped and paused.
+/// Guards against exceeding announced rate limits while instances are killed, stopped and paused.
 #[tokio::test(flavor = "multi_thread")]
-async fn limited_upstreams_get_what_they_announce_beside_other_faults() {
+async fn announced_rate_limits_are_kept_during_other_faults() {
     let shape = SoakShape {
         length: Duration::from_secs(14),
         limits: true,
         notices: true,
-        ..SHAPE
+        ..BASE_SHAPE
     };
-    keeps_its_promises(2, shape).await;
+    assert_guarantees_hold(2, shape).await;
 }
