--- a/tools/generate-proto/src/main.rs
+++ b/tools/generate-proto/src/main.rs
@@ -1,4 +1,4 @@
-//! Regenerates `crates/tc-fleet/src/generated.rs` from its proto file; run from the repository's root:
+//! Regenerates `crates/tc-fleet/src/generated.rs` from `fleet.proto`. Run it from the repository root:
 //! `cargo run --manifest-path tools/generate-proto/Cargo.toml`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
--- a/tools/pairs/src/compare.rs
+++ b/tools/pairs/src/compare.rs
@@ -1,4 +1,4 @@
-//! Means of differences and their standard errors.
+//! Computes paired differences and their standard errors.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,42 +6,42 @@
 
 use crate::play::Pair;
 
-/// How one figure changed over some pairs.
+/// Change of one figure over a set of pairs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct FigureChange {
     /// Name of the figure.
     pub figure: String,
-    /// How many pairs have it.
+    /// Number of pairs that have the figure on both sides.
     pub pairs: usize,
-    /// Its mean before.
+    /// Mean without the change.
     pub before: f64,
-    /// Its mean after.
+    /// Mean with the change.
     pub after: f64,
     /// Mean of the differences.
     pub change: f64,
-    /// Standard error of that mean; `None` for a single pair.
+    /// Standard error of the mean difference; `None` with fewer than two pairs.
     pub error: Option<f64>,
 }
 
-impl Line {
-    /// Whether the change is larger than twice its error.
+impl FigureChange {
+    /// Returns whether the change exceeds twice its standard error.
     #[must_use]
-    pub fn is_clear(&self) -> bool {
+    pub fn is_significant(&self) -> bool {
         self.error
             .is_some_and(|error| self.change.abs() > 2.0 * error)
     }
 }
 
-/// All changed figures, over all days and by day.
+/// Changes of all figures, over all days and per day.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Over all pairs.
-    pub all: Vec<Line>,
-    /// By name of day.
-    pub by_day: BTreeMap<String, Vec<Line>>,
+    /// Changes over all pairs.
+    pub all: Vec<FigureChange>,
+    /// Changes per day, by the day's name.
+    pub by_day: BTreeMap<String, Vec<FigureChange>>,
 }
 
-/// Compares pairs.
+/// Computes the change of every figure over all pairs and per day.
 ///
 /// ```
 /// use pairs::{Figures, Pair, compare};
@@ -64,42 +64,42 @@
         by_day.entry(pair.day.clone()).or_default().push(pair);
     }
     Comparison {
-        all: lines(&all),
+        all: figure_changes(&all),
         by_day: by_day
             .into_iter()
-            .map(|(day, pairs)| (day, lines(&pairs)))
+            .map(|(day, pairs)| (day, figure_changes(&pairs)))
             .collect(),
     }
 }
 
-fn lines(pairs: &[&Pair]) -> Vec<Line> {
+fn figure_changes(pairs: &[&Pair]) -> Vec<FigureChange> {
     let names: BTreeSet<&String> = pairs
         .iter()
         .flat_map(|pair| pair.before.keys().chain(pair.after.keys()))
         .collect();
     names
         .into_iter()
-        .map(|name| line(pairs, name))
-        .filter(|line| line.pairs > 0)
+        .map(|name| figure_change(pairs, name))
+        .filter(|change| change.pairs > 0)
         .collect()
 }
 
-fn line(pairs: &[&Pair], figure: &str) -> Line {
+fn figure_change(pairs: &[&Pair], figure: &str) -> FigureChange {
     let values: Vec<(f64, f64)> = pairs
         .iter()
         .filter_map(|pair| Some((*pair.before.get(figure)?, *pair.after.get(figure)?)))
         .collect();
-    let changes: Vec<f64> = values
+    let differences: Vec<f64> = values
         .iter()
         .map(|(before, after)| after - before)
         .collect();
-    Line {
+    FigureChange {
         figure: figure.to_owned(),
         pairs: values.len(),
         before: mean(values.iter().map(|(before, _)| *before)),
         after: mean(values.iter().map(|(_, after)| *after)),
-        change: mean(changes.iter().copied()),
-        error: standard_error(&changes),
+        change: mean(differences.iter().copied()),
+        error: standard_error(&differences),
     }
 }
 
@@ -113,7 +113,7 @@
     if count < 2 {
         return None;
     }
-    let middle = mean(values.iter().copied());
-    let squares: f64 = values.iter().map(|value| (value - middle).powi(2)).sum();
-    Some((squares / (count - 1) as f64 / count as f64).sqrt())
+    let average = mean(values.iter().copied());
+    let squared_deviations: f64 = values.iter().map(|value| (value - average).powi(2)).sum();
+    Some((squared_deviations / (count - 1) as f64 / count as f64).sqrt())
 }
--- a/tools/pairs/src/play.rs
+++ b/tools/pairs/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays pairs of days, several at a time.
+//! Runs pairs of benchmark days in parallel.
 
 use std::{
     fs, io,
@@ -15,119 +15,121 @@
 
 use crate::report::{Figures, figures};
 
-/// What is to be played.
+/// Days, seeds and checkouts to run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program that plays a day.
+    /// Benchmark program that runs one day.
     pub bench: PathBuf,
     /// Checkout without the change.
     pub before: PathBuf,
-    /// Checkout with it.
+    /// Checkout with the change.
     pub after: PathBuf,
-    /// The deployment's file.
+    /// File that describes the deployment.
     pub site: PathBuf,
     /// Names of days.
     pub days: Vec<String>,
     /// Seeds of each day.
     pub seeds: Vec<u64>,
-    /// Days played at the same time.
+    /// Number of pairs run in parallel.
     pub jobs: usize,
-    /// Whether processor time counts; it is not the same in two runs of one seed.
-    pub with_processor_time: bool,
-    /// The reason that the journal gets.
-    pub why: String,
+    /// Whether to include processor time, which differs between two runs of one seed.
+    pub include_cpu_time: bool,
+    /// Reason that the benchmark program records in the journal.
+    pub reason: String,
 }
 
-/// One day and seed, played twice.
+/// Results of one day and seed on both checkouts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pair {
     /// Name of the day.
     pub day: String,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Figures without the change.
     pub before: Figures,
-    /// Figures with it.
+    /// Figures with the change.
     pub after: Figures,
 }
 
-/// Why a day brought no figures.
+/// Error of a run that gave no figures.
 #[derive(Debug, Error)]
-pub enum PlayError {
-    /// The program could not be started.
-    #[error("{program} cannot be started: {error}")]
+pub enum RunError {
+    /// The benchmark program could not be started.
+    #[error("cannot start {program}: {error}")]
     Start {
-        /// Its path.
+        /// Path of the program.
         program: PathBuf,
-        /// What went wrong.
+        /// Cause of the failure.
         error: io::Error,
     },
-    /// It ended without a report.
-    #[error("day {day}, seed {seed} in {checkout}: no report; the program said: {said}")]
+    /// The program exited without writing a report.
+    #[error(
+        "day {day}, seed {seed} in {checkout}: no report; last line of stderr: {last_stderr_line}"
+    )]
     NoReport {
         /// Name of the day.
         day: String,
-        /// Its seed.
+        /// Seed of the run.
         seed: u64,
-        /// Which checkout was played.
+        /// Checkout in which the program ran.
         checkout: PathBuf,
-        /// Its last words.
-        said: String,
+        /// Last line that the program wrote to stderr.
+        last_stderr_line: String,
     },
-    /// The report cannot be read.
-    #[error("day {day}, seed {seed}: the report cannot be read: {error}")]
+    /// The report could not be parsed.
+    #[error("day {day}, seed {seed}: cannot parse the report: {error}")]
     Report {
         /// Name of the day.
         day: String,
-        /// Its seed.
+        /// Seed of the run.
         seed: u64,
-        /// What went wrong.
+        /// Cause of the failure.
         error: serde_json::Error,
     },
 }
 
-/// Plays all pairs of a plan.
+/// Runs all pairs of a plan and returns them ordered by day and seed.
 ///
 /// # Errors
 ///
-/// At the first day that brings no figures.
-pub fn play_all(plan: &Plan) -> Result<Vec<Pair>, PlayError> {
-    let wanted: Vec<(&str, u64)> = plan
+/// Returns the first error that occurred, after all pairs have been run.
+pub fn run_all(plan: &Plan) -> Result<Vec<Pair>, RunError> {
+    let queue: Vec<(&str, u64)> = plan
         .days
         .iter()
         .flat_map(|day| plan.seeds.iter().map(|seed| (day.as_str(), *seed)))
         .collect();
     let next = AtomicUsize::new(0);
-    let played: Mutex<Vec<Result<Pair, PlayError>>> = Mutex::default();
+    let results: Mutex<Vec<Result<Pair, RunError>>> = Mutex::default();
     thread::scope(|scope| {
-        for _ in 0..plan.jobs.clamp(1, wanted.len().max(1)) {
+        for _ in 0..plan.jobs.clamp(1, queue.len().max(1)) {
             scope.spawn(|| {
-                while let Some((day, seed)) = wanted.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let pair = play_pair(plan, day, *seed);
-                    let mut played = played.lock().unwrap_or_else(PoisonError::into_inner);
-                    eprintln!("{} of {} pairs", played.len() + 1, wanted.len());
-                    played.push(pair);
+                while let Some((day, seed)) = queue.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    let pair = run_pair(plan, day, *seed);
+                    let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
+                    eprintln!("{} of {} pairs done", results.len() + 1, queue.len());
+                    results.push(pair);
                 }
             });
         }
     });
-    let played = played.into_inner().unwrap_or_else(PoisonError::into_inner);
-    let mut pairs = played.into_iter().collect::<Result<Vec<Pair>, _>>()?;
+    let results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let mut pairs = results.into_iter().collect::<Result<Vec<Pair>, _>>()?;
     pairs.sort_by(|a, b| (&a.day, a.seed).cmp(&(&b.day, b.seed)));
     Ok(pairs)
 }
 
-fn play_pair(plan: &Plan, day: &str, seed: u64) -> Result<Pair, PlayError> {
+fn run_pair(plan: &Plan, day: &str, seed: u64) -> Result<Pair, RunError> {
     Ok(Pair {
         day: day.to_owned(),
         seed,
-        before: play(plan, &plan.before, day, seed)?,
-        after: play(plan, &plan.after, day, seed)?,
+        before: run_day(plan, &plan.before, day, seed)?,
+        after: run_day(plan, &plan.after, day, seed)?,
     })
 }
 
-fn play(plan: &Plan, checkout: &Path, day: &str, seed: u64) -> Result<Figures, PlayError> {
-    // Each pair has files of its own, as several are played at a time.
+fn run_day(plan: &Plan, checkout: &Path, day: &str, seed: u64) -> Result<Figures, RunError> {
+    // Pairs run in parallel, so each run writes its own report file.
     let side = if *checkout == plan.after {
         "after"
     } else {
@@ -141,30 +143,30 @@
         .arg("run")
         .arg(&plan.site)
         .arg(day)
-        .args(["--seed", &seed.to_string(), "--why", &plan.why])
+        .args(["--seed", &seed.to_string(), "--why", &plan.reason])
         .arg("--report")
         .arg(&file);
-    if !plan.with_processor_time {
+    if !plan.include_cpu_time {
         command.arg("--no-cpu");
     }
-    let output = command.output().map_err(|error| PlayError::Start {
+    let output = command.output().map_err(|error| RunError::Start {
         program: plan.bench.clone(),
         error,
     })?;
-    let text = fs::read_to_string(&file).map_err(|_| PlayError::NoReport {
+    let text = fs::read_to_string(&file).map_err(|_| RunError::NoReport {
         day: day.to_owned(),
         seed,
         checkout: checkout.to_owned(),
-        said: String::from_utf8_lossy(&output.stderr)
+        last_stderr_line: String::from_utf8_lossy(&output.stderr)
             .lines()
             .last()
             .unwrap_or_default()
             .to_owned(),
     })?;
     if let Err(error) = fs::remove_file(&file) {
-        eprintln!("{} stays behind: {error}", file.display());
+        eprintln!("cannot remove {}: {error}", file.display());
     }
-    figures(&text).map_err(|error| PlayError::Report {
+    figures(&text).map_err(|error| RunError::Report {
         day: day.to_owned(),
         seed,
         error,
--- a/tools/pairs/src/report.rs
+++ b/tools/pairs/src/report.rs
@@ -1,4 +1,4 @@
-//! The figures of one played day.
+//! Reads the figures of one day from the benchmark report.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
     served: f64,
     refused: f64,
     failed: f64,
-    /// Name, weight, value.
+    /// Name, weight and value of each part of the score.
     parts: Vec<(String, f64, f64)>,
-    /// Name, amount, what it takes off.
+    /// Name, amount and score deduction of each price.
     prices: Vec<(String, f64, f64)>,
     classes: Vec<Group>,
     zones: Vec<Group>,
@@ -33,7 +33,7 @@
     worth: f64,
 }
 
-/// Reads a day's report.
+/// Parses the report of one day.
 ///
 /// ```
 /// let text = r#"{"G":0.5,"served":0.8,"refused":0.1,"failed":0.1,"parts":[["whole day",0.4,0.7]],
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// When the text is no such report.
+/// Returns an error if the text is not a valid report.
 pub fn figures(text: &str) -> Result<Figures, serde_json::Error> {
     let report: Report = serde_json::from_str(text)?;
     let mut figures = Figures::from([
@@ -62,8 +62,8 @@
     for (name, _, value) in report.parts {
         figures.insert(format!("part {name}"), value);
     }
-    for (name, _, taken_off) in report.prices {
-        figures.insert(format!("price {name}"), taken_off);
+    for (name, _, deduction) in report.prices {
+        figures.insert(format!("price {name}"), deduction);
     }
     for (kind, groups) in [("class", report.classes), ("domain", report.zones)] {
         for group in groups {
