--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -43,14 +43,14 @@
 }
 
 /// The plan of this seed stops one instance while the only remaining engines do not respond. Requests that are still in
-/// progress on them when the grace period ends are cut off; no other request may be.
+/// progress on them when the grace period ends may be cut off; no other request may be.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_with_unresponsive_upstreams_cuts_nothing_within_the_grace_period() {
     assert_guarantees_hold(1, BASE_SHAPE).await;
 }
 
-/// The plan of this seed evacuates a failure domain while instances are killed and the object store has faults. New requests
-/// must go to other failure domains in time.
+/// The plan of this seed evacuates a failure domain while instances are killed and the object store has faults. Once the
+/// evacuation has had time to reach every instance, no new request may go to that failure domain.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_evacuated_domain_gets_no_new_requests_during_other_faults() {
     let shape = SoakShape {
