--- a/crates/tc-caller/src/http/addresses.rs
+++ b/crates/tc-caller/src/http/addresses.rs
@@ -20,10 +20,10 @@
             "the token belongs to another workspace",
         ));
     }
-    let answer = (shared.ports.addresses)(&caller.workspace);
-    let mut response = json_response(&answer);
+    let addresses = (shared.ports.addresses)(&caller.workspace);
+    let mut response = json_response(&addresses);
     // The response depends on the token, so shared caches must not store it.
-    let cache = format!("private, max-age={}", answer.max_age_s);
+    let cache = format!("private, max-age={}", addresses.max_age_s);
     if let Ok(value) = HeaderValue::from_str(&cache) {
         response.headers_mut().insert(CACHE_CONTROL, value);
     }
--- a/crates/tc-caller/src/http/keyed.rs
+++ b/crates/tc-caller/src/http/keyed.rs
@@ -46,10 +46,10 @@
         let owner = key_owner(&caller.view, binding, caller.headers.forwarded)?;
         if let KeyOwner::Remote(address) = owner {
             let remaining = delivery.deadline.remaining(MonoTime::now());
-            let onward = forwarded_request(caller, delivery.body, remaining);
+            let request = forwarded_request(caller, delivery.body, remaining);
             let forwarded = shared
                 .forwarder
-                .forward(&shared.settings.me, address, onward);
+                .forward(&shared.settings.me, address, request);
             // Even if the error proves that this delivery did not arrive, an earlier one may have.
             return forwarded.await.map(Routed::Forwarded).map_err(|error| {
                 let instance = binding.instance.as_str();
@@ -87,33 +87,33 @@
 /// Returns the response of a delivery, whichever delivery started the run.
 pub(crate) async fn respond(
     cx: &RequestContext,
-    begun: Result<ResponseSource, Failure>,
+    source: Result<ResponseSource, Failure>,
 ) -> Result<CallerResponse, Failure> {
-    let answer = match begun {
-        Ok(ResponseSource::Started(answer)) => {
+    let result = match source {
+        Ok(ResponseSource::Started(receiver)) => {
             // The run itself records how it ended.
-            return wait_for_response(cx, answer)
+            return wait_for_response(cx, receiver)
                 .await
-                .map(|a| a.to_response(&cx.id));
+                .map(|response| response.to_response(&cx.id));
         }
-        Ok(ResponseSource::Joined(answer)) => wait_for_response(cx, answer).await,
-        Ok(ResponseSource::Completed(answer)) => Ok(answer),
+        Ok(ResponseSource::Joined(receiver)) => wait_for_response(cx, receiver).await,
+        Ok(ResponseSource::Completed(response)) => Ok(response),
         Err(failure) => Err(failure),
     };
-    let failure = match &answer {
-        Ok(answer) => failure_of(answer),
+    let failure = match &result {
+        Ok(response) => failure_of(response),
         Err(failure) => Some(failure.clone()),
     };
     cx.finish(failure.as_ref());
-    answer.map(|answer| answer.to_response(&cx.id))
+    result.map(|response| response.to_response(&cx.id))
 }
 
-fn failure_of(answer: &FinalResponse) -> Option<Failure> {
-    let failed = answer.status.is_server_error() || answer.status.is_client_error();
+fn failure_of(response: &FinalResponse) -> Option<Failure> {
+    let failed = response.status.is_server_error() || response.status.is_client_error();
     failed.then(|| {
         Failure::new(
             ProblemKind::UpstreamFailed,
-            answer.run_state,
+            response.run_state,
             "the run of this key failed",
         )
     })
--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -117,10 +117,10 @@
         .filter(|_| !caller.headers.forwarded)
         .map(|member| member.caller_address)
         .ok_or_else(streams::not_resumable)?;
-    let onward = keyed::forwarded_request(caller, body, remaining);
+    let request = keyed::forwarded_request(caller, body, remaining);
     let forwarded = shared
         .forwarder
-        .forward(&shared.settings.me, address, onward)
+        .forward(&shared.settings.me, address, request)
         .await;
     forwarded.map_err(|error| {
         log::warn!(instance = entry.as_str(), error = error.to_string().as_str(); "failed to forward a stream resume");
@@ -137,29 +137,29 @@
     call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let deadline = delivery.deadline;
-    let keyed = match keyed::route_delivery(shared, caller, delivery).await? {
-        keyed::Routed::Local(keyed) => keyed,
+    let keyed_request = match keyed::route_delivery(shared, caller, delivery).await? {
+        keyed::Routed::Local(keyed_request) => keyed_request,
         keyed::Routed::Forwarded(response) => return Ok(response),
     };
     let cx = caller.context(shared, Some(name), deadline, call.pipeline.priority);
     if caller.headers.wants_stream {
-        return stream_with_key(cx, keyed, call).await;
+        return stream_with_key(cx, keyed_request, call).await;
     }
     let run = {
         let cx = cx.clone();
-        move || async move { complete_answer(&cx, &call).await }.boxed()
+        move || async move { complete_response(&cx, &call).await }.boxed()
     };
-    let begun = run_once(&cx, keyed, run);
-    keyed::respond(&cx, begun).await
+    let source = run_once(&cx, keyed_request, run);
+    keyed::respond(&cx, source).await
 }
 
-async fn complete_answer(cx: &Arc<RequestContext>, call: &PipelineCall) -> FinalResponse {
+async fn complete_response(cx: &Arc<RequestContext>, call: &PipelineCall) -> FinalResponse {
     let result = run_pipeline(cx, call, None).await;
     cx.finish(result.as_ref().err());
     match result {
         Ok(response) => {
             let body = serde_json::to_vec(&response).unwrap_or_default();
-            final_answer(cx, "application/json", body.into())
+            final_response(cx, "application/json", body.into())
         }
         Err(failure) => problem_response(&failure, &cx.id),
     }
@@ -168,36 +168,36 @@
 /// Streams the run to the delivery that started it. Other deliveries get the complete response.
 async fn stream_with_key(
     cx: Arc<RequestContext>,
-    keyed: crate::idempotency::KeyedRequest,
+    keyed_request: crate::idempotency::KeyedRequest,
     call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let log = Arc::new(StreamLog::new());
     let response = streams::stream_response(&log, 0, &cx.id)?;
     let run = {
         let (cx, log) = (cx.clone(), log.clone());
-        move || async move { stream_answer(&cx, &call, &log).await }.boxed()
+        move || async move { streamed_response(&cx, &call, &log).await }.boxed()
     };
-    match run_once(&cx, keyed, run) {
-        Ok(ResponseSource::Started(answer)) => tokio::select! {
+    match run_once(&cx, keyed_request, run) {
+        Ok(ResponseSource::Started(receiver)) => tokio::select! {
             biased;
-            opening = log.wait_for_start() => match opening {
+            start = log.wait_for_start() => match start {
                 StreamStart::Streaming => Ok(response),
                 StreamStart::Failure(failure) => Err(failure),
             },
             // The claim was refused, so the stream never started.
-            answer = wait_for_response(&cx, answer) => Ok(answer?.to_response(&cx.id)),
+            result = wait_for_response(&cx, receiver) => Ok(result?.to_response(&cx.id)),
         },
-        begun => keyed::respond(&cx, begun).await,
+        source => keyed::respond(&cx, source).await,
     }
 }
 
-async fn stream_answer(
+async fn streamed_response(
     cx: &Arc<RequestContext>,
     call: &PipelineCall,
     log: &Arc<StreamLog>,
 ) -> FinalResponse {
     match streams::run_into_stream(cx, call, log).await {
-        Ok(response) => final_answer(cx, "text/event-stream", to_events(&response)),
+        Ok(response) => final_response(cx, "text/event-stream", to_events(&response)),
         Err(failure) => problem_response(&failure, &cx.id),
     }
 }
@@ -211,7 +211,7 @@
     parts.concat().into()
 }
 
-fn final_answer(cx: &RequestContext, content_type: &'static str, body: Bytes) -> FinalResponse {
+fn final_response(cx: &RequestContext, content_type: &'static str, body: Bytes) -> FinalResponse {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     if let Ok(value) = HeaderValue::from_str(cx.id.as_str()) {
--- a/crates/tc-caller/src/http/services.rs
+++ b/crates/tc-caller/src/http/services.rs
@@ -41,17 +41,17 @@
             body,
             deadline,
         };
-        let keyed = match keyed::route_delivery(shared, &caller, delivery).await? {
-            keyed::Routed::Local(keyed) => keyed,
+        let keyed_request = match keyed::route_delivery(shared, &caller, delivery).await? {
+            keyed::Routed::Local(keyed_request) => keyed_request,
             keyed::Routed::Forwarded(response) => return Ok(response),
         };
         let cx = caller.context(shared, None, deadline, DEFAULT_PLAIN_PRIORITY);
         let run = {
             let cx = cx.clone();
-            move || async move { complete_answer(&cx, &request, &service).await }.boxed()
+            move || async move { complete_response(&cx, &request, &service).await }.boxed()
         };
-        let begun = run_once(&cx, keyed, run);
-        return keyed::respond(&cx, begun).await;
+        let source = run_once(&cx, keyed_request, run);
+        return keyed::respond(&cx, source).await;
     }
     let cx = caller.context(shared, None, deadline, DEFAULT_PLAIN_PRIORITY);
     match run_plain(&cx, &request, &service).await {
@@ -113,7 +113,7 @@
 }
 
 /// Returns the complete response, so that other deliveries of the key get the same one.
-async fn complete_answer(
+async fn complete_response(
     cx: &Arc<RequestContext>,
     request: &PlainRequest,
     service: &Service,
