--- a/crates/tc-policy/src/batch/completion.rs
+++ b/crates/tc-policy/src/batch/completion.rs
@@ -105,7 +105,7 @@
                 self.typical_call_s +=
                     CALL_TIME_WEIGHT * (took.as_secs_f64() - self.typical_call_s);
                 self.piece_times
-                    .learn(&self.spec, &call.result_sizes, took, upstream.slowdown);
+                    .record(&self.spec, &call.result_sizes, took, upstream.slowdown);
                 upstream.record_success(took, call.expected.div_f64(upstream.slowdown));
             }
             CallEnd::NotRun => upstream.record_refusal(now),
--- a/crates/tc-policy/src/batch/piece_times.rs
+++ b/crates/tc-policy/src/batch/piece_times.rs
@@ -28,7 +28,7 @@
     }
 
     /// Updates the estimates from a call that took `took` on an upstream with this slowdown.
-    pub(super) fn learn(
+    pub(super) fn record(
         &mut self,
         spec: &BatchSpec,
         result_sizes: &[u64],
