--- a/crates/tc-caller/src/http/headers.rs
+++ b/crates/tc-caller/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Request headers that decide how a request runs.
+//! Request headers that control the execution of a request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,21 +10,21 @@
     limits::{LOWEST_PRIORITY, MAX_KEY_BYTES, MAX_TIMEOUT},
 };
 
-/// The instance and life of its process to which an idempotency key is bound.
+/// The instance, and the incarnation of its process, to which an idempotency key is bound.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Binding {
     pub(crate) instance: InstanceId,
     pub(crate) incarnation: Incarnation,
 }
 
-/// A caller's wish to resume a stream.
+/// The stream that a caller wants to resume, and the last event that it received.
 #[derive(Clone, Debug)]
 pub(crate) struct ResumeFrom {
     pub(crate) request: RequestId,
     pub(crate) last_event_id: u64,
 }
 
-/// All headers of a request that decide how it runs.
+/// All headers that control the execution of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallHeaders {
     pub(crate) timeout: Option<Duration>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Refuses headers that together are larger than `max` bytes.
+/// Refuses headers with a total size of more than `max` bytes.
 pub(crate) fn check_size(headers: &HeaderMap, max: usize) -> Result<(), Failure> {
     let size: usize = headers
         .iter()
@@ -76,12 +76,13 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(Failure::bad(format!("header {name} was sent twice")));
+        return Err(Failure::bad_request(format!(
+            "header {name} was sent twice"
+        )));
     }
-    value
-        .to_str()
-        .map(|text| Some(text.trim()))
-        .map_err(|_| Failure::bad(format!("header {name} has characters that are not allowed")))
+    value.to_str().map(|text| Some(text.trim())).map_err(|_| {
+        Failure::bad_request(format!("header {name} has characters that are not allowed"))
+    })
 }
 
 fn timeout(headers: &HeaderMap) -> Result<Option<Duration>, Failure> {
@@ -90,7 +91,7 @@
     };
     match value.parse::<u64>() {
         Ok(millis) if millis > 0 => Ok(Some(Duration::from_millis(millis).min(MAX_TIMEOUT))),
-        _ => Err(Failure::bad(format!(
+        _ => Err(Failure::bad_request(format!(
             "header {} must be a whole number of milliseconds above zero",
             wire::TIMEOUT_MS
         ))),
@@ -102,7 +103,7 @@
         return Ok(None);
     };
     let bad = || {
-        Failure::bad(format!(
+        Failure::bad_request(format!(
             "header {} must be as in RFC 9218, u=0 to u=7",
             wire::PRIORITY
         ))
@@ -128,7 +129,7 @@
         return Ok(None);
     };
     if value.is_empty() || value.len() > MAX_KEY_BYTES {
-        return Err(Failure::bad(format!(
+        return Err(Failure::bad_request(format!(
             "header {} must have 1 to {MAX_KEY_BYTES} bytes",
             wire::IDEMPOTENCY_KEY
         )));
@@ -151,7 +152,7 @@
         })
         .map(Some)
         .ok_or_else(|| {
-            Failure::bad(format!(
+            Failure::bad_request(format!(
                 "header {} must be the binding from the address answer",
                 wire::INSTANCE_BINDING
             ))
@@ -163,13 +164,13 @@
         return Ok(None);
     };
     let last_event_id = last.parse().map_err(|_| {
-        Failure::bad(format!(
+        Failure::bad_request(format!(
             "header {} must be the id of an event",
             wire::LAST_EVENT_ID
         ))
     })?;
     let request = text(headers, wire::REQUEST_ID)?.ok_or_else(|| {
-        Failure::bad(format!(
+        Failure::bad_request(format!(
             "header {} needs {} of the answer that is resumed",
             wire::LAST_EVENT_ID,
             wire::REQUEST_ID
--- a/crates/tc-caller/src/http/pipelines.rs
+++ b/crates/tc-caller/src/http/pipelines.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/pipelines/{pipeline}`.
+//! `POST /v1/pipelines/{pipeline}`: runs a pipeline.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,15 +16,15 @@
         caller::Caller,
         json_response,
         keyed::{self, Delivery},
-        problem_answer,
+        problem_response,
     },
-    idempotency::{FinalAnswer, Once, once, wait_for},
-    run::{PipelineAnswer, PipelineWork, RequestContext, run_pipeline},
+    idempotency::{FinalResponse, ResponseSource, run_once, wait_for_response},
+    run::{PipelineCall, PipelineResponse, RequestContext, run_pipeline},
     shared::Shared,
-    streams::{self, Opening, StreamLog},
+    streams::{self, StreamLog, StreamStart},
 };
 
-/// A request body.
+/// The body of a pipeline request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PipelineRequest {
@@ -38,7 +38,7 @@
     name: PipelineName,
     body: &mut Incoming,
 ) -> Result<CallerResponse, Failure> {
-    let pipeline = find(&caller, &name)?;
+    let pipeline = find_pipeline(&caller, &name)?;
     let deadline = caller.deadline(Duration::from_millis(pipeline.deadline_ms));
     let remaining = deadline.remaining(MonoTime::now());
     let wait = remaining.min(shared.timeouts.body_read);
@@ -46,30 +46,30 @@
     if let Some(from) = &caller.headers.resume {
         return resume(shared, &caller, from, body, remaining).await;
     }
-    let request = parse(&body)?;
-    let work = PipelineWork {
+    let request = parse_request(&body)?;
+    let call = PipelineCall {
         input: request.input,
         max_tokens: request.max_tokens,
         pipeline,
     };
-    if !work.is_idempotent(&caller.view.config) {
+    if !call.is_idempotent(&caller.view.config) {
         let delivery = Delivery {
             target: format!("pipeline/{name}"),
             body,
             deadline,
         };
-        return call_once(shared, &caller, name, delivery, work).await;
+        return call_with_key(shared, &caller, name, delivery, call).await;
     }
-    let cx = caller.context(shared, Some(name), deadline, work.pipeline.priority);
+    let cx = caller.context(shared, Some(name), deadline, call.pipeline.priority);
     if caller.headers.wants_stream {
-        return streams::start(cx, work).await;
+        return streams::start_stream(cx, call).await;
     }
-    let result = run_pipeline(&cx, &work, None).await;
+    let result = run_pipeline(&cx, &call, None).await;
     cx.finish(result.as_ref().err());
-    result.map(|answer| json_response(&answer))
+    result.map(|response| json_response(&response))
 }
 
-fn find(caller: &Caller, name: &PipelineName) -> Result<Pipeline, Failure> {
+fn find_pipeline(caller: &Caller, name: &PipelineName) -> Result<Pipeline, Failure> {
     let config = &caller.view.config;
     let pipeline = config
         .pipelines
@@ -85,16 +85,16 @@
     Ok(pipeline.clone())
 }
 
-fn parse(body: &[u8]) -> Result<PipelineRequest, Failure> {
+fn parse_request(body: &[u8]) -> Result<PipelineRequest, Failure> {
     let request: PipelineRequest = serde_json::from_slice(body)
-        .map_err(|e| Failure::bad(format!("the body is not a pipeline request: {e}")))?;
+        .map_err(|e| Failure::bad_request(format!("the body is not a pipeline request: {e}")))?;
     if request.max_tokens == Some(0) {
-        return Err(Failure::bad("max_tokens must be above zero"));
+        return Err(Failure::bad_request("max_tokens must be above zero"));
     }
     Ok(request)
 }
 
-/// Sends the rest of a stream, from here or through the instance that keeps it.
+/// Sends the rest of a stream, from this instance or forwarded from the instance that retains it.
 async fn resume(
     shared: &Arc<Shared>,
     caller: &Caller,
@@ -103,7 +103,7 @@
     remaining: Duration,
 ) -> Result<CallerResponse, Failure> {
     let entry = from.request.entry_instance().ok_or_else(|| {
-        Failure::bad(format!(
+        Failure::bad_request(format!(
             "header {} is not a request's identifier",
             wire::REQUEST_ID
         ))
@@ -116,108 +116,108 @@
         .member(&entry)
         .filter(|_| !caller.headers.forwarded)
         .map(|member| member.caller_address)
-        .ok_or_else(streams::gone)?;
-    let onward = keyed::onward(caller, body, remaining);
+        .ok_or_else(streams::not_resumable)?;
+    let request = keyed::forwarded_request(caller, body, remaining);
     let forwarded = shared
         .forwarder
-        .forward(&shared.settings.me, address, onward)
+        .forward(&shared.settings.me, address, request)
         .await;
     forwarded.map_err(|error| {
-        log::warn!(instance = entry.as_str(), error = error.to_string().as_str(); "resume not forwarded");
-        streams::gone()
+        log::warn!(instance = entry.as_str(), error = error.to_string().as_str(); "failed to forward a stream resume");
+        streams::not_resumable()
     })
 }
 
-/// Runs a pipeline with a stage that may not be repeated.
-async fn call_once(
+/// Runs a pipeline that has a non-idempotent stage.
+async fn call_with_key(
     shared: &Arc<Shared>,
     caller: &Caller,
     name: PipelineName,
     delivery: Delivery,
-    work: PipelineWork,
+    call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let deadline = delivery.deadline;
-    let keyed = match keyed::place(shared, caller, delivery).await? {
-        keyed::Placed::Here(keyed) => keyed,
-        keyed::Placed::Answered(response) => return Ok(response),
+    let keyed_request = match keyed::route_delivery(shared, caller, delivery).await? {
+        keyed::Routed::Local(keyed_request) => keyed_request,
+        keyed::Routed::Forwarded(response) => return Ok(response),
     };
-    let cx = caller.context(shared, Some(name), deadline, work.pipeline.priority);
+    let cx = caller.context(shared, Some(name), deadline, call.pipeline.priority);
     if caller.headers.wants_stream {
-        return stream_once(cx, keyed, work).await;
+        return stream_with_key(cx, keyed_request, call).await;
     }
     let run = {
         let cx = cx.clone();
-        move || async move { whole_answer(&cx, &work).await }.boxed()
+        move || async move { complete_response(&cx, &call).await }.boxed()
     };
-    let begun = once(&cx, keyed, run);
-    keyed::answer(&cx, begun).await
+    let source = run_once(&cx, keyed_request, run);
+    keyed::respond(&cx, source).await
 }
 
-async fn whole_answer(cx: &Arc<RequestContext>, work: &PipelineWork) -> FinalAnswer {
-    let result = run_pipeline(cx, work, None).await;
+async fn complete_response(cx: &Arc<RequestContext>, call: &PipelineCall) -> FinalResponse {
+    let result = run_pipeline(cx, call, None).await;
     cx.finish(result.as_ref().err());
     match result {
-        Ok(answer) => {
-            let body = serde_json::to_vec(&answer).unwrap_or_default();
-            final_answer(cx, "application/json", body.into())
+        Ok(response) => {
+            let body = serde_json::to_vec(&response).unwrap_or_default();
+            final_response(cx, "application/json", body.into())
         }
-        Err(failure) => problem_answer(&failure, &cx.id),
+        Err(failure) => problem_response(&failure, &cx.id),
     }
 }
 
-/// Streams the run to the delivery that started it; others get its answer whole.
-async fn stream_once(
+/// Streams the run to the delivery that started it. Other deliveries get the complete response.
+async fn stream_with_key(
     cx: Arc<RequestContext>,
-    keyed: crate::idempotency::Keyed,
-    work: PipelineWork,
+    keyed_request: crate::idempotency::KeyedRequest,
+    call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let log = Arc::new(StreamLog::new());
     let response = streams::stream_response(&log, 0, &cx.id)?;
     let run = {
         let (cx, log) = (cx.clone(), log.clone());
-        move || async move { streamed_answer(&cx, &work, &log).await }.boxed()
+        move || async move { streamed_response(&cx, &call, &log).await }.boxed()
     };
-    match once(&cx, keyed, run) {
-        Ok(Once::First(answer)) => tokio::select! {
+    match run_once(&cx, keyed_request, run) {
+        Ok(ResponseSource::Started(receiver)) => tokio::select! {
             biased;
-            opening = log.opened() => match opening {
-                Opening::Stream => Ok(response),
-                Opening::Failure(failure) => Err(failure),
+            start = log.wait_for_start() => match start {
+                StreamStart::Streaming => Ok(response),
+                StreamStart::Failure(failure) => Err(failure),
             },
-            // The claim was refused, so that the stream never began.
-            answer = wait_for(&cx, answer) => Ok(answer?.to_response(&cx.id)),
+            // The claim was refused, so the stream never started.
+            result = wait_for_response(&cx, receiver) => Ok(result?.to_response(&cx.id)),
         },
-        begun => keyed::answer(&cx, begun).await,
+        source => keyed::respond(&cx, source).await,
     }
 }
 
-async fn streamed_answer(
+async fn streamed_response(
     cx: &Arc<RequestContext>,
-    work: &PipelineWork,
+    call: &PipelineCall,
     log: &Arc<StreamLog>,
-) -> FinalAnswer {
-    match streams::run_into(cx, work, log).await {
-        Ok(answer) => final_answer(cx, "text/event-stream", events_of(&answer)),
-        Err(failure) => problem_answer(&failure, &cx.id),
+) -> FinalResponse {
+    match streams::run_into_stream(cx, call, log).await {
+        Ok(response) => final_response(cx, "text/event-stream", to_events(&response)),
+        Err(failure) => problem_response(&failure, &cx.id),
     }
 }
 
-/// The whole stream of an answer, its text in one event.
-fn events_of(answer: &PipelineAnswer) -> Bytes {
+/// Returns the complete stream of a response, with its text in one event.
+fn to_events(response: &PipelineResponse) -> Bytes {
     let parts = [
-        streams::text_event(1, &answer.output),
-        streams::done_event(answer),
+        streams::text_event(1, &response.output),
+        streams::done_event(response),
     ];
     parts.concat().into()
 }
 
-fn final_answer(cx: &RequestContext, content_type: &'static str, body: Bytes) -> FinalAnswer {
+fn final_response(cx: &RequestContext, content_type: &'static str, body: Bytes) -> FinalResponse {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     if let Ok(value) = HeaderValue::from_str(cx.id.as_str()) {
         headers.insert(wire::REQUEST_ID, value);
     }
-    FinalAnswer {
+    FinalResponse {
         status: StatusCode::OK,
         headers,
         body: Some(body),
--- a/crates/tc-caller/src/http/answer.rs
+++ b/crates/tc-caller/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use std::{
     pin::Pin,
@@ -16,32 +16,34 @@
 use serde::Serialize;
 use tc_protocol::{ProblemKind, RequestId, wire};
 
-use crate::{connection::Taken, http::Failure, idempotency::FinalAnswer, shared::InFlight};
+use crate::{
+    connection::ResponseProgress, http::Failure, idempotency::FinalResponse, shared::InFlightGuard,
+};
 
-/// Error that ends a body early.
+/// An error that ends a body prematurely.
 pub(crate) type BodyError = Box<dyn std::error::Error + Send + Sync>;
-/// An answer to a caller.
+/// A response to a caller.
 pub(crate) type CallerResponse = Response<CallerBody>;
 
-/// Body of an answer; keeps the request counted as in flight until it has been sent or dropped.
+/// The body of a response. The request counts as in flight until the body has been sent or dropped.
 pub(crate) struct CallerBody {
     content: Content,
-    in_flight: Option<InFlight>,
-    taken: Option<Taken>,
+    in_flight: Option<InFlightGuard>,
+    progress: Option<ResponseProgress>,
 }
 
 enum Content {
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     Stream(BoxStream<'static, Result<Bytes, BodyError>>),
 }
 
 impl CallerBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub(crate) fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self {
-            content: Content::Whole((!bytes.is_empty()).then_some(bytes)),
+            content: Content::Full((!bytes.is_empty()).then_some(bytes)),
             in_flight: None,
-            taken: None,
+            progress: None,
         }
     }
 
@@ -49,13 +51,14 @@
         Self {
             content: Content::Stream(stream),
             in_flight: None,
-            taken: None,
+            progress: None,
         }
     }
 
-    pub(crate) fn hold(&mut self, in_flight: InFlight, taken: Taken) {
+    /// Keeps the request counted as in flight, and tracks how far the caller has read the body.
+    pub(crate) fn track(&mut self, in_flight: InFlightGuard, progress: ResponseProgress) {
         self.in_flight = Some(in_flight);
-        self.taken = Some(taken);
+        self.progress = Some(progress);
     }
 }
 
@@ -68,24 +71,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = match &mut self.content {
-            Content::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Content::Full(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Content::Stream(stream) => stream
                 .poll_next_unpin(cx)
                 .map(|next| next.map(|chunk| chunk.map(Frame::data))),
         };
-        if let Some(taken) = &mut self.taken {
-            taken.polled(frame.is_ready());
+        if let Some(progress) = &mut self.progress {
+            progress.polled(frame.is_ready());
         }
         frame
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.content, Content::Whole(None))
+        matches!(self.content, Content::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Whole(bytes) => {
+            Content::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
             Content::Stream(_) => SizeHint::default(),
@@ -93,18 +96,18 @@
     }
 }
 
-/// An answer of status 200 with a JSON body.
+/// Creates a response with status 200 and a JSON body.
 pub(crate) fn json_response(value: &impl Serialize) -> CallerResponse {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(CallerBody::whole(body));
+    let mut response = Response::new(CallerBody::full(body));
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// The answer that tells a failure.
-pub(crate) fn problem_answer(failure: &Failure, id: &RequestId) -> FinalAnswer {
+/// Creates the problem details response for a failure.
+pub(crate) fn problem_response(failure: &Failure, id: &RequestId) -> FinalResponse {
     let problem = failure.problem(id);
     let mut headers = HeaderMap::new();
     headers.insert(
@@ -127,7 +130,7 @@
     if let Ok(value) = HeaderValue::from_str(id.as_str()) {
         headers.insert(wire::REQUEST_ID, value);
     }
-    FinalAnswer {
+    FinalResponse {
         status: StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
         headers,
         body: Some(serde_json::to_vec(&problem).unwrap_or_default().into()),
@@ -135,7 +138,7 @@
     }
 }
 
-/// Seconds for `Retry-After`, rounded up so that the caller is not back too early.
+/// Converts to seconds for `Retry-After`, rounded up so that the caller does not retry too early.
 fn whole_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
--- a/crates/tc-caller/src/record/explain.rs
+++ b/crates/tc-caller/src/record/explain.rs
@@ -1,13 +1,13 @@
-//! Decisions of recent requests, in a ring with one slot per request.
+//! Keeps the decisions of recent requests in a ring buffer with one slot per request.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use arc_swap::ArcSwapOption;
 use tc_protocol::{Decision, Explanation, MonoTime, PipelineName, RequestId, Step, WorkspaceName};
 
-use crate::limits::{EXPLANATIONS, STEPS_PER_REQUEST};
+use crate::limits::{MAX_EXPLANATIONS, MAX_STEPS_PER_REQUEST};
 
-/// Decisions of one request, readable while it runs.
+/// Decisions of one request. They can be read while the request runs.
 pub(crate) struct RequestTrace {
     request: RequestId,
     workspace: WorkspaceName,
@@ -32,11 +32,12 @@
         }
     }
 
-    /// Adds a decision; beyond the bound it is left out, so that a request that is retried for long stays small.
+    /// Records a decision. Decisions beyond [`STEPS_PER_REQUEST`] are dropped, which limits the memory of a request
+    /// that is retried many times.
     pub(crate) fn add(&self, decision: Decision) {
         let at_ms = MonoTime::now().since(self.arrived).as_secs_f64() * 1e3;
         let mut steps = self.steps.lock().unwrap_or_else(PoisonError::into_inner);
-        if steps.len() < STEPS_PER_REQUEST {
+        if steps.len() < MAX_STEPS_PER_REQUEST {
             steps.push(Step { at_ms, decision });
         }
     }
@@ -55,7 +56,7 @@
     }
 }
 
-/// The most recent requests of this instance.
+/// Traces of the most recent requests of this instance.
 pub(crate) struct ExplanationRing {
     slots: Box<[ArcSwapOption<RequestTrace>]>,
 }
@@ -63,20 +64,22 @@
 impl ExplanationRing {
     pub(crate) fn new() -> Self {
         Self {
-            slots: (0..EXPLANATIONS).map(|_| ArcSwapOption::empty()).collect(),
+            slots: (0..MAX_EXPLANATIONS)
+                .map(|_| ArcSwapOption::empty())
+                .collect(),
         }
     }
 
-    /// Keeps a request in place of the one that came a whole ring earlier.
-    pub(crate) fn keep(&self, counter: u64, trace: Arc<RequestTrace>) {
-        let slot = (counter % EXPLANATIONS as u64) as usize;
+    /// Stores a trace in the slot of its counter, and overwrites the trace that is [`EXPLANATIONS`] requests older.
+    pub(crate) fn insert(&self, counter: u64, trace: Arc<RequestTrace>) {
+        let slot = (counter % MAX_EXPLANATIONS as u64) as usize;
         self.slots[slot].store(Some(trace));
     }
 
     pub(crate) fn explain(&self, id: &RequestId) -> Option<Explanation> {
         let (_, counter) = id.as_str().rsplit_once('-')?;
         let counter = u64::from_str_radix(counter, 16).ok()?;
-        let slot = (counter % EXPLANATIONS as u64) as usize;
+        let slot = (counter % MAX_EXPLANATIONS as u64) as usize;
         let trace = self.slots[slot].load();
         let trace = trace.as_ref().filter(|t| t.request == *id)?;
         Some(trace.explanation())
--- a/crates/tc-caller/src/record/mod.rs
+++ b/crates/tc-caller/src/record/mod.rs
@@ -1,8 +1,8 @@
-//! What is kept of requests: decisions for operators, counts and costs for the workspaces' view.
+//! Records of requests: decisions for operators, and counts and costs by workspace.
 
 mod explain;
 mod stats;
 
 pub(crate) use explain::{ExplanationRing, RequestTrace};
-pub(crate) use stats::{Ending, Stats, WorkspaceRecord};
+pub(crate) use stats::{RequestOutcome, Stats, WorkspaceRecord};
 pub use stats::{StageCost, WorkspaceStats};
--- a/crates/tc-caller/src/run/dispatch.rs
+++ b/crates/tc-caller/src/run/dispatch.rs
@@ -1,4 +1,4 @@
-//! A stage's attempts: the first, at most one hedge beside it, and retries after them.
+//! Dispatch of a stage: a first attempt, at most one hedge in parallel, and retries.
 
 use std::{
     future::Future,
@@ -18,91 +18,113 @@
     http::Failure,
     limits::RETRY_AFTER,
     run::{
-        attempt::{CallTarget, Lost, Try, Won, attempt},
+        attempt::{AttemptFailure, AttemptState, AttemptSuccess, CallTarget, run_attempt},
         context::RequestContext,
-        plan::{InputFacts, StagePlan},
+        plan::{InputProperties, StagePlan},
     },
 };
 
-/// A stage and what follows it, as far as dispatching it is concerned.
+/// A stage to dispatch, with the estimates that hedging and retries depend on.
 pub(crate) struct Dispatch<'a> {
     pub(crate) cx: &'a Arc<RequestContext>,
     pub(crate) plan: &'a StagePlan,
-    pub(crate) facts: &'a InputFacts,
-    /// Estimates of this stage and those after it.
+    pub(crate) input_properties: &'a InputProperties,
+    /// Estimates of this stage and all later ones.
     pub(crate) rest: &'a [StageEstimate],
-    /// Time until a call brings what is waited for here: the whole result or a stream's first item.
+    /// Estimated time until a call returns its complete result or, for a stream, its first item.
     pub(crate) until_result: &'a StageEstimate,
 }
 
-/// What the stage's attempts came to so far.
+/// Number of a stage's attempts so far, and the upstreams that they were sent to.
 #[derive(Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     pub(crate) count: u32,
-    avoid: Vec<UpstreamId>,
+    excluded: Vec<UpstreamId>,
 }
 
 impl Dispatch<'_> {
-    /// Runs `call` on one upstream after the other until one brings a result, within the service's budgets.
-    pub(crate) async fn run<T, F, Fut>(&self, tries: &mut Tries, call: F) -> Result<Won<T>, Failure>
+    /// Runs `call` on one upstream after another until one succeeds, within the service's hedge and retry budgets.
+    pub(crate) async fn run<T, F, Fut>(
+        &self,
+        attempts: &mut Attempts,
+        call: F,
+    ) -> Result<AttemptSuccess<T>, Failure>
     where
         F: Fn(CallTarget) -> Fut,
         Fut: Future<Output = Result<T, CallError>>,
     {
-        let mut failed: Option<Lost> = None;
+        let mut failed_call: Option<AttemptFailure> = None;
         loop {
-            let lost = match self.race(tries, &call).await {
-                Ok(won) => return Ok(won),
-                Err(lost) => lost,
+            let failure = match self.attempt_with_hedge(attempts, &call).await {
+                Ok(success) => return Ok(success),
+                Err(failure) => failure,
             };
-            let Some(delay) = self.retry_after(&lost, tries) else {
-                // A refusal for want of another upstream is no news beside the call that failed before it.
-                return Err(self.give_up(failed.as_ref().unwrap_or(&lost)));
+            let Some(delay) = self.retry_delay(&failure, attempts) else {
+                // If a retry was refused for lack of another upstream, the earlier failed call is the cause to report.
+                return Err(self.to_failure(failed_call.as_ref().unwrap_or(&failure)));
             };
             metrics::counter!("tc_retries_total", "service" => self.service()).increment(1);
-            self.cx.note(Decision::Retried {
+            self.cx.record(Decision::Retried {
                 stage: self.plan.stage.clone(),
-                after: describe(&lost),
+                after: failure_text(&failure),
             });
-            failed = matches!(lost, Lost::Call(_)).then_some(lost).or(failed);
+            failed_call = matches!(failure, AttemptFailure::Call(_))
+                .then_some(failure)
+                .or(failed_call);
             tokio::time::sleep(delay).await;
         }
     }
 
-    /// One attempt, and a hedge beside it once it is slow.
-    async fn race<T, F, Fut>(&self, tries: &mut Tries, call: &F) -> Result<Won<T>, Lost>
+    /// Runs one attempt, and a hedge in parallel if the attempt is slow.
+    async fn attempt_with_hedge<T, F, Fut>(
+        &self,
+        attempts: &mut Attempts,
+        call: &F,
+    ) -> Result<AttemptSuccess<T>, AttemptFailure>
     where
         F: Fn(CallTarget) -> Fut,
         Fut: Future<Output = Result<T, CallError>>,
     {
-        let first = self.next_try(tries);
-        let mut primary = Box::pin(attempt(self.cx, self.plan, self.facts, &first, call));
+        let first = self.next_attempt(attempts);
+        let mut primary = Box::pin(run_attempt(
+            self.cx,
+            self.plan,
+            self.input_properties,
+            &first,
+            call,
+        ));
         let settled = match self.hedge_delay() {
-            Some(delay) => self.until_slow(&mut primary, &first, delay).await,
+            Some(delay) => self.wait_until_hedge(&mut primary, &first, delay).await,
             None => Some(primary.as_mut().await),
         };
         let result = if let Some(result) = settled {
             result
         } else {
-            let hedge = self.next_try_beside(tries, &first);
-            let second = Box::pin(attempt(self.cx, self.plan, self.facts, &hedge, call));
-            let result = first_whole(primary, second).await;
-            tries.avoid.extend(hedge.sent_to.get().cloned());
+            let hedge = self.next_hedge(attempts, &first);
+            let second = Box::pin(run_attempt(
+                self.cx,
+                self.plan,
+                self.input_properties,
+                &hedge,
+                call,
+            ));
+            let result = first_success(primary, second).await;
+            attempts.excluded.extend(hedge.sent_to.get().cloned());
             result
         };
-        tries.avoid.extend(first.sent_to.get().cloned());
+        attempts.excluded.extend(first.sent_to.get().cloned());
         result
     }
 
-    /// Waits for the first attempt; `None` once a hedge should start beside it.
-    async fn until_slow<T, P>(
+    /// Waits for the first attempt. Returns `None` if a hedge should start in parallel.
+    async fn wait_until_hedge<T, P>(
         &self,
         primary: &mut P,
-        first: &Try,
+        first: &AttemptState,
         delay: Duration,
-    ) -> Option<Result<Won<T>, Lost>>
+    ) -> Option<Result<AttemptSuccess<T>, AttemptFailure>>
     where
-        P: Future<Output = Result<Won<T>, Lost>> + Unpin,
+        P: Future<Output = Result<AttemptSuccess<T>, AttemptFailure>> + Unpin,
     {
         loop {
             tokio::select! {
@@ -110,15 +132,15 @@
                 result = &mut *primary => return Some(result),
                 () = tokio::time::sleep(delay) => {}
             }
-            // Still waiting for a permit: a second ask would only wait in another queue.
+            // The first attempt still waits for a permit. A second request would only wait in another queue.
             if first.sent_to.get().is_none() {
                 continue;
             }
-            if !self.plan.policy.spend_hedge() {
+            if !self.plan.policy.try_spend_hedge() {
                 return Some(primary.await);
             }
             metrics::counter!("tc_hedges_total", "service" => self.service()).increment(1);
-            self.cx.note(Decision::Hedged {
+            self.cx.record(Decision::Hedged {
                 stage: self.plan.stage.clone(),
                 after_ms: delay.as_secs_f64() * 1e3,
             });
@@ -133,24 +155,24 @@
         hedge_after(self.until_result, self.cx.remaining())
     }
 
-    fn next_try(&self, tries: &mut Tries) -> Try {
-        let attempt = Attempt(tries.count);
-        tries.count += 1;
-        Try {
+    fn next_attempt(&self, attempts: &mut Attempts) -> AttemptState {
+        let attempt = Attempt(attempts.count);
+        attempts.count += 1;
+        AttemptState {
             attempt,
-            avoid: tries.avoid.clone(),
+            excluded: attempts.excluded.clone(),
             slack: self.slack(),
             sent_to: OnceLock::new(),
         }
     }
 
-    fn next_try_beside(&self, tries: &mut Tries, first: &Try) -> Try {
-        let mut hedge = self.next_try(tries);
-        hedge.avoid.extend(first.sent_to.get().cloned());
+    fn next_hedge(&self, attempts: &mut Attempts, first: &AttemptState) -> AttemptState {
+        let mut hedge = self.next_attempt(attempts);
+        hedge.excluded.extend(first.sent_to.get().cloned());
         hedge
     }
 
-    /// Longest wait for a permit; the comparison policy waits until the deadline.
+    /// Returns the maximum wait for a permit. The comparison policy waits until the deadline.
     fn slack(&self) -> Duration {
         let remaining = self.cx.remaining();
         if self.cx.shared.settings.baseline {
@@ -159,31 +181,38 @@
         slack_for(remaining, self.rest)
     }
 
-    /// When to try again, or `None` when the stage must not or cannot be tried again.
+    /// Returns the delay before the next retry, or `None` if the stage must not or cannot be retried.
     ///
-    /// A call that is not idempotent is dispatched again only if the one before was provably not sent.
-    fn retry_after(&self, lost: &Lost, tries: &Tries) -> Option<Duration> {
-        let may_repeat = self.plan.idempotent || lost.run_state() == RunState::NotRun;
-        if !may_repeat || !may_help(lost) {
+    /// A non-idempotent call is retried only if the previous attempt was provably not sent.
+    fn retry_delay(&self, failure: &AttemptFailure, attempts: &Attempts) -> Option<Duration> {
+        let may_repeat = self.plan.idempotent || failure.run_state() == RunState::NotRun;
+        if !may_repeat || !is_retryable(failure) {
             return None;
         }
         let remaining = self.cx.remaining();
-        let delay = retry_delay(tries.count, remaining, &self.plan.timing, &mut rand::rng())?;
-        (delay < remaining && self.plan.policy.spend_retry()).then_some(delay)
+        let delay = retry_delay(
+            attempts.count,
+            remaining,
+            &self.plan.timing,
+            &mut rand::rng(),
+        )?;
+        (delay < remaining && self.plan.policy.try_spend_retry()).then_some(delay)
     }
 
-    fn give_up(&self, lost: &Lost) -> Failure {
+    fn to_failure(&self, failure: &AttemptFailure) -> Failure {
         let stage = &self.plan.stage;
-        match lost {
-            Lost::Refused(refusal) => {
-                let kind = self.kind_of(refusal.reason);
-                let detail = format!("stage {stage}: {}", words(refusal.reason));
+        match failure {
+            AttemptFailure::Refused(refusal) => {
+                let kind = self.problem_kind(refusal.reason);
+                let detail = format!("stage {stage}: {}", refusal_text(refusal.reason));
                 self.cx
                     .failure(kind, detail)
                     .with_retry_after(refusal.retry_after)
             }
-            Lost::Call(error) if error.kind == CallErrorKind::TimedOut => self.cx.past_deadline(),
-            Lost::Call(error) => {
+            AttemptFailure::Call(error) if error.kind == CallErrorKind::TimedOut => {
+                self.cx.deadline_exceeded()
+            }
+            AttemptFailure::Call(error) => {
                 let detail = format!("stage {stage}: {error}");
                 let failure = self.cx.failure(ProblemKind::UpstreamFailed, detail);
                 match error.kind {
@@ -195,7 +224,7 @@
         }
     }
 
-    fn kind_of(&self, reason: RefusalReason) -> ProblemKind {
+    fn problem_kind(&self, reason: RefusalReason) -> ProblemKind {
         match reason {
             RefusalReason::TooLate if self.cx.run_state() == RunState::NotRun => {
                 ProblemKind::CannotFinish
@@ -214,62 +243,66 @@
     }
 }
 
-/// The first whole result of two attempts; the other is cancelled by dropping it.
-async fn first_whole<T, A, B>(primary: A, hedge: B) -> Result<Won<T>, Lost>
+/// Returns the first successful result of two attempts, and cancels the other one by dropping it.
+async fn first_success<T, A, B>(primary: A, hedge: B) -> Result<AttemptSuccess<T>, AttemptFailure>
 where
-    A: Future<Output = Result<Won<T>, Lost>> + Unpin,
-    B: Future<Output = Result<Won<T>, Lost>> + Unpin,
+    A: Future<Output = Result<AttemptSuccess<T>, AttemptFailure>> + Unpin,
+    B: Future<Output = Result<AttemptSuccess<T>, AttemptFailure>> + Unpin,
 {
     match select(primary, hedge).await {
-        Either::Left((Ok(won), other)) => {
-            drop_late(other);
-            Ok(won)
+        Either::Left((Ok(success), other)) => {
+            drop_loser(other);
+            Ok(success)
         }
-        Either::Right((Ok(won), other)) => {
-            drop_late(other);
-            Ok(won)
+        Either::Right((Ok(success), other)) => {
+            drop_loser(other);
+            Ok(success)
         }
-        Either::Left((Err(lost), other)) => other.await.map_err(|second| worse(lost, second)),
-        Either::Right((Err(lost), other)) => other.await.map_err(|first| worse(first, lost)),
+        Either::Left((Err(failure), other)) => other
+            .await
+            .map_err(|second| more_informative(failure, second)),
+        Either::Right((Err(failure), other)) => other
+            .await
+            .map_err(|first| more_informative(first, failure)),
     }
 }
 
-/// Drops the losing attempt; one that had its result ready as well is counted.
-fn drop_late<T>(loser: impl Future<Output = Result<Won<T>, Lost>>) {
+/// Drops the losing attempt, and counts it as a late result if it had completed as well.
+fn drop_loser<T>(loser: impl Future<Output = Result<AttemptSuccess<T>, AttemptFailure>>) {
     if let Some(Ok(_late)) = loser.now_or_never() {
         metrics::counter!("tc_late_results_total").increment(1);
     }
 }
 
-/// Whether another try could end better. Refusals are final, so that the caller hears of them at once; only a home
-/// that could not be reached may have been replaced a moment later.
-fn may_help(lost: &Lost) -> bool {
-    match lost {
-        Lost::Refused(refusal) => refusal.reason == RefusalReason::HomeUnreachable,
-        Lost::Call(error) => !matches!(
+/// Returns true if a retry may succeed. Refusals are final, so that the caller learns of them immediately. The exception
+/// is an unreachable home, which may be replaced a moment later.
+fn is_retryable(failure: &AttemptFailure) -> bool {
+    match failure {
+        AttemptFailure::Refused(refusal) => refusal.reason == RefusalReason::HomeUnreachable,
+        AttemptFailure::Call(error) => !matches!(
             error.kind,
             CallErrorKind::Rejected(_) | CallErrorKind::TooLarge | CallErrorKind::TimedOut
         ),
     }
 }
 
-/// Of two failures the one that says more: a call that may have run goes before one that did not.
-fn worse(first: Lost, second: Lost) -> Lost {
+/// Returns the more informative of two failures: a call that may have run takes precedence over one that did not.
+fn more_informative(first: AttemptFailure, second: AttemptFailure) -> AttemptFailure {
     match (&first, &second) {
-        (Lost::Refused(_), Lost::Call(_)) => second,
+        (AttemptFailure::Refused(_), AttemptFailure::Call(_)) => second,
         _ if second.run_state() > first.run_state() => second,
         _ => first,
     }
 }
 
-fn describe(lost: &Lost) -> String {
-    match lost {
-        Lost::Refused(refusal) => words(refusal.reason).to_owned(),
-        Lost::Call(error) => error.to_string(),
+fn failure_text(failure: &AttemptFailure) -> String {
+    match failure {
+        AttemptFailure::Refused(refusal) => refusal_text(refusal.reason).to_owned(),
+        AttemptFailure::Call(error) => error.to_string(),
     }
 }
 
-const fn words(reason: RefusalReason) -> &'static str {
+const fn refusal_text(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::TooLate => "it could not have started in time",
         RefusalReason::QueueFull => "the workspace's queue is full",
--- a/crates/tc-caller/src/run/stage.rs
+++ b/crates/tc-caller/src/run/stage.rs
@@ -1,4 +1,4 @@
-//! One stage of a pipeline.
+//! Runs one stage of a pipeline.
 
 use std::{
     sync::Arc,
@@ -15,42 +15,44 @@
     run::{
         attempt::CallTarget,
         context::RequestContext,
-        dispatch::{Dispatch, Tries},
-        hold::CallEnd,
-        plan::{InputFacts, StagePlan},
+        dispatch::{Attempts, Dispatch},
+        permit_guard::CallEnd,
+        plan::{InputProperties, StagePlan},
     },
     trace,
 };
 
-/// A stage that was answered whole.
-pub(crate) struct StageDone {
+/// A completed stage and its output.
+pub(crate) struct CompletedStage {
     pub(crate) output: String,
     pub(crate) took: Duration,
     pub(crate) attempts: u32,
 }
 
-/// Runs a stage whose result comes as a whole.
+/// Runs a stage whose result is not streamed.
 pub(crate) async fn run_stage(
     cx: &Arc<RequestContext>,
     plan: &StagePlan,
     input: &Arc<str>,
     rest: &[StageEstimate],
-) -> Result<StageDone, Failure> {
+) -> Result<CompletedStage, Failure> {
     let span = tracing::info_span!("stage", stage = %plan.stage, service = %plan.service);
-    run_whole(cx, plan, input, rest).instrument(span).await
+    run_complete_stage(cx, plan, input, rest)
+        .instrument(span)
+        .await
 }
 
-async fn run_whole(
+async fn run_complete_stage(
     cx: &Arc<RequestContext>,
     plan: &StagePlan,
     input: &Arc<str>,
     rest: &[StageEstimate],
-) -> Result<StageDone, Failure> {
+) -> Result<CompletedStage, Failure> {
     let run = StageRun::start(cx, plan, input);
-    let mut tries = Tries::default();
-    let mut won = run
+    let mut attempts = Attempts::default();
+    let mut success = run
         .dispatch(rest, &plan.timing)
-        .run(&mut tries, |target| {
+        .run(&mut attempts, |target| {
             cx.shared
                 .upstream
                 .run_stage(stage_call(cx, plan, input, &target))
@@ -61,22 +63,22 @@
         cost,
         first_byte,
         ..
-    } = won.value;
-    won.hold.first_byte_after(first_byte);
-    won.hold.settle(&CallEnd {
+    } = success.value;
+    success.permit_guard.record_first_byte(first_byte);
+    success.permit_guard.settle(&CallEnd {
         outcome: Outcome::Answered,
         run_state: RunState::Ran,
         cost,
         wasted: false,
     });
-    Ok(run.done(output, &tries))
+    Ok(run.finish(output, &attempts))
 }
 
-/// A stage under way, however its result comes.
+/// A running stage, streamed or not.
 pub(crate) struct StageRun<'a> {
     cx: &'a Arc<RequestContext>,
     plan: &'a StagePlan,
-    pub(crate) facts: InputFacts,
+    pub(crate) input_properties: InputProperties,
     started: Instant,
 }
 
@@ -85,12 +87,13 @@
         Self {
             cx,
             plan,
-            facts: InputFacts::of(cx, plan, input.as_bytes()),
+            input_properties: InputProperties::of(cx, plan, input.as_bytes()),
             started: Instant::now(),
         }
     }
 
-    /// Its attempts; `until_result` is the time until a call brings what is waited for.
+    /// Creates the dispatch of the stage. `until_result` is the estimated time until a call returns its complete result
+    /// or, for a stream, its first item.
     pub(crate) fn dispatch<'b>(
         &'b self,
         rest: &'b [StageEstimate],
@@ -99,7 +102,7 @@
         Dispatch {
             cx: self.cx,
             plan: self.plan,
-            facts: &self.facts,
+            input_properties: &self.input_properties,
             rest,
             until_result,
         }
@@ -109,15 +112,15 @@
         self.started.elapsed()
     }
 
-    /// Records the time of a whole answer and clears its input of suspicion.
-    pub(crate) fn done(&self, output: String, tries: &Tries) -> StageDone {
-        (self.cx.shared.ports.ran_whole)(self.facts.fingerprint);
+    /// Records the duration of the completed stage, and reports that its input did not crash the upstream.
+    pub(crate) fn finish(&self, output: String, attempts: &Attempts) -> CompletedStage {
+        (self.cx.shared.ports.report_completed)(self.input_properties.fingerprint);
         let took = self.elapsed();
         self.plan.policy.record(self.plan.class, took);
-        StageDone {
+        CompletedStage {
             output,
             took,
-            attempts: tries.count,
+            attempts: attempts.count,
         }
     }
 }
@@ -145,6 +148,6 @@
         } else {
             cx.key.clone()
         },
-        traceparent: Some(trace::onward(&cx.received_trace)),
+        traceparent: Some(trace::outgoing(&cx.caller_trace)),
     }
 }
--- a/crates/tc-caller/src/streams/start.rs
+++ b/crates/tc-caller/src/streams/start.rs
@@ -1,4 +1,4 @@
-//! The first answer of a streamed pipeline.
+//! Runs a pipeline and streams its response.
 
 use std::sync::Arc;
 
@@ -14,67 +14,71 @@
 use crate::{
     http::{CallerBody, CallerResponse, Failure},
     limits::RESUME_WINDOW,
-    run::{PipelineAnswer, PipelineWork, RequestContext, run_pipeline},
+    run::{PipelineCall, PipelineResponse, RequestContext, run_pipeline},
     streams::{
-        End, Opening, StreamLog,
+        StreamEnd, StreamLog, StreamStart,
         event::{done_event, problem_event},
     },
 };
 
-/// One caller's place in a stream; leaving it lets the stream be resumed or given up.
+/// Reader of a stream. When it is dropped, it detaches, and the stream can be resumed or becomes abandoned.
 struct Reader {
     log: Arc<StreamLog>,
-    number: u64,
+    reader_id: u64,
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.log.detach(self.number);
+        self.log.detach(self.reader_id);
     }
 }
 
-/// Runs a pipeline that may be cancelled, streaming its last stage.
-pub(crate) async fn start(
+/// Runs a pipeline and streams its last stage. The run is cancelled if its stream is abandoned, so the pipeline must be
+/// idempotent.
+pub(crate) async fn start_stream(
     cx: Arc<RequestContext>,
-    work: PipelineWork,
+    call: PipelineCall,
 ) -> Result<CallerResponse, Failure> {
     let log = Arc::new(StreamLog::new());
     let id = cx.id.clone();
     let response = stream_response(&log, 0, &id);
     let shared = cx.shared.clone();
-    let in_flight = shared.enter();
+    let in_flight = shared.track_request();
     let run = {
         let log = log.clone();
         async move {
             let _in_flight = in_flight;
             tokio::select! {
-                _ = run_into(&cx, &work, &log) => {}
-                // Dropping the run cancels its call at the upstream.
-                () = log.abandoned() => log.end(End::Event(Bytes::new())),
+                _ = run_into_stream(&cx, &call, &log) => {}
+                // This drops the run, which cancels its call at the upstream.
+                () = log.wait_until_abandoned() => log.end(StreamEnd::Event(Bytes::new())),
             }
         }
     };
     shared.tasks.spawn(run.in_current_span());
-    match log.opened().await {
-        Opening::Failure(failure) => Err(failure),
-        Opening::Stream => response,
+    match log.wait_for_start().await {
+        StreamStart::Failure(failure) => Err(failure),
+        StreamStart::Streaming => response,
     }
 }
 
-/// Runs a pipeline into a stream that can be resumed while it runs and a while after.
-pub(crate) async fn run_into(
+/// Runs a pipeline and appends its output to `log`. The stream can be resumed while the pipeline runs, and for
+/// [`RESUME_WINDOW`] after that.
+pub(crate) async fn run_into_stream(
     cx: &Arc<RequestContext>,
-    work: &PipelineWork,
+    call: &PipelineCall,
     log: &Arc<StreamLog>,
-) -> Result<PipelineAnswer, Failure> {
+) -> Result<PipelineResponse, Failure> {
     let registry = &cx.shared.streams;
-    let registration = registry.keep(cx.workspace.clone(), cx.id.clone(), log.clone());
-    let result = run_pipeline(cx, work, Some(log)).await;
+    let registration = registry.register(cx.workspace.clone(), cx.id.clone(), log.clone());
+    let result = run_pipeline(cx, call, Some(log)).await;
     cx.finish(result.as_ref().err());
     log.end(match &result {
-        Ok(answer) => End::Event(done_event(answer)),
-        Err(failure) if log.has_events() => End::Event(problem_event(&failure.problem(&cx.id))),
-        Err(failure) => End::Failure(failure.clone()),
+        Ok(answer) => StreamEnd::Event(done_event(answer)),
+        Err(failure) if log.has_events() => {
+            StreamEnd::Event(problem_event(&failure.problem(&cx.id)))
+        }
+        Err(failure) => StreamEnd::Failure(failure.clone()),
     });
     tokio::spawn(async move {
         tokio::time::sleep(RESUME_WINDOW).await;
@@ -83,19 +87,19 @@
     result
 }
 
-/// The answer that sends a stream from after event `last`; a failure when that part is no longer kept.
+/// Returns a response that streams the events after `last`, or a failure if they are no longer retained.
 pub(crate) fn stream_response(
     log: &Arc<StreamLog>,
     last: u64,
     id: &RequestId,
 ) -> Result<CallerResponse, Failure> {
-    let number = log.attach(last).ok_or_else(super::resume::gone)?;
+    let reader_id = log.attach(last).ok_or_else(super::resume::not_resumable)?;
     let reader = Reader {
         log: log.clone(),
-        number,
+        reader_id,
     };
     let events = stream::unfold(reader, |reader| async move {
-        let frame = reader.log.next(reader.number).await?;
+        let frame = reader.log.next_frame(reader.reader_id).await?;
         Some((Ok(frame), reader))
     });
     let mut response = Response::new(CallerBody::stream(events.boxed()));
--- a/crates/tc-fleet/src/mesh/handle.rs
+++ b/crates/tc-fleet/src/mesh/handle.rs
@@ -30,8 +30,8 @@
     },
     peers::Peers,
     service::{MeshHandlers, Service},
+    store_update::{StoreUpdate, WorldHave, store_update_from_wire},
     suspects::suspect_table,
-    world_news::{WorldHave, WorldNews, world_news_from_wire},
 };
 use crate::{
     FleetError, FleetKeys,
@@ -123,7 +123,7 @@
             }),
         );
         let to_actor = actor.clone();
-        suspects.set_gossip_now(Box::new(move || {
+        suspects.set_announce_to_all(Box::new(move || {
             let _ = to_actor.cast(MeshMsg::AnnounceToAll);
         }));
         let service = Service {
@@ -285,7 +285,7 @@
 
     /// Reports that an upstream's connection broke while it ran a request. The report is sent to the home of the
     /// request's fingerprint in the background.
-    pub fn record_crash(
+    pub fn report_crash(
         &self,
         fingerprint: Fingerprint,
         service: &ServiceName,
@@ -297,12 +297,12 @@
             workspace: workspace.clone(),
             service: service.clone(),
         };
-        suspects.note_origin(fingerprint, origin);
+        suspects.record_origin(fingerprint, origin);
         tokio::spawn(suspects.report_crash(fingerprint, upstream));
     }
 
     /// Reports that a request ran to completion, which clears it of suspicion.
-    pub fn record_success(&self, fingerprint: Fingerprint) {
+    pub fn report_completed(&self, fingerprint: Fingerprint) {
         self.inner.suspects.report_completed(fingerprint);
     }
 
@@ -314,25 +314,25 @@
         &self,
         from: &Member,
         have: WorldHave,
-    ) -> Result<BoxStream<'static, Result<WorldNews, MeshError>>, MeshError> {
+    ) -> Result<BoxStream<'static, Result<StoreUpdate, MeshError>>, MeshError> {
         let have = wire::WorldHave {
             config_version: have.config_version,
             upstreams_revision: have.upstreams_revision,
             evacuated_revision: have.evacuated_revision,
         };
         let mut client = self.inner.peers.client(from);
-        let news = client
+        let updates = client
             .follow_world(have)
             .await
             .map_err(|status| call_error(from, &status))?;
         let from = from.clone();
-        let from_wire = move |news: Result<wire::WorldNews, tonic::Status>| {
-            let news = news.map_err(|status| call_error(&from, &status))?;
-            world_news_from_wire(&news).ok_or_else(|| MeshError::Malformed {
+        let from_wire = move |update: Result<wire::WorldNews, tonic::Status>| {
+            let update = update.map_err(|status| call_error(&from, &status))?;
+            store_update_from_wire(&update).ok_or_else(|| MeshError::Malformed {
                 instance: from.id.clone(),
             })
         };
-        Ok(news.into_inner().map(from_wire).boxed())
+        Ok(updates.into_inner().map(from_wire).boxed())
     }
 }
 
@@ -372,7 +372,7 @@
             .add_service(service)
             .serve_with_incoming(incoming);
         if let Err(error) = served.await {
-            log::error!("fleet server stopped: {error}");
+            log::error!("fleet server failed: {error}");
         }
     });
 }
--- a/crates/tc-fleet/src/node/state.rs
+++ b/crates/tc-fleet/src/node/state.rs
@@ -27,7 +27,7 @@
     limits::WorkspaceLimiter,
     peers::{PeerPool, ToHome},
     summary::SummaryTable,
-    suspects::{SUSPECTS_PER_DATAGRAM, SuspectTable},
+    suspects::{MAX_SUSPECTS_PER_DATAGRAM, SuspectTable},
 };
 
 /// Maximum number of summaries added to a datagram, for upstreams that have their home here.
@@ -120,7 +120,10 @@
                 datagram.summaries.push(summary);
             }
         }
-        datagram.suspects = self.parts.suspects.to_gossip(now, SUSPECTS_PER_DATAGRAM);
+        datagram.suspects = self
+            .parts
+            .suspects
+            .to_gossip(now, MAX_SUSPECTS_PER_DATAGRAM);
     }
 
     /// Applies the summaries and suspects piggybacked on a datagram.
@@ -129,9 +132,9 @@
             let load = convert::summary_from_wire(summary);
             let summaries = &self.parts.summaries;
             summaries.store(now, &summary.upstream, &load, summary.leaving);
-            summaries.note_incarnation(&summary.upstream, Incarnation(summary.incarnation));
+            summaries.record_incarnation(&summary.upstream, Incarnation(summary.incarnation));
         }
-        self.parts.suspects.note_gossiped(now, &datagram.suspects);
+        self.parts.suspects.record_gossiped(now, &datagram.suspects);
     }
 
     /// Activates a configuration if it is valid and newer than the active one. Returns whether it was activated.
@@ -153,7 +156,7 @@
                 true
             }
             Err(error) => {
-                log::error!(revision = object.revision; "configuration rejected, the last valid one stays in force: {error}");
+                log::error!(revision = object.revision; "configuration rejected; the last valid one stays in force: {error}");
                 metrics::counter!("tc_config_rejected_total").increment(1);
                 self.config_puller.reject(object.revision);
                 false
@@ -223,12 +226,12 @@
         log::info!(instance = id.as_str(); "instance is {state:?}");
         match state {
             MemberState::Dead => {
-                self.parts.peers.fail_pending_asks(id);
-                self.parts.peers.forget(id);
+                self.parts.peers.fail_pending_requests(id);
+                self.parts.peers.remove(id);
                 self.config_puller.remove_peer(id);
                 let _ = self.parts.homes.cast(HomesMsg::RemoveEntry(id.clone()));
             }
-            MemberState::Suspect => self.parts.peers.fail_pending_asks(id),
+            MemberState::Suspect => self.parts.peers.fail_pending_requests(id),
             MemberState::Alive | MemberState::Leaving => {}
         }
     }
--- a/crates/tc-gateway/src/lib.rs
+++ b/crates/tc-gateway/src/lib.rs
@@ -6,18 +6,19 @@
 //! crate that handles external interfaces.
 
 mod backoffs;
-mod budgets;
 mod call;
 mod codec;
 mod cold;
 mod engines;
 mod events;
+// Named `freeze` because a module path is the `target` of its log lines, which log filters match.
 mod freeze;
 mod handlers;
 mod homes;
 mod join;
 mod limits;
 mod listeners;
+mod retry_budgets;
 mod routing;
 mod run;
 mod serve;
--- a/crates/tc-gateway/src/run/buffered.rs
+++ b/crates/tc-gateway/src/run/buffered.rs
@@ -69,8 +69,8 @@
     req: &RoutedRequest,
     attempts: &Attempts,
 ) -> Result<StageResults, Refusal> {
-    let made = make_stages(cx, req).await;
-    made.map_err(|refusal| {
+    let results = make_stages(cx, req).await;
+    results.map_err(|refusal| {
         if attempts.may_have_run {
             attempts.refusal(req, SendFailure::InputGone)
         } else {
@@ -122,7 +122,7 @@
             cx.upstream_stats
                 .record(&upstream.id, CallOutcome::Answered(first_byte));
             req.record_answer(&upstream.id, reply.head.status, attempts.sent);
-            cx.mesh.record_success(req.fingerprint());
+            cx.mesh.report_completed(req.fingerprint());
             Ok(answer(cx, &reply.head, body))
         }
         Err(error) => {
--- a/crates/tc-gateway/src/world/kind_watch.rs
+++ b/crates/tc-gateway/src/world/kind_watch.rs
@@ -8,7 +8,8 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use tc_platform::{
-    Freshness, KindDialect, ListPage, ObjectEvent, Purpose, Store, StoreError, WatchPage, Watched,
+    Freshness, KindDialect, ListPage, ObjectEvent, Purpose, Store, StoreError, WatchPage,
+    WatchResult,
 };
 use tc_protocol::MonoTime;
 use tokio::{sync::watch::Receiver, time::sleep, time::timeout};
@@ -59,7 +60,7 @@
 
 /// Result of a watch that was checked by lists.
 enum WatchOutcome {
-    Answered(Watched, StoreRead),
+    Answered(WatchResult, StoreRead),
     /// A list shows changes that the watch did not report.
     Missed(ListPage, StoreRead),
 }
@@ -86,7 +87,7 @@
         let watching = self
             .store
             .watch_kind(self.purpose, &self.dialect, self.kind, from, wait);
-        let answered = |watched: Watched| WatchOutcome::Answered(watched, store_read);
+        let answered = |watched: WatchResult| WatchOutcome::Answered(watched, store_read);
         tokio::pin!(watching);
         let (page, list_read) = tokio::select! {
             answer = &mut watching => return answer.map(answered),
@@ -95,7 +96,7 @@
         if let Ok(answer) = timeout(MAX_WATCH_LAG, &mut watching).await {
             return answer.map(answered);
         }
-        log::warn!(what = self.description, watched_from = from, listed = page.at; "a watch does not report a change that a list shows; restarting it");
+        log::warn!(what = self.description, watched_from = from, listed = page.revision; "a watch does not report a change that a list shows; restarting it");
         Ok(WatchOutcome::Missed(page, list_read))
     }
 
@@ -210,13 +211,13 @@
     }
 
     fn apply_list(&mut self, page: ListPage, store_read: StoreRead) -> KindUpdate {
-        self.from = Some(page.at);
+        self.from = Some(page.revision);
         self.names = page
             .items
             .iter()
             .map(|object| Arc::clone(&object.name))
             .collect();
-        self.note_unreadable(&page.unreadable);
+        self.report_unreadable(&page.unreadable);
         KindUpdate::List(page, store_read)
     }
 
@@ -227,18 +228,18 @@
             _ = self.pauses.changed() => return Ok(None),
         };
         match watched {
-            WatchOutcome::Answered(Watched::Changes(page), store_read) => {
-                self.from = Some(page.at);
-                self.note_unreadable(&page.unreadable);
-                self.note_names(&page.events);
+            WatchOutcome::Answered(WatchResult::Changes(page), store_read) => {
+                self.from = Some(page.revision);
+                self.report_unreadable(&page.unreadable);
+                self.record_names(&page.events);
                 Ok(Some(KindUpdate::Changes(page, store_read)))
             }
-            WatchOutcome::Answered(Watched::HistoryGone, _) => Ok(None),
+            WatchOutcome::Answered(WatchResult::HistoryGone, _) => Ok(None),
             WatchOutcome::Missed(page, store_read) => Ok(Some(self.apply_list(page, store_read))),
         }
     }
 
-    fn note_names(&mut self, events: &[ObjectEvent]) {
+    fn record_names(&mut self, events: &[ObjectEvent]) {
         for event in events {
             match event {
                 ObjectEvent::Put(object) => self.names.insert(Arc::clone(&object.name)),
@@ -249,7 +250,7 @@
 
     /// Reports objects that another writer has stored in an unreadable form. The others remain
     /// valid.
-    fn note_unreadable(&self, problems: &[String]) {
+    fn report_unreadable(&self, problems: &[String]) {
         let Some(first) = problems.first() else {
             return;
         };
--- a/crates/tc-platform/src/claims/op.rs
+++ b/crates/tc-platform/src/claims/op.rs
@@ -1,4 +1,4 @@
-//! What is asked of a claim shard, and the answers.
+//! Operations on a claim shard and their replies.
 
 use std::sync::Arc;
 
@@ -6,22 +6,22 @@
 
 use super::model::{Entry, EntryState, KeyDigest};
 
-/// Names an operation within its shard; later ones are higher.
+/// Identifies an operation within its shard. Later operations have higher tickets.
 pub type Ticket = u64;
 
-/// One operation on a key of the shard.
+/// An operation on one key of the shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// Claim the key unless it is claimed.
+    /// Claims the key unless it is already claimed.
     Claim {
         /// The key.
         key: KeyDigest,
         /// Hash of the request's body.
-        body: u64,
-        /// Used for no other claim, ever.
+        body_hash: u64,
+        /// Unique ID of the claim.
         claim_id: Arc<str>,
     },
-    /// Record the outcome of a claim of ours.
+    /// Records the outcome of a claim made by this instance.
     Record {
         /// The key.
         key: KeyDigest,
@@ -30,15 +30,15 @@
         /// The outcome.
         outcome: Arc<RecordedOutcome>,
     },
-    /// Give up a claim of ours that was not acted on.
+    /// Releases a claim made by this instance that was not acted on.
     Release {
         /// The key.
         key: KeyDigest,
         /// The claim.
         claim_id: Arc<str>,
     },
-    /// Look what is known of the key.
-    Look {
+    /// Looks up the state of the key.
+    Lookup {
         /// The key.
         key: KeyDigest,
     },
@@ -50,50 +50,51 @@
             Self::Claim { key, .. }
             | Self::Record { key, .. }
             | Self::Release { key, .. }
-            | Self::Look { key } => *key,
+            | Self::Lookup { key } => *key,
         }
     }
 
-    /// Whether it need not be carried out once nobody waits for its answer.
+    /// Whether the operation may be dropped if its caller no longer waits.
     pub(super) const fn may_be_dropped(&self) -> bool {
-        matches!(self, Self::Claim { .. } | Self::Look { .. })
+        matches!(self, Self::Claim { .. } | Self::Lookup { .. })
     }
 }
 
-/// The answer to an operation.
+/// Reply to an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// To [`Op::Claim`].
+    /// Reply to [`Op::Claim`].
     Claim(ClaimVerdict),
-    /// To [`Op::Record`].
-    Record(Recording),
-    /// To [`Op::Release`].
+    /// Reply to [`Op::Record`].
+    Record(RecordResult),
+    /// Reply to [`Op::Release`].
     Released,
-    /// To [`Op::Look`]: recorded, held, or `Unavailable` when the key is not claimed (any more).
-    Look(ClaimVerdict),
+    /// Reply to [`Op::Lookup`]: recorded, held, or `Unavailable` if the key is not claimed or no
+    /// longer claimed.
+    Lookup(ClaimVerdict),
 }
 
-/// What became of recording an outcome.
+/// Result of recording an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recording {
-    /// It is recorded.
-    Done,
-    /// The claim is not ours, has expired, or another outcome was recorded for it.
-    NotOurs,
-    /// The shard has no room left.
+pub enum RecordResult {
+    /// The outcome is recorded.
+    Recorded,
+    /// The claim is held by another instance, has expired, or has a different outcome.
+    NotHolder,
+    /// The shard has no space left.
     Full,
 }
 
-/// Sizes that bound a shard's objects.
+/// Limits on the size of a shard's objects.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardLimits {
-    /// Size of the head's entries from which they are sealed before more are added, in bytes.
+    /// Size of the head's entries in bytes from which they are sealed before more are added.
     pub seal_bytes: usize,
-    /// Most bytes of entries one commit adds.
+    /// Maximum size in bytes of the entries added by one commit.
     pub batch_bytes: usize,
-    /// Most operations one commit takes.
+    /// Maximum number of operations per commit.
     pub max_batch: usize,
-    /// Most segments the head lists.
+    /// Maximum number of segments listed in the head.
     pub max_segments: usize,
 }
 
@@ -109,125 +110,135 @@
 }
 
 impl ShardLimits {
-    /// Size of the head's entries beyond which even a full shard takes no outcomes.
-    pub(super) const fn last_room(&self) -> usize {
+    /// Size of the head's entries in bytes beyond which a full shard refuses outcomes as well.
+    pub(super) const fn max_head_bytes(&self) -> usize {
         MAX_OBJECT_BYTES / 2 - self.batch_bytes
     }
 }
 
-/// The newest entry of a key, wherever it is.
+/// The newest entry of a key.
 pub(super) enum Found<'a> {
-    Nothing,
+    None,
     Entry(&'a Entry),
-    /// A recorded outcome that is in this segment, which must be read first.
-    In(Arc<str>),
+    /// A recorded outcome in this segment, which must be read first.
+    InSegment(Arc<str>),
 }
 
-/// What an operation leads to.
-pub(super) enum Judged {
-    /// An answer that holds whatever happens to the batch, unless the batch changed the key.
+/// How to proceed with an operation.
+pub(super) enum Decision {
+    /// A reply that is valid whether or not the batch is written, unless the batch changed the key.
     Answer(Reply),
-    /// An answer that holds once the entry is written; `None` removes it.
+    /// A reply that is valid once the entry is written; `None` removes the entry.
     Change(Option<Entry>, Reply),
-    /// The shard's head must be read again first: an old one may hide a release or an outcome.
-    Stale,
+    /// The head must be read again first, because an old one may miss a release or an outcome.
+    StaleHead,
     /// This segment must be read first.
-    Read(Arc<str>),
+    ReadSegment(Arc<str>),
 }
 
 impl Op {
-    /// Judges the operation by the newest entry of its key. `fresh` says that the entry was in force after the
-    /// operation was asked for; `sealed` that some segment holds the key.
-    pub(super) fn judge(&self, found: &Found<'_>, fresh: bool, sealed: bool) -> Judged {
+    /// Decides how to proceed with the operation, given the newest entry of its key. `fresh` means
+    /// that the entry was in force after the operation was submitted; `sealed` that a segment
+    /// contains the key.
+    pub(super) fn decide(&self, found: &Found<'_>, fresh: bool, sealed: bool) -> Decision {
         let entry = match found {
-            Found::In(name) if !matches!(self, Self::Release { .. }) => {
-                return Judged::Read(name.clone());
+            Found::InSegment(name) if !matches!(self, Self::Release { .. }) => {
+                return Decision::ReadSegment(name.clone());
             }
-            Found::Nothing | Found::In(_) => None,
+            Found::None | Found::InSegment(_) => None,
             Found::Entry(entry) => Some(*entry),
         };
         let live = entry.filter(|e| e.state != EntryState::Released);
         match self {
-            Self::Claim { body, claim_id, .. } => judge_claim(live, *body, claim_id, fresh),
-            Self::Look { .. } => judge_look(live, fresh),
-            Self::Release { claim_id, .. } => judge_release(live, claim_id, sealed),
+            Self::Claim {
+                body_hash,
+                claim_id,
+                ..
+            } => decide_claim(live, *body_hash, claim_id, fresh),
+            Self::Lookup { .. } => decide_lookup(live, fresh),
+            Self::Release { claim_id, .. } => decide_release(live, claim_id, sealed),
             Self::Record {
                 claim_id, outcome, ..
-            } => judge_record(entry, claim_id, outcome, fresh),
+            } => decide_record(entry, claim_id, outcome, fresh),
         }
     }
 }
 
-fn judge_claim(live: Option<&Entry>, body: u64, claim_id: &Arc<str>, fresh: bool) -> Judged {
+fn decide_claim(
+    live: Option<&Entry>,
+    body_hash: u64,
+    claim_id: &Arc<str>,
+    fresh: bool,
+) -> Decision {
     let Some(entry) = live else {
         let entry = Entry {
-            body,
-            claim: claim_id.clone(),
+            body_hash,
+            claim_id: claim_id.clone(),
             state: EntryState::Held,
         };
-        return Judged::Change(Some(entry), Reply::Claim(ours(claim_id)));
+        return Decision::Change(Some(entry), Reply::Claim(acquired(claim_id)));
     };
-    if entry.claim == *claim_id {
-        return Judged::Answer(Reply::Claim(ours(claim_id)));
+    if entry.claim_id == *claim_id {
+        return Decision::Answer(Reply::Claim(acquired(claim_id)));
     }
     let verdict = match &entry.state {
-        EntryState::Recorded(outcome) if entry.body == body => {
+        EntryState::Recorded(outcome) if entry.body_hash == body_hash => {
             ClaimVerdict::Recorded(outcome.as_ref().clone())
         }
-        _ if !fresh => return Judged::Stale,
-        _ if entry.body != body => ClaimVerdict::BodyMismatch,
+        _ if !fresh => return Decision::StaleHead,
+        _ if entry.body_hash != body_hash => ClaimVerdict::BodyMismatch,
         _ => ClaimVerdict::Held,
     };
-    Judged::Answer(Reply::Claim(verdict))
+    Decision::Answer(Reply::Claim(verdict))
 }
 
-fn ours(claim_id: &Arc<str>) -> ClaimVerdict {
+fn acquired(claim_id: &Arc<str>) -> ClaimVerdict {
     ClaimVerdict::Acquired {
         claim_id: claim_id.to_string(),
     }
 }
 
-fn judge_look(live: Option<&Entry>, fresh: bool) -> Judged {
+fn decide_lookup(live: Option<&Entry>, fresh: bool) -> Decision {
     let verdict = match live.map(|e| &e.state) {
         Some(EntryState::Recorded(outcome)) => ClaimVerdict::Recorded(outcome.as_ref().clone()),
-        _ if !fresh => return Judged::Stale,
+        _ if !fresh => return Decision::StaleHead,
         Some(_) => ClaimVerdict::Held,
         None => ClaimVerdict::Unavailable,
     };
-    Judged::Answer(Reply::Look(verdict))
+    Decision::Answer(Reply::Lookup(verdict))
 }
 
-fn judge_release(live: Option<&Entry>, claim_id: &Arc<str>, sealed: bool) -> Judged {
+fn decide_release(live: Option<&Entry>, claim_id: &Arc<str>, sealed: bool) -> Decision {
     match live {
-        Some(e) if e.claim == *claim_id && e.state == EntryState::Held => {
+        Some(e) if e.claim_id == *claim_id && e.state == EntryState::Held => {
             let tombstone = sealed.then(|| Entry {
                 state: EntryState::Released,
                 ..e.clone()
             });
-            Judged::Change(tombstone, Reply::Released)
+            Decision::Change(tombstone, Reply::Released)
         }
-        _ => Judged::Answer(Reply::Released),
+        _ => Decision::Answer(Reply::Released),
     }
 }
 
-fn judge_record(
+fn decide_record(
     entry: Option<&Entry>,
     claim_id: &Arc<str>,
     outcome: &Arc<RecordedOutcome>,
     fresh: bool,
-) -> Judged {
-    let ours = entry.filter(|e| e.claim == *claim_id);
-    let recording = match ours.map(|e| (e, &e.state)) {
+) -> Decision {
+    let own_entry = entry.filter(|e| e.claim_id == *claim_id);
+    let record_result = match own_entry.map(|e| (e, &e.state)) {
         Some((entry, EntryState::Held)) => {
             let recorded = Entry {
                 state: EntryState::Recorded(outcome.clone()),
                 ..entry.clone()
             };
-            return Judged::Change(Some(recorded), Reply::Record(Recording::Done));
+            return Decision::Change(Some(recorded), Reply::Record(RecordResult::Recorded));
         }
-        Some((_, EntryState::Recorded(known))) if known == outcome => Recording::Done,
-        _ if !fresh => return Judged::Stale,
-        _ => Recording::NotOurs,
+        Some((_, EntryState::Recorded(known))) if known == outcome => RecordResult::Recorded,
+        _ if !fresh => return Decision::StaleHead,
+        _ => RecordResult::NotHolder,
     };
-    Judged::Answer(Reply::Record(recording))
+    Decision::Answer(Reply::Record(record_result))
 }
--- a/crates/tc-platform/src/leases.rs
+++ b/crates/tc-platform/src/leases.rs
@@ -1,4 +1,5 @@
-//! Leases: at most one instance at a time gives orders to the upstreams of a service.
+//! Leases, which ensure that at most one instance at a time sends orders to the upstreams of a
+//! service.
 
 use std::time::{Duration, SystemTime};
 
@@ -7,155 +8,159 @@
 use tc_protocol::{Incarnation, InstanceId, MonoTime, ServiceName};
 use thiserror::Error;
 
-use crate::{Expect, Purpose, Store, StoreError, SureWrite, Versioned};
+use crate::{Precondition, Purpose, Store, StoreError, Versioned, WriteResult};
 
-/// Kind of the lease objects; the name is the service's.
+/// Kind of the lease objects. The object name is the service name.
 pub const LEASE_KIND: &str = "tanagercroft-lease";
 
-/// Part of its duration that a foreign lease must be overdue before it is taken over: clocks of two machines may
-/// run at slightly different rates.
+/// Fraction of its duration by which another instance's lease must be overdue before it is taken
+/// over. The clocks of two machines may run at slightly different rates.
 const TAKEOVER_MARGIN: f64 = 0.1;
 
-/// Who holds a lease and for how long.
+/// Holder and duration of a lease.
 #[derive(Clone, Debug)]
 pub struct LeaseSettings {
-    /// This instance.
+    /// ID of this instance.
     pub holder: InstanceId,
-    /// Which life of its process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
     /// How long the lease lasts without renewal.
     pub ttl: Duration,
 }
 
-/// Why a lease is not held.
+/// Error of acquiring, renewing or releasing a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LeaseError {
-    /// Another instance holds it, or took it first.
+    /// Another instance holds the lease, or acquired it first.
     #[error("the lease is held by another instance")]
     HeldByOther,
-    /// It lapsed; it must be acquired anew, with a new fencing number.
-    #[error("the lease lapsed")]
-    Lapsed,
-    /// The answer of the write was lost and reading back did not settle it.
-    #[error("whether the lease was written is unknown")]
+    /// The lease has expired. It must be acquired again, with a new fencing token.
+    #[error("the lease has expired")]
+    Expired,
+    /// The response to the write was lost and reading the object back was inconclusive.
+    #[error("it is unknown whether the lease was written")]
     Unknown,
-    /// The store could not be asked.
-    #[error("the lease's object could not be used: {0}")]
+    /// A store call failed.
+    #[error("the lease object could not be read or written: {0}")]
     Store(#[from] StoreError),
 }
 
-/// Value of a lease object.
+/// Stored value of a lease object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Record {
-    /// `None` once released.
+    /// `None` after a release.
     holder: Option<InstanceId>,
     incarnation: Incarnation,
     ttl_ms: u64,
-    /// Random, to recognise a write whose answer was lost.
+    /// Random, to recognise a write whose response was lost.
     nonce: u64,
 }
 
-/// A foreign lease, and when this version of it was first seen.
-struct Sighting {
+/// Object version of a lease of another holder, and when it was first seen.
+struct ObservedVersion {
     version: u64,
-    at: MonoTime,
+    first_seen: MonoTime,
 }
 
-/// One service's lease, as seen by this instance.
+/// Lease of one service, as seen by this instance.
 pub struct Lease {
     store: Store,
     name: ServiceName,
     settings: LeaseSettings,
-    sighting: Option<Sighting>,
+    observed: Option<ObservedVersion>,
 }
 
-/// A lease that was acquired. Its fencing number can only be had while it has not lapsed.
+/// An acquired lease. Its fencing token is available only until the lease expires.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     fence: u64,
     version: u64,
-    from: MonoTime,
-    from_wall: SystemTime,
+    start: MonoTime,
+    start_wall: SystemTime,
     ttl: Duration,
 }
 
-impl Held {
-    /// The fencing number, unless the lease has lapsed by now.
+impl HeldLease {
+    /// Returns the fencing token, or `None` if the lease has expired.
     ///
-    /// Besides the monotonic clock, which stands still while a virtual machine is suspended, it asks the wall
-    /// clock: a holder that slept through its lease would otherwise give orders beside its successor.
+    /// The monotonic clock stops while a virtual machine is suspended, so the wall clock is checked
+    /// as well. Otherwise a holder that was suspended past the end of its lease would send orders
+    /// alongside its successor.
     #[must_use]
     pub fn fence(&self) -> Option<u64> {
-        let slept = self.from_wall.elapsed().is_ok_and(|age| age >= self.ttl);
-        if slept {
+        let is_expired = self.start_wall.elapsed().is_ok_and(|age| age >= self.ttl);
+        if is_expired {
             return None;
         }
         self.fence_at(MonoTime::now())
     }
 
-    /// The fencing number, unless the lease has lapsed at `now`.
+    /// Returns the fencing token, or `None` if the lease has expired at `now`.
     #[must_use]
     pub fn fence_at(&self, now: MonoTime) -> Option<u64> {
-        (now < self.until()).then_some(self.fence)
+        (now < self.expires_at()).then_some(self.fence)
     }
 
-    /// When it lapses, counted from before the request that acquired or renewed it was sent.
+    /// Returns when the lease expires. Its duration starts before the request that acquired or
+    /// renewed it was sent.
     #[must_use]
-    pub fn until(&self) -> MonoTime {
-        self.from.after(self.ttl)
+    pub fn expires_at(&self) -> MonoTime {
+        self.start.after(self.ttl)
     }
 }
 
 impl Lease {
-    /// The lease on orders to the upstreams of `service`.
+    /// Creates the lease for orders to the upstreams of `service`, not yet acquired.
     #[must_use]
     pub fn new(store: Store, service: ServiceName, settings: LeaseSettings) -> Self {
         Self {
             store,
             name: service,
             settings,
-            sighting: None,
+            observed: None,
         }
     }
 
     /// Acquires the lease if it is free, released or overdue.
     ///
-    /// A foreign lease counts as overdue when its object has not changed for its whole duration and a margin, as
-    /// seen by this instance, so a fresh instance waits at least that long.
-    pub async fn acquire(&mut self) -> Result<Held, LeaseError> {
+    /// Another instance's lease counts as overdue if this instance has seen its object unchanged
+    /// for the full duration plus a margin, so a new instance waits at least that long.
+    pub async fn acquire(&mut self) -> Result<HeldLease, LeaseError> {
         let found = self
             .store
             .get(Purpose::Leases, LEASE_KIND, self.name.as_str())
             .await?;
-        let expect = match found {
-            None => Expect::Absent,
+        let precondition = match found {
+            None => Precondition::Absent,
             Some(object) => {
                 let version = object.version;
-                self.check_free(object)?;
-                Expect::Version(version)
+                self.check_available(object)?;
+                Precondition::Version(version)
             }
         };
-        self.write(expect, Some(self.settings.holder.clone())).await
+        self.write(precondition, Some(self.settings.holder.clone()))
+            .await
     }
 
-    /// Makes a held lease last longer; the fencing number stays. After a failure the lease still ends when it would
-    /// have, and may have to be acquired anew.
-    pub async fn renew(&mut self, held: &mut Held) -> Result<(), LeaseError> {
-        let fence = held.fence().ok_or(LeaseError::Lapsed)?;
-        let expect = Expect::Version(held.version);
+    /// Extends a held lease and keeps its fencing token. After a failure the lease still expires at
+    /// the previous time, and may have to be acquired again.
+    pub async fn renew(&mut self, held: &mut HeldLease) -> Result<(), LeaseError> {
+        let fence = held.fence().ok_or(LeaseError::Expired)?;
+        let precondition = Precondition::Version(held.version);
         let holder = Some(self.settings.holder.clone());
-        let renewed = self.write(expect, holder).await?;
-        *held = Held { fence, ..renewed };
+        let renewed = self.write(precondition, holder).await?;
+        *held = HeldLease { fence, ..renewed };
         Ok(())
     }
 
-    /// Gives the lease up, so that another instance need not wait for its end.
-    pub async fn release(&mut self, held: Held) -> Result<(), LeaseError> {
-        self.write(Expect::Version(held.version), None).await?;
+    /// Releases the lease, so that another instance need not wait until it expires.
+    pub async fn release(&mut self, held: HeldLease) -> Result<(), LeaseError> {
+        self.write(Precondition::Version(held.version), None)
+            .await?;
         Ok(())
     }
 
-    fn check_free(&mut self, object: Versioned<Value>) -> Result<(), LeaseError> {
+    fn check_available(&mut self, object: Versioned<Value>) -> Result<(), LeaseError> {
         let now = MonoTime::now();
         let record: Record =
             serde_json::from_value(object.value).map_err(|_| StoreError::Malformed)?;
@@ -166,24 +171,28 @@
             return Ok(());
         }
         let ttl = Duration::from_millis(record.ttl_ms).mul_f64(1.0 + TAKEOVER_MARGIN);
-        match &self.sighting {
-            Some(seen) if seen.version == object.version => {
-                if now.since(seen.at) >= ttl {
+        match &self.observed {
+            Some(observed) if observed.version == object.version => {
+                if now.since(observed.first_seen) >= ttl {
                     return Ok(());
                 }
             }
             _ => {
-                self.sighting = Some(Sighting {
+                self.observed = Some(ObservedVersion {
                     version: object.version,
-                    at: now,
+                    first_seen: now,
                 });
             }
         }
         Err(LeaseError::HeldByOther)
     }
 
-    async fn write(&self, expect: Expect, holder: Option<InstanceId>) -> Result<Held, LeaseError> {
-        let (from, from_wall) = (MonoTime::now(), SystemTime::now());
+    async fn write(
+        &self,
+        precondition: Precondition,
+        holder: Option<InstanceId>,
+    ) -> Result<HeldLease, LeaseError> {
+        let (start, start_wall) = (MonoTime::now(), SystemTime::now());
         let record = Record {
             holder,
             incarnation: self.settings.incarnation,
@@ -191,23 +200,30 @@
             nonce: rand::random(),
         };
         let value = serde_json::to_value(&record).map_err(|_| StoreError::Malformed)?;
-        let ours = |v: &Value| v["nonce"] == record.nonce;
+        let is_own_write = |v: &Value| v["nonce"] == record.nonce;
         let name = self.name.as_str();
         let written = self
             .store
-            .write_sure(Purpose::Leases, LEASE_KIND, name, expect, &value, ours)
+            .write_verified(
+                Purpose::Leases,
+                LEASE_KIND,
+                name,
+                precondition,
+                &value,
+                is_own_write,
+            )
             .await;
         let version = match written {
-            SureWrite::Ours { version } => version,
-            SureWrite::Conflict { .. } => return Err(LeaseError::HeldByOther),
-            SureWrite::NotWritten(e) => return Err(e.into()),
-            SureWrite::Unknown { .. } => return Err(LeaseError::Unknown),
+            WriteResult::Written { version } => version,
+            WriteResult::Conflict { .. } => return Err(LeaseError::HeldByOther),
+            WriteResult::NotWritten(e) => return Err(e.into()),
+            WriteResult::Unknown { .. } => return Err(LeaseError::Unknown),
         };
-        Ok(Held {
+        Ok(HeldLease {
             fence: version,
             version,
-            from,
-            from_wall,
+            start,
+            start_wall,
             ttl: self.settings.ttl,
         })
     }
--- a/crates/tc-platform/src/store/pace.rs
+++ b/crates/tc-platform/src/store/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Token bucket that bounds this instance's calls to the store.
+//! Token bucket that limits this instance's calls to the store.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -9,18 +9,18 @@
 
 use crate::StoreError;
 
-/// Seconds' worth of calls that may be sent at once after a quiet time.
+/// Burst capacity after a quiet period, in seconds of the steady rate.
 const BURST_S: f64 = 1.0;
 
-/// A token bucket with reservations: a call that finds it empty waits for its turn, in order.
-pub(crate) struct Pace {
+/// A token bucket with reservations: calls that find it empty are queued in order.
+pub(crate) struct RateLimiter {
     interval: Duration,
     burst: Duration,
-    /// When the bucket will have given out all reserved tokens at the steady rate.
+    /// When all reserved tokens will have been issued at the steady rate.
     reserved_until: Mutex<Instant>,
 }
 
-impl Pace {
+impl RateLimiter {
     pub(crate) fn new(calls_per_s: f64) -> Self {
         let rate = calls_per_s.max(0.001);
         let interval = Duration::from_secs_f64(1.0 / rate);
@@ -31,14 +31,15 @@
         }
     }
 
-    /// Waits for so many tokens together.
+    /// Waits for this many tokens together.
     ///
-    /// Fails with [`StoreError::Paced`] at once when the turn would come only after `longest`.
+    /// Fails immediately with [`StoreError::RateLimited`] if the wait would exceed `max_wait`.
     ///
-    /// Turns that had to be waited for are jittered: instances with the same rate would otherwise keep step, and
-    /// two that write the same object would meet there at every turn, seen as claims that conflict many times.
-    pub(crate) async fn take(&self, tokens: u32, longest: Duration) -> Result<(), StoreError> {
-        let wait = self.reserve(tokens, Instant::now(), longest)?;
+    /// Waits are jittered. Otherwise instances with the same rate would stay synchronized, and two
+    /// that write the same object would collide at every call, which shows as claims that conflict
+    /// repeatedly.
+    pub(crate) async fn acquire(&self, tokens: u32, max_wait: Duration) -> Result<(), StoreError> {
+        let wait = self.reserve(tokens, Instant::now(), max_wait)?;
         if !wait.is_zero() {
             let jitter = self
                 .interval
@@ -52,7 +53,7 @@
         &self,
         tokens: u32,
         now: Instant,
-        longest: Duration,
+        max_wait: Duration,
     ) -> Result<Duration, StoreError> {
         let mut until = self
             .reserved_until
@@ -60,8 +61,8 @@
             .unwrap_or_else(PoisonError::into_inner);
         let reserved = (*until).max(now) + self.interval * tokens;
         let wait = reserved.duration_since(now).saturating_sub(self.burst);
-        if wait > longest {
-            return Err(StoreError::Paced);
+        if wait > max_wait {
+            return Err(StoreError::RateLimited);
         }
         *until = reserved;
         Ok(wait)
